--- a/internal/core/roster/bench_test.go
+++ b/internal/core/roster/bench_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// large returns a reader's list of 3,000 upstreams, and the question of an instance
-// that knows all there is of its groups.
-func large(b *testing.B) (*Roster, Question) {
+// largeList returns a complete list of 3,000 upstreams, and the request of an instance that
+// already has the current versions of its groups.
+func largeList(b *testing.B) (*Roster, Question) {
 	b.Helper()
 	r := New()
 	all := spread("large", 1000)
@@ -18,7 +18,7 @@
 }
 
 func BenchmarkAnswerNothingNew(b *testing.B) {
-	r, q := large(b)
+	r, q := largeList(b)
 	b.ReportAllocs()
 	for b.Loop() {
 		r.Answer(start, q)
@@ -26,19 +26,19 @@
 }
 
 func BenchmarkAnswerOneChange(b *testing.B) {
-	r, q := large(b)
+	r, q := largeList(b)
 	v := r.Newest()
-	left := r.In(q.Groups[0])[0].ID
-	r.Update(start, []Change{{ID: left, Version: v + 1, Removed: true}}, v+1)
+	removed := r.In(q.Groups[0])[0].ID
+	r.Update(start, []Change{{ID: removed, Version: v + 1, Removed: true}}, v+1)
 	b.ReportAllocs()
 	for b.Loop() {
 		r.Answer(start, q)
 	}
 }
 
-// BenchmarkHeartbeats takes in what the store tells of 600 ms of heartbeats.
+// BenchmarkHeartbeats applies 1,500 heartbeats, as many as the store reports for 600 ms.
 func BenchmarkHeartbeats(b *testing.B) {
-	r, _ := large(b)
+	r, _ := largeList(b)
 	changes := spread("large", 1000)[:1500]
 	v, now := r.Newest(), start
 	b.ReportAllocs()
--- a/internal/core/roster/group.go
+++ b/internal/core/roster/group.go
@@ -11,44 +11,50 @@
 )
 
 const (
-	// maxWhole is the size above which a service is divided. Every instance knows all
-	// upstreams of a smaller one.
-	maxWhole = 64
-	// mergeBelow is the size below which a divided service becomes whole again. The gap to
-	// maxWhole keeps a few arrivals and departures from redividing it.
-	mergeBelow = 48
-	// maxGroup is the size of a group when a service is divided. One home places its work and
-	// polls its upstreams, each within 100 ms.
-	maxGroup = 32
-	// groupFull and groupThin are the fill factors, relative to maxGroup, beyond which a
-	// service is redivided.
-	groupFull = 1.5
-	groupThin = 0.3
-	// divideDelay is how long a service must exceed these bounds before it is redivided: the
-	// new pools' homes must rebuild their state, and a release or an outage doubles the
-	// entries for some seconds. Above divideNow times maxWhole it is divided at once.
+	// maxUndivided is the number of upstreams above which a service is divided into groups.
+	// Every instance knows all upstreams of an undivided service.
+	maxUndivided = 64
+	// mergeThreshold is the number of upstreams at or below which a divided service becomes
+	// undivided again. It is lower than maxUndivided so that a few upstreams that join or leave
+	// do not change the layout.
+	mergeThreshold = 48
+	// maxGroupSize is the maximum average number of upstreams per group when a service is
+	// divided. One home places the work of a group and polls its upstreams, each within 100 ms.
+	maxGroupSize = 32
+	// maxGroupFill and minGroupFill bound the average group size, as factors of maxGroupSize.
+	// Outside these bounds the number of groups is computed again.
+	maxGroupFill = 1.5
+	minGroupFill = 0.3
+	// divideDelay is how long a service must exceed these bounds before its layout changes: the
+	// homes of the new pools must rebuild their state, and a release or an outage doubles the
+	// number of entries for some seconds.
 	divideDelay = 30 * time.Second
-	divideNow   = 2
-	// ownGroups is how many groups of a service an instance balances over itself. With two, no
-	// group depends on how many instances hash to it.
-	ownGroups = 2
+	// divideNowFactor is the multiple of maxUndivided above which an undivided service is
+	// divided without waiting for divideDelay.
+	divideNowFactor = 2
+	// groupsPerInstance is the number of groups of a divided service over which one instance
+	// balances requests. With two, the load of a group does not depend on how many instances
+	// hash to it.
+	groupsPerInstance = 2
 )
 
-// Group is a subset of a service's upstreams: all of them, or a share of those in one data
-// centre. An instance knows only the groups that it uses.
+// Group is a subset of a service's upstreams: all of them, or a part of those in one data
+// centre. An instance keeps only the groups that it uses.
 type Group struct {
 	Service string
-	// DataCentre is the location of the upstreams; "" for the whole service.
+	// DataCentre is the location of the upstreams; "" for the group of an undivided service.
 	DataCentre string
-	// Index is the group's number, from 0, among the Of groups of the data centre.
+	// Index is the number of the group, from 0, and Of the number of groups in the data
+	// centre. Of is 0 for the group of an undivided service.
 	Index int
 	Of    int
 }
 
-// Whole returns the group of all upstreams of a service.
+// Whole returns the group that contains all upstreams of an undivided service.
 func Whole(service string) Group { return Group{Service: service} }
 
-// Name returns the pool name of the group: the service, or "service/data centre/index/of".
+// Name returns the name of the pool that serves the group: the service name if the service is
+// undivided, otherwise "service/data centre/index/number of groups".
 func (g Group) Name() string {
 	if g.Of == 0 {
 		return g.Service
@@ -56,7 +62,8 @@
 	return fmt.Sprintf("%s/%s/%d/%d", g.Service, g.DataCentre, g.Index, g.Of)
 }
 
-// ParseGroup is the inverse of Name.
+// ParseGroup returns the group with the given name. It is the inverse of Group.Name; a name
+// without valid group numbers is the name of an undivided service.
 func ParseGroup(name string) Group {
 	parts := strings.Split(name, "/")
 	n := len(parts)
@@ -71,22 +78,24 @@
 	return Group{Service: strings.Join(parts[:n-3], "/"), DataCentre: parts[n-3], Index: index, Of: of}
 }
 
-// Layout maps service and data centre to a number of groups. Services not listed are whole.
+// Layout maps a service and a data centre to a number of groups. Services that it does not
+// contain are undivided.
 type Layout map[string]map[string]int
 
-// Of returns the group that an entry belongs to.
+// Of returns the group that the upstream of an entry belongs to.
 func (l Layout) Of(e Entry) Group {
 	of := l[e.Service][e.DataCentre]
 	if of == 0 {
 		return Whole(e.Service)
 	}
-	return Group{Service: e.Service, DataCentre: e.DataCentre, Index: part(e.ID, of), Of: of}
+	return Group{Service: e.Service, DataCentre: e.DataCentre, Index: groupIndex(e.ID, of), Of: of}
 }
 
-// part hashes a name to one of a number of groups.
-func part(name string, of int) int { return int(xxhash.Sum64String(name) % uint64(of)) }
+// groupIndex hashes a name to an index from 0 to of-1.
+func groupIndex(name string, of int) int { return int(xxhash.Sum64String(name) % uint64(of)) }
 
-// Groups lists the groups of a service in a data centre, or in all of them for "".
+// Groups returns the groups of a divided service in one data centre, or in all data centres if
+// dataCentre is "".
 func (l Layout) Groups(service, dataCentre string) []Group {
 	var out []Group
 	for dc, of := range l[service] {
@@ -98,9 +107,10 @@
 	return out
 }
 
-// Own returns the groups of a service that an instance balances over: the whole service if it
-// is undivided, otherwise some of its own data centre, or of another one if its own is closed
-// or has none.
+// Own returns the groups of a service over which an instance balances requests: the only group
+// of an undivided service, otherwise up to groupsPerInstance groups of the instance's data
+// centre, or of all data centres if its own has no group or is not open. Data centres for
+// which open returns false are excluded; nil means that no group remains.
 func (l Layout) Own(service, dataCentre, instance string, open func(dataCentre string) bool) []Group {
 	if l[service] == nil {
 		return []Group{Whole(service)}
@@ -113,51 +123,51 @@
 	if len(groups) == 0 {
 		return nil
 	}
-	first := part(instance, len(groups))
+	first := groupIndex(instance, len(groups))
 	var out []Group
-	for k := range min(ownGroups, len(groups)) {
+	for k := range min(groupsPerInstance, len(groups)) {
 		out = append(out, groups[(first+k)%len(groups)])
 	}
 	return out
 }
 
-// divide returns the layout for a number of upstreams by service and data centre. It keeps the
-// previous one on small changes, as each change makes new pools.
+// divide computes the layout from the number of upstreams by service and data centre. Small
+// changes of these numbers keep the previous layout, because each change creates new pools.
 func divide(before Layout, count map[string]map[string]int) Layout {
 	out := Layout{}
-	for service, by := range count {
+	for service, byDataCentre := range count {
 		total := 0
-		for _, n := range by {
+		for _, n := range byDataCentre {
 			total += n
 		}
-		if total <= mergeBelow || before[service] == nil && total <= maxWhole {
+		if total <= mergeThreshold || before[service] == nil && total <= maxUndivided {
 			continue
 		}
 		out[service] = map[string]int{}
-		for dc, n := range by {
-			out[service][dc] = partsOf(before[service][dc], n)
+		for dc, n := range byDataCentre {
+			out[service][dc] = groupCount(before[service][dc], n)
 		}
 	}
 	return out
 }
 
-// partsOf returns the number of groups for n upstreams: a power of two, so that growth changes
-// it seldom.
-func partsOf(before, n int) int {
+// groupCount returns the number of groups for n upstreams of one data centre; before is the
+// previous number, or 0. The result is a power of two, so that growth seldom changes it.
+func groupCount(before, n int) int {
 	if before > 0 {
-		each := float64(n) / float64(before)
-		if each <= groupFull*maxGroup && (each >= groupThin*maxGroup || before == 1) {
+		size := float64(n) / float64(before)
+		if size <= maxGroupFill*maxGroupSize && (size >= minGroupFill*maxGroupSize || before == 1) {
 			return before
 		}
 	}
 	of := 1
-	for of*maxGroup < n {
+	for of*maxGroupSize < n {
 		of *= 2
 	}
 	return of
 }
 
-// Has reports whether a group belongs to the layout.
+// Has reports whether a group exists in the layout.
 func (l Layout) Has(g Group) bool {
 	if g.Of == 0 {
 		return l[g.Service] == nil
@@ -169,11 +179,11 @@
 	if len(l) != len(o) {
 		return false
 	}
-	for service, by := range l {
-		if len(by) != len(o[service]) {
+	for service, byDataCentre := range l {
+		if len(byDataCentre) != len(o[service]) {
 			return false
 		}
-		for dc, of := range by {
+		for dc, of := range byDataCentre {
 			if o[service][dc] != of {
 				return false
 			}
--- a/internal/core/roster/group_test.go
+++ b/internal/core/roster/group_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// spread lists n upstreams of a service in each of three data centres.
+// spread returns entries of n upstreams of a service in each of three data centres.
 func spread(service string, n int) (out []Change) {
 	for _, dc := range []string{"a", "b", "c"} {
 		for k := range n {
@@ -20,21 +20,24 @@
 	return out
 }
 
-func reader(t *testing.T, changes ...Change) *Roster {
+// newReader returns the roster of an instance that reads the store, with the given entries and
+// a layout.
+func newReader(t *testing.T, changes ...Change) *Roster {
 	t.Helper()
 	r := New()
 	for k := range changes {
 		changes[k].Version = int64(k + 1)
 	}
 	if _, ok := r.Replace(start, changes, int64(len(changes))); !ok {
-		t.Fatal("the list was not taken")
+		t.Fatal("Replace rejected a list newer than the known one")
 	}
 	r.Divide(start)
 	return r
 }
 
-// follow makes an instance's list follow a reader's, as its questions do.
-func follow(r, reader *Roster, instance, dataCentre string) {
+// syncFrom updates an instance's roster from that of a reader, as the responses to its requests
+// do.
+func syncFrom(r, reader *Roster, instance, dataCentre string) {
 	layout, divided := reader.Layout()
 	var own []Group
 	for service := range layout {
@@ -45,59 +48,59 @@
 	r.Keep(own)
 }
 
-// Today's services are known whole to everybody. One of hundreds of upstreams is
-// divided into parts of one data centre each, which together are the service.
+// A service with few upstreams stays undivided and is known completely by every instance. A
+// service with hundreds of upstreams is divided into groups, each within one data centre, which
+// together contain every upstream once.
 func TestLargeServicesAreDivided(t *testing.T) {
-	r := reader(t, append(spread("small", 15), spread("large", 200)...)...)
+	r := newReader(t, append(spread("small", 15), spread("large", 200)...)...)
 	layout, _ := r.Layout()
 	if layout["small"] != nil || layout["large"] == nil {
-		t.Fatalf("layout %v", layout)
+		t.Fatalf("layout = %v, want the large service divided and the small one undivided", layout)
 	}
 	seen := map[string]bool{}
 	for _, g := range layout.Groups("large", "") {
 		list := r.In(g)
 		if len(list) < 8 || len(list) > 48 {
-			t.Errorf("%s has %d upstreams", g.Name(), len(list))
+			t.Errorf("group %s has %d upstreams, want 8 to 48", g.Name(), len(list))
 		}
 		for _, u := range list {
 			if u.DataCentre != g.DataCentre || seen[u.ID] {
-				t.Errorf("%s holds %s of %s", g.Name(), u.ID, u.DataCentre)
+				t.Errorf("group %s contains upstream %s of data centre %s, want only upstreams of its own data centre, each in one group", g.Name(), u.ID, u.DataCentre)
 			}
 			seen[u.ID] = true
 		}
 		if ParseGroup(g.Name()) != g {
-			t.Errorf("name %s is read as %+v", g.Name(), ParseGroup(g.Name()))
+			t.Errorf("ParseGroup(%s) = %+v, want the group with this name", g.Name(), ParseGroup(g.Name()))
 		}
 	}
 	if len(seen) != 600 {
-		t.Errorf("%d of 600 upstreams are in a group", len(seen))
+		t.Errorf("%d upstreams are in a group, want all 600", len(seen))
 	}
 	for _, name := range []string{"small", "a/b", "s/dc/2/2", "s/dc/-1/4", "s/dc/x/4"} {
 		if ParseGroup(name) != Whole(name) {
-			t.Errorf("%q is read as a part", name)
+			t.Errorf("ParseGroup(%q) returns a group of a divided service, want that of an undivided one", name)
 		}
 	}
 }
 
-// A service's upstreams come and go around the border of its division. Each new
-// division makes new pools, whose homes know nothing, so that the border must be
-// wide.
-func TestSmallChangesDoNotDivideAnew(t *testing.T) {
+// The number of upstreams of a service varies around a threshold. Each new layout creates pools
+// whose homes start without state, so small changes must keep the layout.
+func TestSmallChangesKeepTheLayout(t *testing.T) {
 	count := func(n int) map[string]map[string]int { return map[string]map[string]int{"s": {"a": n}} }
 	var l Layout
 	for _, c := range []struct{ n, want int }{{64, 0}, {65, 4}, {60, 4}, {49, 4}, {48, 0}, {64, 0}, {200, 8}, {260, 8}, {380, 8}, {400, 16}, {300, 16}, {150, 8}} {
 		l = divide(l, count(c.n))
 		if got := l["s"]["a"]; got != c.want {
-			t.Errorf("%d upstreams: %d parts, want %d", c.n, got, c.want)
+			t.Errorf("%d upstreams are divided into %d groups, want %d", c.n, got, c.want)
 		}
 	}
 }
 
-// An outage of the store, or a release, doubles the entries of a service for some
-// seconds. Divided and made whole again meanwhile, every home would lose its pool and
-// the next one know nothing of what runs.
-func TestABriefCrowdDoesNotDivideAService(t *testing.T) {
-	r := reader(t, spread("s", 20)...)
+// An outage of the store or a release doubles the entries of a service for some seconds. If the
+// service were divided and merged again meanwhile, each home would lose its pool and the next
+// home would know nothing of the running generations.
+func TestABriefIncreaseDoesNotDivideAService(t *testing.T) {
+	r := newReader(t, spread("s", 20)...)
 	v := r.Newest()
 	var doubled, removed []Change
 	for k, c := range spread("s", 30)[:45] {
@@ -109,12 +112,12 @@
 	r.Update(at(0), doubled, v+45)
 	for _, d := range []time.Duration{0, divideDelay / 2, divideDelay - time.Second} {
 		if r.Divide(at(d)) {
-			t.Fatalf("divided after %s of crowding", d)
+			t.Fatalf("service divided %s after the increase, want no division before divideDelay", d)
 		}
 	}
 	r.Update(at(divideDelay-time.Second), removed, v+90)
 	if r.Divide(at(divideDelay)) {
-		t.Fatal("divided though the crowd has gone")
+		t.Fatal("service divided after the added upstreams were removed")
 	}
 	for k := range doubled {
 		doubled[k].Version += 100
@@ -122,88 +125,88 @@
 	r.Update(at(divideDelay), doubled, v+200)
 	r.Divide(at(divideDelay))
 	if r.Divide(at(2*divideDelay-time.Second)) || !r.Divide(at(2*divideDelay)) {
-		t.Error("a service that stays too large must be divided after a while, counted anew")
+		t.Error("service must be divided divideDelay after its second increase, and not before")
 	}
 }
 
-// Upstreams that leave and entries that lapsed in an outage are listed beside those that
-// replace them; counted, they would divide a service that has not grown.
+// Leaving upstreams and those with expired entries are listed beside their replacements. If
+// they were counted, they would divide a service that has not grown.
 func TestLeavingUpstreamsDoNotDivideAService(t *testing.T) {
 	changes := spread("s", 40)
 	for k := range changes {
 		changes[k].Entry.Leaving = k%2 == 0
 	}
-	r := reader(t, changes...)
+	r := newReader(t, changes...)
 	if layout, _ := r.Layout(); layout["s"] != nil {
-		t.Errorf("60 upstreams that take work are divided: %v", layout)
+		t.Errorf("layout = %v, want a service with 60 upstreams that accept work undivided", layout)
 	}
 }
 
-// An instance that followed others reads the store from now on, right after an outage.
-// The service is as those have decided; its first look at the list decides nothing.
-func TestANewReaderKeepsTheDivision(t *testing.T) {
-	r := reader(t, spread("s", 20)...)
-	mine := New()
-	follow(mine, r, "i1", "a")
-	if _, ok := mine.Replace(at(time.Second), spread("s", 30), r.Newest()+100); !ok {
-		t.Fatal("the list was not taken")
-	}
-	if mine.Divide(at(time.Second)) {
-		t.Error("a new reader divides the service at once")
+// An instance that followed others starts to read the store right after an outage. It must keep
+// the layout that the other readers decided on instead of deciding from its first list.
+func TestANewReaderKeepsTheLayout(t *testing.T) {
+	r := newReader(t, spread("s", 20)...)
+	follower := New()
+	syncFrom(follower, r, "i1", "a")
+	if _, ok := follower.Replace(at(time.Second), spread("s", 30), r.Newest()+100); !ok {
+		t.Fatal("Replace rejected a list newer than the known one")
+	}
+	if follower.Divide(at(time.Second)) {
+		t.Error("a new reader changed the layout on its first list, want no change before divideDelay")
 	}
 }
 
-// An instance that uses two parts of a large service hears of these only, of what
-// joins and what goes there, and forgets them when it uses others.
+// An instance that uses two groups of a large service receives only these groups and their
+// changes, and drops them when it uses others.
 func TestAnInstanceKnowsItsGroupsOnly(t *testing.T) {
 	all := append(spread("small", 2), spread("large", 200)...)
-	r := reader(t, all...)
-	mine := New()
-	follow(mine, r, "i1", "b")
-	if n := len(mine.Of("large")); n < 16 || n > 96 {
-		t.Fatalf("%d upstreams of the large service are known", n)
+	r := newReader(t, all...)
+	follower := New()
+	syncFrom(follower, r, "i1", "b")
+	if n := len(follower.Of("large")); n < 16 || n > 96 {
+		t.Fatalf("%d upstreams of the large service are known, want 16 to 96", n)
 	}
-	if len(mine.Of("small")) != 6 {
-		t.Errorf("%d upstreams of the small service are known, want 6", len(mine.Of("small")))
+	if len(follower.Of("small")) != 6 {
+		t.Errorf("%d upstreams of the small service are known, want 6", len(follower.Of("small")))
 	}
 	layout, _ := r.Layout()
 	own := layout.Own("large", "b", "i1", anywhere)
 	for _, g := range own {
-		if !mine.Knows(g) || len(mine.In(g)) != len(r.In(g)) || g.DataCentre != "b" {
-			t.Errorf("%s: %d known of %d", g.Name(), len(mine.In(g)), len(r.In(g)))
+		if !follower.Knows(g) || len(follower.In(g)) != len(r.In(g)) || g.DataCentre != "b" {
+			t.Errorf("group %s: %d upstreams known, want all %d of a group in data centre b", g.Name(), len(follower.In(g)), len(r.In(g)))
 		}
 	}
-	gone := mine.In(own[0])[0]
+	removed := follower.In(own[0])[0]
 	v := r.Newest()
-	r.Update(at(time.Second), []Change{{ID: gone.ID, Version: v + 1, Removed: true}}, v+1)
-	if told := r.Since(start, v, own); len(told) != 1 || told[0].Group != own[0] {
-		t.Errorf("%d groups are told of, want the one that changed", len(told))
+	r.Update(at(time.Second), []Change{{ID: removed.ID, Version: v + 1, Removed: true}}, v+1)
+	if changed := r.Since(start, v, own); len(changed) != 1 || changed[0].Group != own[0] {
+		t.Errorf("Since returns %d of the own groups, want only the one that changed", len(changed))
 	}
-	if other := r.Since(start, v, nil); len(other) != 1 {
-		t.Errorf("%d groups changed, want one", len(other))
+	if changed := r.Since(start, v, nil); len(changed) != 1 {
+		t.Errorf("Since returns %d of all groups, want only the one that changed", len(changed))
 	}
-	follow(mine, r, "i1", "b")
-	if mine.Find(gone.ID) != nil || !gone.Gone {
-		t.Error("what went from its group must go here, too")
+	syncFrom(follower, r, "i1", "b")
+	if follower.Find(removed.ID) != nil || !removed.Gone {
+		t.Error("an upstream that the reader removed is still in the follower's list")
 	}
-	if mine.Divide(start) {
-		t.Error("the service is divided anew by the few upstreams that are known here")
+	if follower.Divide(start) {
+		t.Error("an instance that knows only some groups changed the layout")
 	}
-	mine.Keep(nil)
-	if len(mine.Of("large")) != 0 || len(mine.Of("small")) != 6 || mine.Knows(own[0]) {
-		t.Error("groups that are not used must be forgotten, whole services kept")
+	follower.Keep(nil)
+	if len(follower.Of("large")) != 0 || len(follower.Of("small")) != 6 || follower.Knows(own[0]) {
+		t.Error("Keep(nil) must drop the groups of the divided service and keep the undivided one")
 	}
 }
 
-// A service grows past the border while an instance follows it: it is told of the
-// division with its groups, and keeps those that it uses.
-func TestADivisionIsFollowed(t *testing.T) {
+// A service grows beyond maxUndivided while an instance follows a reader. The follower receives
+// the new layout together with its groups and drops the upstreams of all other groups.
+func TestFollowersAdoptANewLayout(t *testing.T) {
 	all := spread("s", 20)
-	r := reader(t, all...)
-	mine := New()
-	follow(mine, r, "i1", "a")
-	if len(mine.Of("s")) != 60 {
-		t.Fatalf("%d known", len(mine.Of("s")))
+	r := newReader(t, all...)
+	follower := New()
+	syncFrom(follower, r, "i1", "a")
+	if len(follower.Of("s")) != 60 {
+		t.Fatalf("%d upstreams of the undivided service are known, want 60", len(follower.Of("s")))
 	}
 	var more []Change
 	v := r.Newest()
@@ -212,29 +215,29 @@
 		more = append(more, c)
 	}
 	r.Update(at(time.Second), more, v+int64(len(more)))
-	if !mine.Whole() {
-		t.Error("an instance that was told all of undivided services does not know all")
+	if !follower.Whole() {
+		t.Error("a follower whose services are all undivided does not report a complete list")
 	}
 	if !r.Divide(start) {
-		t.Fatal("180 upstreams are not divided")
+		t.Fatal("a service with 180 upstreams was not divided")
 	}
-	follow(mine, r, "i1", "a")
+	syncFrom(follower, r, "i1", "a")
 	layout, _ := r.Layout()
 	for _, g := range layout.Own("s", "a", "i1", anywhere) {
-		if !slices.Equal(names(mine.In(g)), names(r.In(g))) {
-			t.Errorf("%s: %v, want %v", g.Name(), names(mine.In(g)), names(r.In(g)))
+		if !slices.Equal(names(follower.In(g)), names(r.In(g))) {
+			t.Errorf("group %s: upstreams %v, want %v", g.Name(), names(follower.In(g)), names(r.In(g)))
 		}
 	}
-	for _, u := range mine.Of("s") {
+	for _, u := range follower.Of("s") {
 		if u.DataCentre != "a" {
-			t.Errorf("%s is still known", u.ID)
+			t.Errorf("upstream %s of a group that is not used is still known", u.ID)
 		}
 	}
 }
 
-// Ids of upstreams are new each time. Versions of those that went long ago must not
-// pile up, but a stale update about one that has just gone must not bring it back.
-func TestVersionsOfTheGoneAreForgotten(t *testing.T) {
+// Each new upstream has a new id. The versions of upstreams that were removed long ago must not
+// accumulate, but a stale update about a recently removed upstream must not restore it.
+func TestTombstonesExpire(t *testing.T) {
 	r := New()
 	for k := range 1000 {
 		id, v := fmt.Sprint("u", k), int64(2*k+1)
@@ -242,36 +245,34 @@
 		r.Update(at(time.Duration(k)*time.Second), []Change{{ID: id, Version: v + 1, Removed: true}}, v+1)
 		r.Tick(at(time.Duration(k) * time.Second))
 	}
-	if len(r.versions) > 62 || len(r.gone) > 62 {
-		t.Errorf("%d versions and %d gone upstreams are remembered", len(r.versions), len(r.gone))
+	if len(r.versions) > 62 || len(r.removedAt) > 62 {
+		t.Errorf("%d versions and %d tombstones are kept, want at most 62 each", len(r.versions), len(r.removedAt))
 	}
 	r.Update(at(1001*time.Second), []Change{listed("u999", 1999)}, 1999)
 	if r.Find("u999") != nil {
-		t.Error("a stale update brought an upstream back")
+		t.Error("a stale update restored a removed upstream")
 	}
 }
 
-// Nearly all questions of a large fleet find nothing new: 300 instances ask 2.5 times
-// a second each. Answered by a look through all groups, they took a fifth of a relay's
-// processor.
-func TestAnAnswerWithoutAnUpdateCostsNothing(t *testing.T) {
-	r := reader(t, spread("large", 1000)...)
+// Nearly all requests in a large fleet find no change: 300 instances send 2.5 requests per
+// second each. When each of them scanned all groups, they took a fifth of a relay's processor.
+func TestAnswerWithoutChangesIsCheap(t *testing.T) {
+	r := newReader(t, spread("large", 1000)...)
 	layout, divided := r.Layout()
 	q := Question{Version: r.Newest(), Divided: divided, Groups: layout.Own("large", "a", "i1", anywhere)}
 	if allocs := testing.AllocsPerRun(100, func() { r.Answer(start, q) }); allocs > 3 {
-		t.Errorf("%.0f allocations", allocs)
+		t.Errorf("Answer without changes makes %.0f allocations, want at most 3", allocs)
 	}
 }
 
-// The relays have failed, and an instance asks another one that knows only the groups
-// that it uses itself. Its answer would carry a newer version and lack the asker's
-// groups: the asker would take itself for up to date, and send work to upstreams that
-// have left.
-func TestWhoKnowsTooLittleDoesNotAnswer(t *testing.T) {
-	r := reader(t, spread("large", 200)...)
+// When the relays have failed, an instance asks one that knows only the groups that it uses
+// itself. Its response would carry a newer version but lack the requester's groups: the
+// requester would consider itself up to date and send work to upstreams that have left.
+func TestAnswerFailsForUnknownGroups(t *testing.T) {
+	r := newReader(t, spread("large", 200)...)
 	layout, divided := r.Layout()
-	mine := New()
-	follow(mine, r, "i1", "b")
+	follower := New()
+	syncFrom(follower, r, "i1", "b")
 	own := layout.Own("large", "b", "i1", anywhere)
 	other := layout.Groups("large", "c")[:1]
 	for _, c := range []struct {
@@ -279,18 +280,18 @@
 		q    Question
 		ok   bool
 	}{
-		{"its own groups", Question{Divided: divided, Groups: own}, true},
-		{"a group that it does not know", Question{Divided: divided, Groups: other, New: other}, false},
-		{"everything", Question{Divided: divided, All: true}, false},
+		{"the follower's own groups", Question{Divided: divided, Groups: own}, true},
+		{"a group unknown to the follower", Question{Divided: divided, Groups: other, New: other}, false},
+		{"all groups", Question{Divided: divided, All: true}, false},
 	} {
-		if _, ok := mine.Answer(start, c.q); ok != c.ok {
-			t.Errorf("%s: answered %v, want %v", c.name, ok, c.ok)
+		if _, ok := follower.Answer(start, c.q); ok != c.ok {
+			t.Errorf("request for %s: Answer of a follower returns %v, want %v", c.name, ok, c.ok)
 		}
 		if _, ok := r.Answer(start, c.q); !ok {
-			t.Errorf("%s: a reader does not answer", c.name)
+			t.Errorf("request for %s: Answer of a reader returns false, want true", c.name)
 		}
 	}
 	if _, ok := New().Answer(start, Question{}); ok {
-		t.Error("an instance that knows nothing answers")
+		t.Error("Answer of an instance without a list returns true, want false")
 	}
 }
--- a/internal/core/roster/roster.go
+++ b/internal/core/roster/roster.go
@@ -1,5 +1,5 @@
-// Package roster holds an instance's view of the upstreams: their entries in the platform's
-// list with versions, and which of them accept new work. It does no I/O.
+// Package roster holds an instance's copy of the platform's list of upstreams: the entries with
+// their versions, and which upstreams accept new work. It does no I/O.
 package roster
 
 import (
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// Entry is an upstream's own row in the platform's list.
+// Entry is the row of one upstream in the platform's list. The upstream writes it.
 type Entry struct {
 	ID         string
 	Service    string
@@ -17,32 +17,34 @@
 	Slots      int
 	// Leaving is set once the upstream has announced its shutdown.
 	Leaving bool
-	// Cold is the remaining warm-up time when the entry was written. Upstreams are cold after
-	// a start and may become cold again.
+	// Cold is the remaining warm-up time when the entry was written; 0 if the upstream is warm.
+	// Upstreams are cold after a start and may become cold again.
 	Cold time.Duration
-	// Born identifies the run of the upstream, in Unix milliseconds; 0 if unknown. Ids can be
-	// reused by another run.
+	// Born identifies the run of the upstream: its start in Unix milliseconds; 0 if unknown.
+	// Another run can reuse the id.
 	Born int64
 }
 
-// Upstream is one run of an upstream.
+// Upstream is one run of an upstream, from start to shutdown.
 type Upstream struct {
 	Entry
 	// Version is the version of the entry in the list.
 	Version int64
-	// Seen is when this run was first listed.
+	// Seen is when the entry of this run was first received.
 	Seen time.Time
-	// LeavingSince is when the first sign of its shutdown arrived; zero if none.
+	// LeavingSince is when the first sign of the shutdown arrived; zero if there was none.
 	LeavingSince time.Time
-	// ColdUntil is the expected end of the warm-up.
+	// ColdUntil is the expected end of the warm-up; zero if the upstream was never cold.
 	ColdUntil time.Time
-	// Lapses is when a vanished entry is dropped; zero while it is listed.
+	// Lapses is when an upstream whose entry expired will be dropped; zero while the entry is
+	// listed.
 	Lapses time.Time
-	// Gone is set once the entry was removed or replaced by another run.
+	// Gone is set once the entry was removed or replaced by that of another run.
 	Gone bool
 }
 
-// Chill records an upstream's report that it stays cold for a time from now.
+// Chill records a report that the upstream stays cold for a duration from now. It never
+// shortens the expected warm-up.
 func (u *Upstream) Chill(now time.Time, cold time.Duration) {
 	if until := now.Add(cold); cold > 0 && until.After(u.ColdUntil) {
 		u.ColdUntil = until
@@ -52,148 +54,154 @@
 // TakesWork reports whether new work may be sent to the upstream.
 func (u *Upstream) TakesWork() bool { return !u.Gone && u.LeavingSince.IsZero() }
 
-// Change is one row of the list: an entry, or its removal.
+// Change is an update of one row of the list: its new entry, or its removal.
 type Change struct {
 	ID      string
 	Version int64
 	Removed bool
-	// Valid is false for an entry that could not be decoded. It invalidates what was known
-	// under its id.
+	// Valid is false for a removal and for an entry that could not be decoded. Such an entry is
+	// treated like a removal of its id.
 	Valid bool
 	Entry Entry
 }
 
-// Roster is the local view of the list: all of it, or the groups that this instance uses. It
-// is not safe for concurrent use.
+// Roster is the local copy of the list: either complete or restricted to the groups that this
+// instance uses. It is not safe for concurrent use.
 type Roster struct {
 	byID     map[string]*Upstream
 	versions map[string]int64
-	// gone holds the removal time of upstreams whose versions are kept.
-	gone      map[string]time.Time
+	// removedAt holds, by id, when an upstream was removed. Its version is kept until the
+	// tombstone expires.
+	removedAt map[string]time.Time
 	byService map[string][]*Upstream
 	byGroup   map[Group][]*Upstream
-	// layout is the current division into groups, nil before the first decision; divided is
-	// its version.
-	layout  Layout
-	divided int64
-	// wanted is the layout to change to, since wantedAt; nil if there is none.
-	wanted   Layout
-	wantedAt time.Time
-	// known holds the groups of which every upstream is known; whole is set if that holds for
-	// all.
-	known map[Group]bool
-	whole bool
-	// newest is the newest version of the list seen.
+	// layout is the current division of services into groups, nil before the first decision;
+	// layoutVersion is its version.
+	layout        Layout
+	layoutVersion int64
+	// pendingLayout is the layout that the numbers of upstreams call for since pendingSince;
+	// nil if that is the current one.
+	pendingLayout Layout
+	pendingSince  time.Time
+	// completeGroups holds the groups of divided services whose upstreams are all known;
+	// complete is set if the upstreams of all groups are known.
+	completeGroups map[Group]bool
+	complete       bool
+	// newest is the newest version of the list received.
 	newest int64
-	// changed holds, by group, the version of the last change other than a heartbeat;
-	// lastChange is the newest of these.
+	// changed holds, by group, the version of the last change that is more than a heartbeat;
+	// lastChange is the newest of these versions.
 	changed    map[Group]int64
 	lastChange int64
-	// down is set during an outage of the store; returned is when the last one ended.
-	down     bool
-	returned time.Time
-	// confirmed is the time as of which the list was last confirmed.
-	confirmed time.Time
-	// lapsed and retold hold, by group, when a lapsed entry was last dropped and when that was
-	// last announced again.
-	lapsed, retold map[Group]time.Time
-	// joined holds the runs listed since the last call of Joined.
+	// storeDown is set during an outage of the store; storeReturned is when the last outage
+	// ended.
+	storeDown     bool
+	storeReturned time.Time
+	// confirmedAt is the time as of which the list was last confirmed to be current.
+	confirmedAt time.Time
+	// droppedAt and reannouncedAt hold, by group, when an expired entry was last dropped and
+	// when the group was last announced again because of that.
+	droppedAt, reannouncedAt map[Group]time.Time
+	// joined holds the runs first listed since the last call of Joined.
 	joined []*Upstream
 }
 
 // New returns an empty roster.
 func New() *Roster {
 	return &Roster{
-		byID: map[string]*Upstream{}, versions: map[string]int64{}, gone: map[string]time.Time{}, byService: map[string][]*Upstream{},
-		lapsed: map[Group]time.Time{}, retold: map[Group]time.Time{},
-		byGroup: map[Group][]*Upstream{}, known: map[Group]bool{}, changed: map[Group]int64{},
+		byID: map[string]*Upstream{}, versions: map[string]int64{}, removedAt: map[string]time.Time{}, byService: map[string][]*Upstream{},
+		droppedAt: map[Group]time.Time{}, reannouncedAt: map[Group]time.Time{},
+		byGroup: map[Group][]*Upstream{}, completeGroups: map[Group]bool{}, changed: map[Group]int64{},
 	}
 }
 
-// Confirm records that the list was current when the store was asked.
+// Confirm records that the list was current when a request to the store was sent; asked is that
+// time.
 func (r *Roster) Confirm(asked time.Time) {
-	if asked.After(r.confirmed) {
-		r.confirmed = asked
+	if asked.After(r.confirmedAt) {
+		r.confirmedAt = asked
 	}
 }
 
-// Confirmed returns the time as of which the list was last confirmed.
-func (r *Roster) Confirmed() time.Time { return r.confirmed }
+// Confirmed returns the time as of which the list was last confirmed to be current.
+func (r *Roster) Confirmed() time.Time { return r.confirmedAt }
 
-// Joined returns the runs listed since the last call.
+// Joined returns the runs first listed since the last call.
 func (r *Roster) Joined() []*Upstream {
 	joined := r.joined
 	r.joined = nil
 	return joined
 }
 
-// Known reports whether a list was received. Without one, an instance that has its
-// configuration would refuse everything.
+// Known reports whether any version of the list was received. Without a list, an instance that
+// has its configuration would refuse every request.
 func (r *Roster) Known() bool { return r.newest > 0 }
 
-// Newest returns the newest version of the list seen.
+// Newest returns the newest version of the list received.
 func (r *Roster) Newest() int64 { return r.newest }
 
-// Update applies changes up to a version and returns the upstreams that began to leave or were
-// removed. Changes older than what is known are ignored: answers can be late or come from a
-// stale replica.
+// Update applies changes up to the version upTo and returns the upstreams that began to leave
+// or were removed. Changes that are not newer than the known version of their id are ignored:
+// responses can be late or come from a stale replica.
 func (r *Roster) Update(now time.Time, changes []Change, upTo int64) []*Upstream {
 	var left []*Upstream
-	meant := false
+	changed := false
 	for _, c := range changes {
 		if c.Version <= r.versions[c.ID] {
 			continue
 		}
 		r.versions[c.ID] = c.Version
 		if r.isChange(now, c) {
-			r.touch(c)
-			meant = true
+			r.markGroups(c)
+			changed = true
 		}
 		if u := r.apply(now, c); u != nil {
 			left = append(left, u)
 		}
 	}
 	r.newest = max(r.newest, upTo)
-	if meant {
-		r.index()
+	if changed {
+		r.rebuildIndexes()
 	}
 	return left
 }
 
-// touch marks the groups of the old and the new entry as changed.
-func (r *Roster) touch(c Change) {
+// markGroups marks the groups of the old and the new entry as changed.
+func (r *Roster) markGroups(c Change) {
 	if u := r.byID[c.ID]; u != nil {
-		r.mark(r.layout.Of(u.Entry), c.Version)
+		r.markChanged(r.layout.Of(u.Entry), c.Version)
 	}
 	if c.Valid && !c.Removed {
-		r.mark(r.layout.Of(c.Entry), c.Version)
+		r.markChanged(r.layout.Of(c.Entry), c.Version)
 	}
 }
 
-func (r *Roster) mark(g Group, version int64) {
+// markChanged records that a group changed at a version.
+func (r *Roster) markChanged(g Group, version int64) {
 	r.changed[g] = max(r.changed[g], version)
 	r.lastChange = max(r.lastChange, version)
 }
 
-// Replace applies a full copy of the list and removes what it lacks. It returns false for a
-// copy older than what is known.
+// Replace applies a full copy of the list and removes the upstreams that the copy does not
+// contain. It returns false for a copy older than the newest version received.
 func (r *Roster) Replace(now time.Time, all []Change, version int64) (left []*Upstream, ok bool) {
 	if version < r.newest {
 		return nil, false
 	}
-	r.whole = true
-	left = r.Update(now, append(all, r.missing(all, version, r.All())...), version)
+	r.complete = true
+	left = r.Update(now, append(all, r.removals(all, version, r.All())...), version)
 	return left, true
 }
 
-// missing returns removals for the upstreams that a copy lacks.
-func (r *Roster) missing(all []Change, version int64, of []*Upstream) []Change {
+// removals returns removals of the known upstreams that a copy of the list does not contain.
+// Upstreams whose entries have already expired are left out.
+func (r *Roster) removals(all []Change, version int64, known []*Upstream) []Change {
 	listed := make(map[string]bool, len(all))
 	for _, c := range all {
 		listed[c.ID] = true
 	}
 	var out []Change
-	for _, u := range of {
+	for _, u := range known {
 		if !listed[u.ID] && u.Lapses.IsZero() {
 			out = append(out, Change{ID: u.ID, Version: version, Removed: true})
 		}
@@ -201,17 +209,18 @@
 	return out
 }
 
-// apply applies one change and returns the upstream that left by it, or nil.
+// apply applies one change. It returns the upstream that began to leave, was removed or was
+// replaced by another run, or nil.
 func (r *Roster) apply(now time.Time, c Change) *Upstream {
 	old := r.byID[c.ID]
 	if c.Removed || !c.Valid {
 		return r.remove(now, old)
 	}
 	if old != nil && sameRun(old.Entry, c.Entry) {
-		began := c.Entry.Leaving && old.LeavingSince.IsZero()
+		beginsToLeave := c.Entry.Leaving && old.LeavingSince.IsZero()
 		old.Entry, old.Version, old.Lapses = c.Entry, c.Version, time.Time{}
 		old.Chill(now, c.Entry.Cold)
-		if began {
+		if beginsToLeave {
 			old.LeavingSince = now
 			return old
 		}
@@ -231,8 +240,8 @@
 	return nil
 }
 
-// coldSlack is the extension of a warm-up above which a heartbeat counts as a change: each one
-// reports a slightly later end.
+// coldSlack is the minimum extension of a warm-up that counts as a change. Shorter extensions
+// do not, because each heartbeat reports a slightly later end.
 const coldSlack = 300 * time.Millisecond
 
 // isChange reports whether a change is more than a heartbeat.
@@ -245,12 +254,13 @@
 		u.DataCentre != c.Entry.DataCentre || !u.Lapses.IsZero()
 }
 
-// sameRun reports whether two entries of one id belong to the same run.
+// sameRun reports whether two entries with the same id belong to the same run.
 func sameRun(a, b Entry) bool {
 	return a.Born == b.Born && a.Address == b.Address && a.Service == b.Service
 }
 
-// MarkLeaving records a sign of shutdown from elsewhere and reports whether it is the first.
+// MarkLeaving records a sign of shutdown that did not come from the list. It returns false if
+// the upstream was already known to be leaving.
 func (r *Roster) MarkLeaving(now time.Time, u *Upstream) bool {
 	if !u.LeavingSince.IsZero() {
 		return false
@@ -259,8 +269,8 @@
 	return true
 }
 
-// index rebuilds the lists by service and group, ordered by id.
-func (r *Roster) index() {
+// rebuildIndexes rebuilds the lists of upstreams by service and by group, ordered by id.
+func (r *Roster) rebuildIndexes() {
 	r.byService, r.byGroup = map[string][]*Upstream{}, map[Group][]*Upstream{}
 	for _, u := range r.All() {
 		r.byService[u.Service] = append(r.byService[u.Service], u)
@@ -269,10 +279,10 @@
 	}
 }
 
-// Of lists the upstreams of a service, including those that leave.
+// Of returns the upstreams of a service, including leaving ones.
 func (r *Roster) Of(service string) []*Upstream { return r.byService[service] }
 
-// All lists every upstream by id.
+// All returns every known upstream, ordered by id.
 func (r *Roster) All() []*Upstream {
 	out := make([]*Upstream, 0, len(r.byID))
 	for _, u := range r.byID {
@@ -282,8 +292,8 @@
 	return out
 }
 
-// Len returns the number of upstreams listed.
+// Len returns the number of known upstreams.
 func (r *Roster) Len() int { return len(r.byID) }
 
-// Find returns the upstream with an id, or nil.
+// Find returns the upstream with the given id, or nil.
 func (r *Roster) Find(id string) *Upstream { return r.byID[id] }
--- a/internal/core/roster/roster_test.go
+++ b/internal/core/roster/roster_test.go
@@ -15,6 +15,7 @@
 	return Entry{ID: id, Service: "pool", Address: id + ":80", Slots: 4, Born: 1}
 }
 
+// listed returns a change with a valid entry.
 func listed(id string, version int64) Change {
 	return Change{ID: id, Version: version, Valid: true, Entry: entry(id)}
 }
@@ -26,151 +27,151 @@
 	return out
 }
 
-// A list answers from a copy that lags, or an answer is late: an upstream that
-// had announced its leaving looks ready again, and would get work that is cut.
-// Versions of each entry only rise, so the stale update is passed over.
+// A list response comes from a lagging copy or arrives late: an upstream that had announced its
+// shutdown looks ready again and would receive work that is then cut. The version of an entry
+// only increases, so stale updates are ignored.
 func TestStaleUpdatesAreIgnored(t *testing.T) {
 	r := New()
 	r.Update(start, []Change{listed("a", 5)}, 5)
 	leaving := listed("a", 9)
 	leaving.Entry.Leaving = true
 	if left := r.Update(start, []Change{leaving}, 9); len(left) != 1 {
-		t.Fatalf("left = %v, want a", names(left))
+		t.Fatalf("left = %v after a announced its shutdown, want a", names(left))
 	}
 	r.Update(start, []Change{listed("a", 7)}, 7)
 	if r.Find("a").TakesWork() || r.Newest() != 9 {
-		t.Errorf("an old entry brought a leaving upstream back, newest %d", r.Newest())
+		t.Errorf("a stale entry made a leaving upstream accept work, or newest version = %d, want 9", r.Newest())
 	}
 	r.Update(start, []Change{{ID: "a", Version: 12, Removed: true}}, 12)
 	r.Update(start, []Change{listed("a", 10)}, 10)
 	if r.Find("a") != nil {
-		t.Error("an old entry brought an upstream back that is gone")
+		t.Error("a stale entry restored a removed upstream")
 	}
 	if _, ok := r.Replace(start, []Change{listed("a", 8)}, 8); ok {
-		t.Error("an old copy of the whole list was taken")
+		t.Error("Replace accepted a copy of the list older than the known one")
 	}
 }
 
-// The store is away, so upstreams can't renew their entries and these lapse,
-// though all live on. Taken as gone, the whole pool would vanish and every
-// request be refused. They are used until two seconds after the store's return;
-// what is not back by then is gone.
-func TestLapsedEntriesAreKept(t *testing.T) {
+// During an outage of the store, upstreams cannot renew their entries, which expire although
+// the upstreams are alive. If they were dropped at once, the pool would be empty and every
+// request refused. They stay in use until expiryGrace after the outage; upstreams whose entries
+// are not renewed by then are dropped.
+func TestExpiredEntriesAreKeptAfterAnOutage(t *testing.T) {
 	r := New()
 	r.Update(start, []Change{listed("a", 1), listed("b", 2)}, 2)
 	r.StoreDown()
 	r.StoreUp(at(10 * time.Second))
-	gone := []Change{{ID: "a", Version: 3, Removed: true}, {ID: "b", Version: 4, Removed: true}}
-	if left := r.Update(at(10100*time.Millisecond), gone, 4); left != nil {
-		t.Fatalf("left = %v, want none yet", names(left))
+	removals := []Change{{ID: "a", Version: 3, Removed: true}, {ID: "b", Version: 4, Removed: true}}
+	if left := r.Update(at(10100*time.Millisecond), removals, 4); left != nil {
+		t.Fatalf("left = %v right after the outage, want none", names(left))
 	}
 	r.Update(at(11*time.Second), []Change{listed("a", 5)}, 5)
 	if left := r.Tick(at(11900 * time.Millisecond)); left != nil {
-		t.Fatalf("%v given up before two seconds had passed", names(left))
+		t.Fatalf("%v dropped before expiryGrace had passed", names(left))
 	}
 	if left := r.Tick(at(12100 * time.Millisecond)); len(left) != 1 || left[0].ID != "b" {
-		t.Fatalf("left = %v, want b", names(left))
+		t.Fatalf("left = %v after expiryGrace, want b, whose entry was not renewed", names(left))
 	}
 	if !r.Find("a").TakesWork() || r.Find("b") != nil {
-		t.Error("a must serve on, b be gone")
+		t.Error("want a, whose entry was renewed, to accept work and b to be dropped")
 	}
 }
 
-// While nothing is wrong with the store, an entry that vanishes is an upstream
-// that is gone, or leaves without a word: it gets no more work.
-func TestVanishedEntryLeavesAtOnce(t *testing.T) {
+// While the store works, an entry is removed only if its upstream has stopped or leaves without
+// notice. The upstream must receive no more work.
+func TestRemovedEntryIsDroppedAtOnce(t *testing.T) {
 	r := New()
 	r.Update(start, []Change{listed("a", 1)}, 1)
 	u := r.Find("a")
 	left := r.Update(at(time.Second), []Change{{ID: "a", Version: 2, Removed: true}}, 2)
 	if len(left) != 1 || u.TakesWork() || !u.Gone || len(r.Of("pool")) != 0 {
-		t.Errorf("left = %v, upstream %+v", names(left), u)
+		t.Errorf("left = %v, upstream = %+v, want it removed from the list and not accepting work", names(left), u)
 	}
 }
 
-// Another writer leaves an entry that can't be read. It names no upstream to
-// use; the others hold.
-func TestUnreadableEntryHurtsNoOther(t *testing.T) {
+// Another program writes an entry that cannot be decoded. The entry yields no upstream, and the
+// other entries stay in use.
+func TestInvalidEntryAffectsNoOther(t *testing.T) {
 	r := New()
 	r.Update(start, []Change{listed("a", 1), listed("b", 2)}, 2)
 	r.Update(start, []Change{{ID: "a", Version: 3}, {ID: "junk", Version: 4}}, 4)
 	if got := names(r.Of("pool")); len(got) != 1 || got[0] != "b" {
-		t.Errorf("upstreams = %v, want b", got)
+		t.Errorf("upstreams = %v, want b, which has a valid entry", got)
 	}
 }
 
-// An upstream crashes and starts again under its id. It holds and knows nothing
-// of before: what is remembered of the earlier run must not be put on it.
-func TestAnotherRunIsAnotherUpstream(t *testing.T) {
+// An upstream crashes and starts again under the same id, without any state of its earlier run.
+// State that is kept about the earlier run must not be attributed to the new one.
+func TestNewRunIsANewUpstream(t *testing.T) {
 	r := New()
 	r.Update(start, []Change{listed("a", 1)}, 1)
 	old := r.Find("a")
-	again := listed("a", 2)
-	again.Entry.Born = 2
-	left := r.Update(start, []Change{again}, 2)
+	restarted := listed("a", 2)
+	restarted.Entry.Born = 2
+	left := r.Update(start, []Change{restarted}, 2)
 	if r.Find("a") == old || !old.Gone || len(left) != 1 || !r.Find("a").TakesWork() {
-		t.Error("the new run must be another upstream, the old one gone")
+		t.Error("want a new upstream for the new run and the upstream of the old run removed")
 	}
 }
 
-// Heartbeats change every entry several times a second. Other instances need
-// not hear of them.
+// Heartbeats change every entry several times per second. They must not be sent to other
+// instances.
 func TestHeartbeatsAreNoChange(t *testing.T) {
 	r := New()
 	r.Update(start, []Change{listed("a", 1)}, 1)
 	r.Update(start, []Change{listed("a", 2)}, 2)
 	if len(r.Since(start, 0, nil)) != 1 || len(r.Since(start, 1, nil)) != 0 || r.Newest() != 2 {
-		t.Errorf("changed since 0: %v, since 1: %v; newest %d", r.Since(start, 0, nil), r.Since(start, 1, nil), r.Newest())
+		t.Errorf("changed since 0: %v, want the group; since 1: %v, want none; newest version = %d, want 2", r.Since(start, 0, nil), r.Since(start, 1, nil), r.Newest())
 	}
 	copied := New()
 	copied.Adopt(start, Share{Version: r.Newest(), Groups: r.Since(start, 0, nil)})
 	if copied.Find("a") == nil || copied.Newest() != 2 {
-		t.Error("a copy must carry the list to another instance")
+		t.Error("the list is not complete after Adopt of the changes since version 0")
 	}
 }
 
-// An instance could not reach the store, and learns the list from another one
-// since. An upstream goes. The other instance has waited as long as lapsed
-// entries are worth; waited for once more here, or for ever as the store never
-// returns to this instance, the dead upstream would get work and copies.
-func TestAnotherInstancesListIsTakenAsItIs(t *testing.T) {
+// An instance that cannot reach the store follows the list of another instance. The other
+// instance has already waited for expired entries to be renewed. If this instance waited again,
+// or forever because the store never responds to it, a dead upstream would receive work and
+// copies.
+func TestAdoptDropsMissingUpstreamsAtOnce(t *testing.T) {
 	r := New()
 	r.Update(start, []Change{listed("a", 1), listed("b", 2)}, 2)
 	r.StoreDown()
 	left := r.Adopt(at(time.Second), Share{Version: 4, Groups: []GroupCopy{{Group: Whole("pool"), List: []Change{listed("b", 3)}}}})
 	if len(left) != 1 || left[0].ID != "a" || r.Find("a") != nil {
-		t.Errorf("left = %v, want a", names(left))
+		t.Errorf("left = %v, want a dropped at once", names(left))
 	}
 }
 
-// The store was away and an entry lapsed. One reader gives it up; another, which has
-// seen newer versions, has told an instance of those before. That instance asks the
-// first reader from now on for what is newer than it knows: the removal, which is no
-// change in the store, must still reach it.
-func TestGivenUpEntriesAreToldAgain(t *testing.T) {
+// An entry expires in an outage, and one reader drops it. Another reader, which had seen newer
+// versions, has already sent these to an instance. When that instance requests only changes
+// newer than its version from the first reader, it must still receive the drop, for which the
+// store has no change.
+func TestDroppedExpiredEntriesAreReannounced(t *testing.T) {
 	r := New()
 	r.Replace(start, []Change{listed("a", 1), listed("b", 2)}, 2)
 	r.StoreDown()
 	r.StoreUp(start)
 	r.Update(start, []Change{{ID: "a", Version: 3, Removed: true}}, 3)
-	if left := r.Tick(at(lapseTimeout)); len(left) != 1 {
-		t.Fatalf("left %v", names(left))
+	if left := r.Tick(at(expiryGrace)); len(left) != 1 {
+		t.Fatalf("left = %v after expiryGrace, want a", names(left))
 	}
-	const known = 5 // of the instance, from the other reader
+	const known = 5 // the version that the instance received from the other reader
 	if len(r.Since(start, known, nil)) != 0 {
-		t.Fatal("told at once: the test shows nothing")
+		t.Fatal("the drop is newer than the version that the instance knows: the test does not cover the fault")
 	}
-	told := 0
+	reannounced := 0
 	for d := time.Duration(0); d < 10*time.Second; d += 100 * time.Millisecond {
 		v := int64(4 + d/(100*time.Millisecond))
-		r.Update(at(lapseTimeout+d), []Change{listed("b", v)}, v)
+		r.Update(at(expiryGrace+d), []Change{listed("b", v)}, v)
 		before := r.lastChange
-		r.Tick(at(lapseTimeout + d))
+		r.Tick(at(expiryGrace + d))
 		if r.lastChange != before {
-			told++
+			reannounced++
 		}
 	}
-	if len(r.Since(start, known, nil)) != 1 || told != 3 {
-		t.Errorf("%d groups are newer than the instance's version, told %d times", len(r.Since(start, known, nil)), told)
+	if len(r.Since(start, known, nil)) != 1 || reannounced != 3 {
+		t.Errorf("%d groups are newer than the instance's version, want 1; announced again %d times, want 3", len(r.Since(start, known, nil)), reannounced)
 	}
 }
