--- a/internal/core/pace/pace_test.go
+++ b/internal/core/pace/pace_test.go
@@ -11,27 +11,27 @@
 	"mulberrylug.example/mulberrylug/internal/testkit"
 )
 
-// Starts that wait until they are allowed must never exceed the limit in any window,
-// however they are spaced, and must not be held back for longer than that takes.
-func TestPropertyNoWindowHoldsMoreThanTheLimit(t *testing.T) {
+// Callers that start only when Open allows it must never exceed the limit in any window,
+// whatever the intervals between them. Open must not deny a start that the limit allows.
+func TestPropertyStartsNeverExceedTheLimit(t *testing.T) {
 	props := gopter.NewProperties(testkit.Parameters())
-	props.Property("no window holds more than the limit", prop.ForAll(
-		func(limit int, pauses []int) string {
+	props.Property("starts in any window do not exceed the limit", prop.ForAll(
+		func(limit int, intervals []int) string {
 			s := Starts{Limit: limit}
 			now := time.Unix(1000, 0)
-			var done []time.Time
-			for _, p := range pauses {
-				now = now.Add(time.Duration(p) * time.Millisecond)
+			var started []time.Time
+			for _, interval := range intervals {
+				now = now.Add(time.Duration(interval) * time.Millisecond)
 				if !s.Open(now) {
-					if k := len(done) - limit; k < 0 || now.Sub(done[k]) >= Window {
-						return "held back without need"
+					if k := len(started) - limit; k < 0 || now.Sub(started[k]) >= Window {
+						return "Open denied a start that the limit allows"
 					}
 					continue
 				}
 				s.Note(now)
-				done = append(done, now)
-				if k := len(done) - 1 - limit; k >= 0 && now.Sub(done[k]) < Window {
-					return "too many in a window"
+				started = append(started, now)
+				if k := len(started) - 1 - limit; k >= 0 && now.Sub(started[k]) < Window {
+					return "more starts than the limit within a window"
 				}
 			}
 			return ""
