--- a/internal/core/route/route.go
+++ b/internal/core/route/route.go
@@ -1,6 +1,6 @@
-// Package route holds one accepted configuration of routes, services and
-// organisations, prepared for look-ups. It decides which route a request takes
-// and which organisation a key belongs to; it does no I/O.
+// Package route holds one accepted configuration of routes, services and organisations,
+// prepared for lookups. It finds the route of a request and the organisation of an API key. It
+// does no I/O.
 package route
 
 import (
@@ -10,95 +10,100 @@
 	"time"
 )
 
-// Kind says what may be repeated on a route.
+// Kind is the type of a route. It determines whether requests may run more than once.
 type Kind string
 
-// Kinds of routes.
+// The kinds of routes.
 const (
 	// Idempotent requests may run more than once.
 	Idempotent Kind = "idempotent"
-	// Once is for requests that run at most once for each attempt of a caller.
+	// Once is the kind of requests that run at most once for each attempt of a caller.
 	Once Kind = "once"
-	// Stream answers with a series of events. It runs at most once unless
-	// the route allows to resume.
+	// Stream is the kind of requests that are answered with a stream of events. They run at
+	// most once unless the route is resumable.
 	Stream Kind = "stream"
 )
 
-// Route is one rule that maps requests to services.
+// Route is a rule that maps requests to services.
 type Route struct {
 	Name string
+	// Host is compared with the request's host.
 	Host string
-	// Prefix begins and ends with a slash.
+	// Prefix is a prefix of the request's path. It begins and ends with a slash.
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest that a caller is kept waiting for a final answer.
+	// Timeout is the maximum time that a caller waits for a final response.
 	Timeout time.Duration
-	// Target is the latency within which an answer is on time.
+	// Target is the latency within which a response, or the first event of a stream, is on
+	// time.
 	Target time.Duration
-	// MaxGap is the longest pause between events that is on time; 0 where
-	// the route is no stream.
+	// MaxGap is the maximum interval between events of a stream that is on time; 0 for other
+	// kinds of routes.
 	MaxGap time.Duration
-	// Rank orders the routes, 0 is the most urgent.
+	// Rank orders requests by urgency; 0 is the most urgent.
 	Rank int
-	// Targets are the services that share the route's requests by weight.
+	// Targets are the services among which the route's requests are split by weight.
 	Targets []Target
-	// MaxAttempts bounds the upstreams that one request may be sent to.
+	// MaxAttempts is the maximum number of upstreams that one request may be sent to.
 	MaxAttempts int
-	// Public routes need no key.
+	// Public is set if requests need no API key.
 	Public bool
-	// Generation is set for requests that carry a prompt for an engine.
+	// Generation is set if requests carry a prompt for a model engine.
 	Generation bool
-	// Resumable streams may go on at another upstream after the last event.
+	// Resumable is set if a broken stream may continue on another upstream after the last event
+	// that was received.
 	Resumable bool
-	// Regions are those that requests of the route may run in; none allows all.
+	// Regions are the regions in which requests of the route may run; empty allows all.
 	Regions []string
 }
 
-// Repeatable reports whether a request of the route may run again.
+// Repeatable reports whether a request of the route may run more than once.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
-// Target is one service of a split route.
+// Target is one of the services of a route with several, and its weight.
 type Target struct {
 	Service string
 	Weight  int
 }
 
-// Service is a group of equal upstreams.
+// Service is a set of interchangeable upstreams.
 type Service struct {
 	Name       string
 	HealthPath string
-	// MaxConns bounds the connections that one upstream accepts from all
-	// callers together.
+	// MaxConns is the maximum number of connections that one upstream accepts, from all
+	// instances together.
 	MaxConns int
-	// ColdFor is how long an upstream is cold after it has started or become cold again,
-	// ColdRate how many requests a second from all callers together it bears meanwhile;
-	// 0 is no bound.
+	// ColdFor is how long an upstream stays cold after it has started or become cold again.
+	// ColdRate is the number of requests per second from all instances together that it accepts
+	// while cold; 0 means no limit.
 	ColdFor  time.Duration
 	ColdRate float64
-	// Engine is set for pools of model engines.
+	// Engine is set for pools of model engines, otherwise nil.
 	Engine *Engine
 }
 
-// Engine describes the workers of an engine pool.
+// Engine describes the upstreams of an engine pool.
 type Engine struct {
+	// Slots is the maximum batch size of one upstream, MemoryToken the capacity of its memory
+	// in tokens.
 	Slots       int
 	MemoryToken int
-	// TokenBytes is the size of one token's state, LinkMbps the bandwidth
-	// at which a worker sends it to another.
+	// TokenBytes is the size of one token's state in bytes, LinkMbps the bandwidth in Mbit/s at
+	// which one upstream sends state to another.
 	TokenBytes float64
 	LinkMbps   float64
-	// Moves and Backups tell which transfers of running work the pool offers.
+	// Moves and Backups specify which transfers of running generations the pool supports.
 	Moves   bool
 	Backups bool
-	// CopyLife is how long a copy of a run is kept at its destination.
+	// CopyLife is how long the destination keeps the copy of a generation.
 	CopyLife time.Duration
-	// EventTokens is the number of tokens that one event of a stream holds.
+	// EventTokens is the number of tokens in one event of a stream.
 	EventTokens int
 }
 
-// Limits bound what a caller may send.
+// Limits bounds the size and the duration of what callers send.
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
@@ -106,17 +111,17 @@
 	IdleTimeout    time.Duration
 }
 
-// Organisation owns keys. Its rank takes precedence over a route's.
+// Organisation is the owner of API keys. Its rank takes precedence over that of a route.
 type Organisation struct {
 	Name string
 	Keys []string
-	// Rank is nil where the organisation has none of its own.
+	// Rank is nil if the organisation has no rank of its own.
 	Rank *int
-	// Regions are those that its requests may run in; none allows all.
+	// Regions are the regions in which the organisation's requests may run; empty allows all.
 	Regions []string
 }
 
-// Config is one version as it was accepted.
+// Config is one version of the configuration, as it was accepted.
 type Config struct {
 	Version       int64
 	Routes        []Route
@@ -125,26 +130,29 @@
 	Organisations []Organisation
 }
 
-// Table answers look-ups in one version. It is immutable.
+// Table looks up routes, services and organisations in one version of the configuration. It is
+// immutable.
 type Table struct {
 	Version  int64
 	Limits   Limits
 	hosts    map[string][]*Route
 	services map[string]*Service
 	keys     map[string]*Organisation
-	keyed    bool
-	// regions are those that some requests are confined to, confined the routes that
-	// confine them, by host.
+	// keysRequired is set if the configuration has organisations: routes that are not public
+	// then need an API key.
+	keysRequired bool
+	// regions are all regions to which some requests are confined; confined holds the routes
+	// that confine requests to regions, by host.
 	regions  []string
 	confined map[string][]*Route
 }
 
-// NewTable prepares a version for look-ups.
+// NewTable returns the lookup table of a version of the configuration.
 func NewTable(c Config) *Table {
 	t := &Table{
 		Version: c.Version, Limits: c.Limits, hosts: map[string][]*Route{},
 		services: map[string]*Service{}, keys: map[string]*Organisation{},
-		keyed: len(c.Organisations) > 0, confined: map[string][]*Route{},
+		keysRequired: len(c.Organisations) > 0, confined: map[string][]*Route{},
 	}
 	for k := range c.Routes {
 		r := &c.Routes[k]
@@ -171,8 +179,8 @@
 	return t
 }
 
-// Find returns the route with the longest prefix of the path, or nil. A port
-// in the host does not matter.
+// Find returns the route of a host that has the longest matching prefix of the path, or nil. A
+// port in the host is ignored.
 func (t *Table) Find(host, path string) *Route {
 	if at := strings.LastIndexByte(host, ':'); at >= 0 && t.hosts[host] == nil {
 		host = host[:at]
@@ -185,45 +193,47 @@
 	return nil
 }
 
-// RegionsOf lists the regions where callers of a host may connect besides their own: those
-// that all its confined routes allow, or else those that any does; nil if none is confined.
+// RegionsOf returns the regions other than their own in which callers of a host may connect:
+// those that all its confined routes allow or, if there are none, those that any of them
+// allows; nil if no route of the host is confined.
 func (t *Table) RegionsOf(host string) []string {
-	var all, each []string
+	var union, common []string
 	for k, r := range t.confined[host] {
 		if k == 0 {
-			each = slices.Clone(r.Regions)
+			common = slices.Clone(r.Regions)
 		}
-		each = slices.DeleteFunc(each, func(region string) bool { return !slices.Contains(r.Regions, region) })
-		all = append(all, r.Regions...)
+		common = slices.DeleteFunc(common, func(region string) bool { return !slices.Contains(r.Regions, region) })
+		union = append(union, r.Regions...)
 	}
-	if len(each) > 0 {
-		return each
+	if len(common) > 0 {
+		return common
 	}
-	return all
+	return union
 }
 
-// Regions lists the regions that some requests are confined to.
+// Regions returns all regions to which some requests are confined, sorted.
 func (t *Table) Regions() []string { return t.regions }
 
-// Service returns a service by name, or nil.
+// Service returns the service with the given name, or nil.
 func (t *Table) Service(name string) *Service { return t.services[name] }
 
-// NeedsKey reports whether requests of the route need a key.
-func (t *Table) NeedsKey(r *Route) bool { return t.keyed && !r.Public }
+// NeedsKey reports whether requests of the route need an API key.
+func (t *Table) NeedsKey(r *Route) bool { return t.keysRequired && !r.Public }
 
-// Organisation returns the owner of a key, or nil.
+// Organisation returns the owner of an API key, or nil.
 func (t *Table) Organisation(key string) *Organisation { return t.keys[key] }
 
-// Pick chooses the service of a route by weight; draw lies in [0, 1).
+// Pick returns one of the route's services, chosen by weight. draw is a random number that is
+// at least 0 and less than 1.
 func (r *Route) Pick(draw float64) string {
 	total := 0
-	for _, g := range r.Targets {
-		total += max(g.Weight, 0)
+	for _, t := range r.Targets {
+		total += max(t.Weight, 0)
 	}
-	at := int(draw * float64(total))
-	for _, g := range r.Targets {
-		if at -= max(g.Weight, 0); at < 0 {
-			return g.Service
+	rest := int(draw * float64(total))
+	for _, t := range r.Targets {
+		if rest -= max(t.Weight, 0); rest < 0 {
+			return t.Service
 		}
 	}
 	if len(r.Targets) == 0 {
--- a/internal/core/route/route_test.go
+++ b/internal/core/route/route_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func table(t *testing.T) *Table {
+func testTable(t *testing.T) *Table {
 	t.Helper()
 	rank := 3
 	return NewTable(Config{
@@ -22,13 +22,13 @@
 		{"a.example", "/x/1", "short"},
 		{"a.example", "/x/y/1", "long"},
 		{"a.example:8740", "/x/y/1", "long"},
-		{"a.example", "/x", ""}, // a prefix ends in a slash
+		{"a.example", "/x", ""}, // the prefix /x/ ends in a slash
 		{"a.example", "/", ""},
 		{"b.example", "/anything", "other"},
 		{"c.example", "/x/1", ""},
 	} {
 		got := ""
-		if r := table(t).Find(c.host, c.path); r != nil {
+		if r := testTable(t).Find(c.host, c.path); r != nil {
 			got = r.Name
 		}
 		if got != c.want {
@@ -38,18 +38,18 @@
 }
 
 func TestKeys(t *testing.T) {
-	tab := table(t)
-	if o := tab.Organisation("k2"); o == nil || o.Name != "org" {
-		t.Errorf("owner of k2 = %+v", o)
+	table := testTable(t)
+	if o := table.Organisation("k2"); o == nil || o.Name != "org" {
+		t.Errorf("owner of key k2 = %+v, want org", o)
 	}
-	if o := tab.Organisation(""); o != nil {
-		t.Errorf("owner of no key = %+v", o)
+	if o := table.Organisation(""); o != nil {
+		t.Errorf("owner of the empty key = %+v, want nil", o)
 	}
-	if tab.NeedsKey(tab.Find("a.example", "/x/y/1")) || !tab.NeedsKey(tab.Find("a.example", "/x/1")) {
-		t.Error("public routes need no key, others do")
+	if table.NeedsKey(table.Find("a.example", "/x/y/1")) || !table.NeedsKey(table.Find("a.example", "/x/1")) {
+		t.Error("want no key needed for the public route and a key for the other")
 	}
 	if open := NewTable(Config{Routes: []Route{{Host: "a", Prefix: "/"}}}); open.NeedsKey(open.Find("a", "/")) {
-		t.Error("without organisations no key is needed")
+		t.Error("NeedsKey = true in a configuration without organisations, want false")
 	}
 }
 
@@ -60,10 +60,10 @@
 		count[r.Pick(float64(k)/100)]++
 	}
 	if count["a"] != 90 || count["b"] != 10 {
-		t.Errorf("split = %v, want a 90, b 10", count)
+		t.Errorf("requests per service = %v, want a 90 and b 10", count)
 	}
 	if got := (&Route{Targets: []Target{{"only", 0}}}).Pick(0.5); got != "only" {
-		t.Errorf("a split without weights picks %q", got)
+		t.Errorf("Pick of a route whose weights are all 0 = %q, want its first service", got)
 	}
 }
 
@@ -78,7 +78,7 @@
 		{Route{Kind: Stream, Resumable: true}, true},
 	} {
 		if got := c.r.Repeatable(); got != c.want {
-			t.Errorf("%+v repeatable = %v", c.r, got)
+			t.Errorf("Repeatable of %+v = %v, want the opposite", c.r, got)
 		}
 	}
 }
