--- a/internal/core/health/health.go
+++ b/internal/core/health/health.go
@@ -1,42 +1,43 @@
-// Package health remembers how often an upstream has failed of late.
+// Package health tracks the recent failure rate of an upstream.
 package health
 
 import "time"
 
 const (
-	// failureDecay is the weight of the newest outcome in a failure rate: about
-	// the last ten count.
-	failureDecay = 0.1
-	// failureForget halves a failure rate, so that an upstream that is passed
-	// over because it failed is tried again.
-	failureForget = 3 * time.Second
-	// failureNone is the rate below which nothing is remembered.
-	failureNone = 0.001
+	// outcomeWeight is the weight of the newest outcome in a failure rate, so that the rate
+	// reflects about the last ten outcomes.
+	outcomeWeight = 0.1
+	// rateHalfLife is the time after which a failure rate without new outcomes is halved, so
+	// that an upstream that is not chosen because of its failures is tried again.
+	rateHalfLife = 3 * time.Second
+	// minRate is the failure rate below which the rate becomes zero.
+	minRate = 0.001
 )
 
-// Record is an upstream's recent outcomes. The zero value has none.
+// Record is the failure rate of an upstream's recent outcomes. The zero value has no outcomes.
 type Record struct {
-	failures float64
-	updated  time.Time
+	rate      float64
+	updatedAt time.Time
 }
 
-// Note counts an outcome.
+// Note records an outcome.
 func (r *Record) Note(now time.Time, failed bool) {
-	r.failures = r.Rate(now) * (1 - failureDecay)
+	r.rate = r.Rate(now) * (1 - outcomeWeight)
 	if failed {
-		r.failures += failureDecay
+		r.rate += outcomeWeight
 	}
-	r.updated = now
+	r.updatedAt = now
 }
 
-// Rate returns the share of failures among the recent outcomes, which fades.
+// Rate returns the fraction of failures among the recent outcomes, from 0 to 1. It decays over
+// time.
 func (r *Record) Rate(now time.Time) float64 {
-	for r.failures > 0 && now.Sub(r.updated) > failureForget {
-		r.failures /= 2
-		r.updated = r.updated.Add(failureForget)
-		if r.failures < failureNone {
-			r.failures = 0
+	for r.rate > 0 && now.Sub(r.updatedAt) > rateHalfLife {
+		r.rate /= 2
+		r.updatedAt = r.updatedAt.Add(rateHalfLife)
+		if r.rate < minRate {
+			r.rate = 0
 		}
 	}
-	return r.failures
+	return r.rate
 }
--- a/internal/core/membership/bench_test.go
+++ b/internal/core/membership/bench_test.go
@@ -16,8 +16,8 @@
 	return out
 }
 
-// BenchmarkHomes finds the homes of a key; every request asks twice, and every
-// running generation once a second.
+// BenchmarkHomes looks up the home of a key. Each request does this twice and each running
+// generation once per second.
 func BenchmarkHomes(b *testing.B) {
 	for _, n := range []int{12, 120, 390} {
 		b.Run(fmt.Sprintf("instances=%d", n), func(b *testing.B) {
--- a/internal/core/membership/homes.go
+++ b/internal/core/membership/homes.go
@@ -7,23 +7,25 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ring holds what rendezvous hashing needs of the live instances, prepared once
-// for each instance list: every request asks for homes twice and every running
-// generation once a second, which at 390 instances must not cost a sort each.
-type ring struct {
+// rendezvous holds the data about live instances that rendezvous hashing needs. It is computed
+// once for each instance list: homes are looked up twice for every request and once per second
+// for every running generation, and with 390 instances these lookups must not each sort a list.
+type rendezvous struct {
 	dataCentres []string
 	candidates  []candidate
 }
 
+// candidate is an instance that can be a home.
 type candidate struct {
 	name string
 	hash uint64
-	// dataCentre is an index into the ring's list.
+	// dataCentre is an index into rendezvous.dataCentres.
 	dataCentre int
 }
 
-func newRing(entries []string, members map[string]Member) ring {
-	r := ring{candidates: make([]candidate, 0, len(entries))}
+// newRendezvous returns the data for the given live instances.
+func newRendezvous(entries []string, members map[string]Member) rendezvous {
+	r := rendezvous{candidates: make([]candidate, 0, len(entries))}
 	for _, name := range entries {
 		dc := members[name].DataCentre
 		at := slices.Index(r.dataCentres, dc)
@@ -36,38 +38,40 @@
 	return r
 }
 
-// score orders candidates for one key: the lower rank first, then the higher
-// hash.
+// score is the position of a candidate in the order for one key: a lower rank comes first and,
+// with equal ranks, a higher hash.
 type score struct {
 	rank int
 	hash uint64
-	at   int
+	// at is the candidate's index.
+	at int
 }
 
+// before reports whether s comes before o.
 func (s score) before(o score) bool {
 	return s.rank < o.rank || s.rank == o.rank && s.hash > o.hash
 }
 
-// Homes lists the instances for a key in rendezvous order, at most n of them:
-// those in the preferred data centre first, then the rest of its region, then
-// the others. Suspected instances come last within their group.
+// Homes returns the first n instances for a key in rendezvous order, or all if there are fewer.
+// Instances in data centres of a lower rank come first, which callers use to prefer a data
+// centre and its region. Suspected instances come last among those of the same rank.
 func (v *View) Homes(now time.Time, key string, n int, rank func(dataCentre string) int) []string {
-	ranks := make([]int, len(v.ring.dataCentres))
-	for k, dc := range v.ring.dataCentres {
+	ranks := make([]int, len(v.rendezvous.dataCentres))
+	for k, dc := range v.rendezvous.dataCentres {
 		ranks[k] = 2 * rank(dc)
 	}
 	keyHash := xxhash.Sum64String(key)
 	best := make([]score, 0, n)
-	for k, c := range v.ring.candidates {
+	for k, c := range v.rendezvous.candidates {
 		s := score{rank: ranks[c.dataCentre], hash: mix(c.hash ^ keyHash), at: k}
 		if v.suspected(now, c.name) {
 			s.rank++
 		}
-		best = insert(best, s, n)
+		best = insertBest(best, s, n)
 	}
 	out := make([]string, len(best))
 	for k, s := range best {
-		out[k] = v.ring.candidates[s.at].name
+		out[k] = v.rendezvous.candidates[s.at].name
 	}
 	return out
 }
@@ -80,8 +84,8 @@
 	return ok && now.Before(until)
 }
 
-// insert keeps the n best scores in order.
-func insert(best []score, s score, n int) []score {
+// insertBest adds a score to the ordered list of the n best scores if it is one of them.
+func insertBest(best []score, s score, n int) []score {
 	if len(best) == n {
 		if n == 0 || !s.before(best[n-1]) {
 			return best
@@ -95,8 +99,8 @@
 	return slices.Insert(best, at, s)
 }
 
-// mix is the finalizer of MurmurHash3: it spreads the combination of two
-// hashes over all bits, so that each key orders the instances afresh.
+// mix is the finalizer of MurmurHash3. It spreads the combination of two hashes over all bits,
+// so that each key has an independent order of instances.
 func mix(x uint64) uint64 {
 	x ^= x >> 33
 	x *= 0xff51afd7ed558ccd
--- a/internal/core/membership/view.go
+++ b/internal/core/membership/view.go
@@ -1,6 +1,5 @@
-// Package membership keeps an instance's view of the live instances and
-// upstreams, and maps pools, organisations and keys to their home instances by
-// rendezvous hashing.
+// Package membership keeps an instance's view of the members of the instance list, and maps
+// pools, organisations and keys to their home instances by rendezvous hashing.
 package membership
 
 import (
@@ -8,70 +7,71 @@
 	"time"
 )
 
-// States of a member in the platform's instance list.
+// The states of a member in the platform's instance list.
 const (
 	Live    = "live"
 	Leaving = "leaving"
 )
 
-// RoleEntry is the role of our own instances; upstreams have their service's
-// name as their role.
+// RoleEntry is the role of the system's own instances. The role of an upstream is the name of
+// its service.
 const RoleEntry = "entry"
 
-// suspectFor is how long an instance that did not answer is passed over. It
-// outlasts the usual lag of the instance list, so that a dead instance is not
-// asked again before the list has dropped it.
-const suspectFor = 5 * time.Second
+// suspectDuration is how long an instance that did not answer is suspected: View.Homes prefers
+// other instances of the same rank. It exceeds the usual lag of the instance list, so that a
+// dead instance is not asked again before the list has dropped it.
+const suspectDuration = 5 * time.Second
 
-// leavingFor is how long an instance counts as leaving after it last said so.
-// It outlasts the lag of the instance list, which still calls it live: named to
-// callers meanwhile, it would have to serve them after it is gone.
-const leavingFor = 15 * time.Second
+// leavingDuration is how long an instance counts as leaving after its last announcement that it
+// leaves. It exceeds the lag of the instance list, which still shows the instance as live: if
+// the instance were named to callers meanwhile, they would try to reach it after it has exited.
+const leavingDuration = 15 * time.Second
 
 // Member is one row of the instance list.
 type Member struct {
 	Name       string `json:"name"`
 	Role       string `json:"role"`
 	DataCentre string `json:"data_centre"`
-	// Address serves callers (our instances) or calls (upstreams).
+	// Address is where an instance accepts callers, or where an upstream accepts calls.
 	Address string `json:"address"`
-	// PeerAddress is set for our instances only.
+	// PeerAddress is the address for other instances; it is empty for upstreams.
 	PeerAddress string `json:"peer_address"`
 	State       string `json:"state"`
 }
 
-// View is what one instance believes about the members. The zero value is not
-// usable; call NewView.
+// View is an instance's view of the members. Use NewView to create one; the zero value is not
+// usable.
 type View struct {
-	self     Member
-	members  map[string]Member
-	entries  []string
-	ring     ring
-	suspects map[string]time.Time
-	leaving  map[string]leavingMark
+	self       Member
+	members    map[string]Member
+	entries    []string
+	rendezvous rendezvous
+	suspects   map[string]time.Time
+	leaving    map[string]leavingMark
 }
 
-// leavingMark says that the instance at an address counts as leaving.
+// leavingMark records until when an instance counts as leaving.
 type leavingMark struct {
 	until time.Time
-	// peerAddress tells the instance from a new one under its name; empty
-	// if it was not known.
+	// peerAddress distinguishes the instance from a new one with the same name; empty if the
+	// address was not known.
 	peerAddress string
 }
 
+// applies reports whether a member counts as leaving because of the mark.
 func (l leavingMark) applies(now time.Time, m Member) bool {
 	return now.Before(l.until) && (l.peerAddress == "" || l.peerAddress == m.PeerAddress)
 }
 
-// NewView returns a view that knows only the instance itself.
+// NewView returns a view whose only member is the instance itself.
 func NewView(self Member) *View {
 	v := &View{self: self, suspects: map[string]time.Time{}, leaving: map[string]leavingMark{}}
 	v.Update(time.Time{}, nil)
 	return v
 }
 
-// Update replaces the view by a fresh instance list. The instance itself is
-// always a member, whatever the lagging list says.
+// Update replaces the members with those of a newly read instance list. The instance itself
+// always remains a member with its own state, because the list lags.
 func (v *View) Update(now time.Time, list []Member) {
 	v.members = map[string]Member{}
 	for _, m := range list {
@@ -81,7 +81,7 @@
 		v.members[m.Name] = m
 	}
 	v.members[v.self.Name] = v.self
-	v.listEntries()
+	v.rebuildEntries()
 	for name, mark := range v.leaving {
 		if !now.Before(mark.until) {
 			delete(v.leaving, name)
@@ -89,7 +89,8 @@
 	}
 }
 
-func (v *View) listEntries() {
+// rebuildEntries rebuilds the list of live instances and the data for rendezvous hashing.
+func (v *View) rebuildEntries() {
 	v.entries = make([]string, 0, len(v.members))
 	for name, m := range v.members {
 		if m.Role == RoleEntry && m.State == Live {
@@ -97,54 +98,55 @@
 		}
 	}
 	slices.Sort(v.entries)
-	v.ring = newRing(v.entries, v.members)
+	v.rendezvous = newRendezvous(v.entries, v.members)
 }
 
-// SetSelfState marks the instance itself live or leaving.
+// SetSelfState sets the state of the instance itself to Live or Leaving.
 func (v *View) SetSelfState(state string) {
 	v.self.State = state
 	v.members[v.self.Name] = v.self
-	v.listEntries()
+	v.rebuildEntries()
 }
 
-// MarkLeaving marks another instance as leaving, for longer than the list lags.
+// MarkLeaving marks another instance as leaving for leavingDuration, which exceeds the lag of
+// the list.
 func (v *View) MarkLeaving(now time.Time, name string) {
 	m, ok := v.members[name]
 	if name == v.self.Name || ok && m.Role != RoleEntry {
 		return
 	}
-	v.leaving[name] = leavingMark{until: now.Add(leavingFor), peerAddress: m.PeerAddress}
+	v.leaving[name] = leavingMark{until: now.Add(leavingDuration), peerAddress: m.PeerAddress}
 	if ok {
 		m.State = Leaving
 		v.members[name] = m
-		v.listEntries()
+		v.rebuildEntries()
 	}
 }
 
-// Suspected reports whether an instance failed to answer a moment ago.
+// Suspected reports whether an instance failed to answer within the last suspectDuration.
 func (v *View) Suspected(now time.Time, name string) bool { return now.Before(v.suspects[name]) }
 
-// Member finds a member by name.
+// Member returns the member with the given name.
 func (v *View) Member(name string) (Member, bool) {
 	m, ok := v.members[name]
 	return m, ok
 }
 
-// Suspect passes an instance over as a home for a few seconds after it failed
-// to answer.
+// Suspect marks an instance that failed to answer. For suspectDuration, Homes prefers other
+// instances of the same rank.
 func (v *View) Suspect(now time.Time, name string) {
 	if name != v.self.Name {
-		v.suspects[name] = now.Add(suspectFor)
+		v.suspects[name] = now.Add(suspectDuration)
 	}
 }
 
-// Heard clears the suspicion of an instance that has just spoken.
+// Heard ends the suspicion of an instance from which a message was received.
 func (v *View) Heard(name string) { delete(v.suspects, name) }
 
-// Entries lists our live instances by name.
+// Entries returns the names of the live instances, sorted.
 func (v *View) Entries() []string { return v.entries }
 
-// Instances lists our instances by name, those that are leaving included.
+// Instances returns the names of the live and the leaving instances, sorted.
 func (v *View) Instances() []string {
 	var out []string
 	for name, m := range v.members {
--- a/internal/core/membership/view_test.go
+++ b/internal/core/membership/view_test.go
@@ -10,9 +10,9 @@
 	return Member{Name: name, Role: RoleEntry, State: Live, PeerAddress: address}
 }
 
-// An instance says that it leaves, and the lagging list goes on calling it live.
-// It stays out of the entries until the mark ends; a new instance under its name
-// at another address counts at once.
+// An instance announces that it leaves, but the lagging list still shows it as live. It must
+// not be listed as an entry until its mark expires. A new instance with the same name at
+// another address is listed at once.
 func TestPromise6LeavingOutlastsALaggingList(t *testing.T) {
 	start := time.Unix(1000, 0)
 	for _, c := range []struct {
@@ -22,8 +22,8 @@
 		want    bool
 	}{
 		{"at once", 0, "old", false},
-		{"while the list lags", leavingFor - time.Second, "old", false},
-		{"after the mark has ended", leavingFor, "old", true},
+		{"while the list lags", leavingDuration - time.Second, "old", false},
+		{"after the mark has expired", leavingDuration, "old", true},
 		{"replaced at another address", time.Second, "new", true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -31,12 +31,12 @@
 			v.Update(start, []Member{entry("other", "old")})
 			v.MarkLeaving(start, "other")
 			if slices.Contains(v.Entries(), "other") {
-				t.Error("an entry right after it said that it leaves")
+				t.Error("instance is still an entry right after MarkLeaving")
 			}
 			now := start.Add(c.after)
 			v.Update(now, []Member{entry("other", c.address)})
 			if got := slices.Contains(v.Entries(), "other"); got != c.want {
-				t.Errorf("an entry = %v, want %v", got, c.want)
+				t.Errorf("instance is an entry = %v, want %v", got, c.want)
 			}
 		})
 	}
