--- a/internal/core/msg/config.go
+++ b/internal/core/msg/config.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Kinds of the messages about configuration and leaving. They are numbered
-// apart from the others.
+// Message kinds for the configuration and for draining instances. They have their own range of
+// numbers.
 const (
 	KindConfigAsk Kind = iota + 48
 	KindConfigObjectAsk
@@ -11,39 +11,42 @@
 	KindLeaving
 )
 
-// ConfigTold tells an instance which configuration version the sender holds.
+// ConfigTold announces which version of the configuration the sender has. It is a response to a
+// ConfigAsk or sent without a request.
 type ConfigTold struct {
-	// Number is 0 if the sender holds none.
+	// Number is 0 if the sender has no configuration.
 	Number int64
 	Hash   string
-	// Cordoned lists the data centres that are cordoned by that version.
+	// Cordoned lists the data centres that are cordoned as of that version.
 	Cordoned []string
-	// Confirmed is how long ago, when this was sent, the sender knew that no
-	// newer version was in force.
+	// Confirmed is the time, as of sending, since the sender last confirmed that no newer
+	// version was in force.
 	Confirmed time.Duration
-	// Ask repeats the number of the ConfigAsk that this answers; 0 if the
-	// sender tells unasked.
+	// Ask is the number of the ConfigAsk that this message answers; 0 if it was sent without a
+	// request.
 	Ask int64
-	// Down is set while the sender gets no answer from the table, nor
-	// from anybody who does.
+	// Down is set while the sender receives no response from the table, nor from an instance
+	// that does.
 	Down bool
 }
 
-// ConfigAsk asks an instance for a ConfigTold.
+// ConfigAsk requests a ConfigTold.
 type ConfigAsk struct {
+	// Ask is the number of the request. The response repeats it.
 	Ask int64
-	// Address is the asker's peer address: the list may not name it yet.
+	// Address is the requester's peer address, which the instance list may not contain yet.
 	Address string
 }
 
-// ConfigObjectAsk asks an instance for a part of a published configuration.
+// ConfigObjectAsk requests a part of a published configuration, starting at Offset in bytes.
 type ConfigObjectAsk struct {
-	Hash    string
-	Offset  int
+	Hash   string
+	Offset int
+	// Address is the requester's peer address.
 	Address string
 }
 
-// ConfigObjectPart is a part of a published configuration of Size bytes.
+// ConfigObjectPart is a part, starting at Offset, of a published configuration of Size bytes.
 type ConfigObjectPart struct {
 	Hash   string
 	Offset int
@@ -51,8 +54,8 @@
 	Data   []byte
 }
 
-// Leaving tells that the sender drains: it must not be named to callers nor
-// chosen as a home any more. It is repeated until the sender exits.
+// Leaving announces that the sender drains: it must no longer be named to callers or chosen as
+// a home. The message is repeated until the sender exits.
 type Leaving struct{}
 
 // Kind implements Message.
--- a/internal/core/msg/fleet.go
+++ b/internal/core/msg/fleet.go
@@ -7,8 +7,8 @@
 	"mulberrylug.example/mulberrylug/internal/core/roster"
 )
 
-// Kinds of the messages among instances that live on a hosting platform. They
-// are numbered apart from the others.
+// Message kinds among instances that run on a hosting platform. They have their own range of
+// numbers.
 const (
 	KindHeartbeat Kind = iota + 64
 	KindSyncAsk
@@ -23,162 +23,167 @@
 	KindPresenceAsk
 )
 
-// Heartbeat tells an instance that the sender lives, and where it is reached.
+// Heartbeat announces that the sender is alive and at which addresses it can be reached.
 type Heartbeat struct {
 	Name          string
 	DataCentre    string
 	CallerAddress string
 	PeerAddress   string
-	// Boot tells runs of the same name apart.
+	// Boot identifies the run of the instance: runs with the same name have different values.
 	Boot string
-	// Ready is set while callers may be sent to the sender.
+	// Ready is set if callers may be sent to the sender.
 	Ready bool
-	// Reads is set while the platform's store answers the sender.
+	// Reads is set if the platform's store responds to the sender.
 	Reads bool
-	// Leaving is set once the sender drains.
+	// Leaving is set if the sender drains.
 	Leaving bool
-	// Settled is set once the sender has run for a while: what one does for all is
-	// given to those first.
+	// Settled is set once the sender has been alive for long enough to read the store or relay
+	// updates for others.
 	Settled bool
-	// Hears is set if the sender has heard the receiver lately. If not, the
-	// receiver's connection to the sender may swallow all that is sent.
+	// Hears is set if the sender has recently received heartbeats of the receiver. If it is not
+	// set, messages on the receiver's connection to the sender may be lost.
 	Hears bool
-	// Class is the capacity of the sender's machine: how often its link in
-	// Mbit/s can be halved. The work that one does for all goes to the largest.
+	// Class is the capacity class of the sender's machine: the number of times that its link
+	// bandwidth in Mbit/s can be halved until it is less than 1. Instances of the highest class
+	// are preferred for work on behalf of others.
 	Class uint8
-	// Answer asks the receiver for a heartbeat of its own: the sender has just
-	// started and must learn who lives.
+	// Answer asks the receiver to send a heartbeat back, because the sender has just started
+	// and must find the live instances.
 	Answer bool
 }
 
-// JoinAsk asks an instance which others live. It tells of the sender as a heartbeat does.
+// JoinAsk requests the live instances that the receiver knows. Like a heartbeat, it announces
+// the sender.
 type JoinAsk struct {
 	Sender Heartbeat
-	// Known is a digest of the live instances that the sender knows.
+	// Known is a digest of the names of the live instances that the sender knows.
 	Known uint64
 }
 
-// JoinAnswer answers a JoinAsk.
+// JoinAnswer is the response to a JoinAsk.
 type JoinAnswer struct {
-	// Instances lists those that live, Size counts them; none if the asker knows the
-	// same. In a large fleet those of other data centres are a few of them.
+	// Instances lists live instances and Size is the number of all live ones; both are empty if
+	// the requester knows the same instances. In a large fleet, Instances contains only a few
+	// of each other data centre.
 	Instances []Heartbeat
 	Size      int
-	// Settled is set if the answering instance has run for a while and knows the fleet.
+	// Settled is set if the responding instance has been alive for long enough to know the
+	// fleet.
 	Settled bool
-	// Isolated is set if most instances that it knew have fallen silent.
+	// Isolated is set if the responding instance no longer receives heartbeats from most
+	// instances that it knew.
 	Isolated bool
 }
 
-// Presence tells which instances of a data centre live, as a relay there hears them.
+// Presence lists the live instances of a data centre, as a relay in that data centre sees them.
 type Presence struct {
-	// Source names the relay.
+	// Source is the name of the relay.
 	Source     string
 	DataCentre string
-	// Digest tells what the relay says apart from what it said before.
+	// Digest identifies the content of the relay's list: lists that differ have different
+	// digests.
 	Digest uint64
-	// Age is how long ago it said so.
+	// Age is the time since the relay announced this content.
 	Age time.Duration
-	// Members lists the instances; nil if they are as they were told before.
+	// Members lists the instances; nil if the list is the same as previously announced.
 	Members []Heartbeat
-	// Base names a relay of the same data centre, this one or another, if Members are
-	// those only that were told otherwise or not at all in its name; Gone names those that
-	// live no more.
+	// Base is set if this is a change to an earlier list: the name of the relay in the same
+	// data centre, this one or another, that announced that list. Members then contains only
+	// instances that are new or changed, and Gone the names of those that are no longer alive.
 	Base string
 	Gone []string
 }
 
-// Presences tells who lives in other data centres.
+// Presences announces the live instances of other data centres.
 type Presences struct{ List []Presence }
 
-// PresenceAsk asks for the members that some relays have told of.
+// PresenceAsk requests the full lists that were announced in the name of some relays.
 type PresenceAsk struct{ Sources []string }
 
-// SyncAsk asks an instance that reads the platform's store for what is newer
-// than the asker's versions. It is answered as soon as there is an update, or after
-// a short time, as an answer also confirms that there is none.
+// SyncAsk requests, from an instance that reads the platform's store, all updates newer than
+// the requester's versions. It is answered as soon as there is an update or after a short time,
+// because a response also confirms that there is no update.
 type SyncAsk struct {
 	Number int64
 	Config int64
-	// Cordons is the version of the cordons that the asker knows, 0 for none.
+	// Cordons is the version of the requester's cordons; 0 if it has none.
 	Cordons int64
 	List    roster.Question
-	// Hold is the longest that the answer may wait for an update; 0 leaves that to
-	// the instance that is asked.
+	// Hold is the maximum time that the response may wait for an update; 0 leaves it to the
+	// receiver.
 	Hold time.Duration
 }
 
-// SyncAnswer answers a SyncAsk.
+// SyncAnswer is the response to a SyncAsk.
 type SyncAnswer struct {
-	// Number is the ask's.
+	// Number is that of the request.
 	Number int64
-	// ConfigAge is how long ago the sender asked the question whose answer
-	// last confirmed its configuration. Negative if it has none.
+	// ConfigAge is the age of the sender's confirmation of its configuration: the time since it
+	// sent the request whose response last confirmed it. It is negative if the sender has no
+	// configuration.
 	ConfigAge time.Duration
-	// ListAge is the same for the list of upstreams; negative if the sender
-	// knows too little of it to answer.
+	// ListAge is the same for the list of upstreams. It is negative if the sender lacks some of
+	// the requested groups.
 	ListAge time.Duration
-	// Config is nil if the asker's version is the newest known.
+	// Config is nil if the requester has the newest version known to the sender.
 	Config PackedConfig
-	// Cordons is nil if the asker's version is the newest known; it was confirmed
-	// together with the configuration.
+	// Cordons is nil if the requester has the newest version known to the sender. The cordons
+	// were confirmed together with the configuration.
 	Cordons *cordon.Set
-	// List is nil if the sender has nothing that the asker lacks.
+	// List is nil if the requester has all that the sender knows.
 	List *roster.Share
 }
 
-// MoveOrder tells an entry to move a running generation to another upstream.
+// MoveOrder instructs an entry to move a running generation to another upstream.
 type MoveOrder struct {
 	Pool    string
 	Attempt string
-	// Number tells orders for one attempt apart.
+	// Number distinguishes several orders for one attempt.
 	Number int64
-	// From and To name the upstreams, ToAddress is where To is reached and
-	// ToDataCentre where it stands.
+	// From and To are the ids of the upstreams. ToAddress and ToDataCentre are the address and
+	// the data centre of To.
 	From         string
 	To           string
 	ToAddress    string
 	ToDataCentre string
 }
 
-// Moved tells how a MoveOrder ended.
+// Moved reports the outcome of a MoveOrder.
 type Moved struct {
 	Pool    string
 	Attempt string
 	Number  int64
-	// Outcome is one of the outcomes of moves below.
 	Outcome MoveOutcome
 }
 
-// MoveOutcome says how a move ended.
+// MoveOutcome is the outcome of a move.
 type MoveOutcome string
 
 // Outcomes of moves.
 const (
-	// MoveDone: the run goes on at the destination.
+	// MoveDone: the generation continues at the destination.
 	MoveDone MoveOutcome = "done"
-	// MoveEnded: the run came to its end before it was moved.
+	// MoveEnded: the generation ended before it was moved.
 	MoveEnded MoveOutcome = "ended"
-	// MoveNoRun: the upstream has no such run that could be moved.
+	// MoveNoRun: the source does not run such a generation, or it cannot be moved.
 	MoveNoRun MoveOutcome = "no_run"
-	// MoveNoRoom: the destination did not take the copy; the run goes on at
-	// the source.
+	// MoveNoRoom: the destination did not accept the copy; the generation continues at the
+	// source.
 	MoveNoRoom MoveOutcome = "no_room"
-	// MoveFailed: the copy failed in another way.
+	// MoveFailed: the copy failed for another reason.
 	MoveFailed MoveOutcome = "failed"
 )
 
-// Failing tells an instance that an upstream took a request of the sender's and
-// gave no usable answer. Each instance alone would find that out at the cost of
-// its own callers.
+// Failing announces that an upstream accepted a request of the sender and gave no usable
+// response. Without it, each instance would detect the failure at the cost of its own callers.
 type Failing struct {
 	Upstream string
-	// Born tells the upstream's runs apart.
+	// Born identifies the run of the upstream.
 	Born int64
 }
 
-// Begun tells a pool's home that the first token of an attempt has come: its prompt
-// has been read.
+// Begun notifies a pool's home that the first token of an attempt has arrived: the prefill of
+// its prompt is complete.
 type Begun struct {
 	Pool    string
 	Attempt string
--- a/internal/core/msg/msg.go
+++ b/internal/core/msg/msg.go
@@ -11,13 +11,13 @@
 	"mulberrylug.example/mulberrylug/internal/core/roster"
 )
 
-// Message is one of the types below.
+// Message is implemented by the message types of this package.
 type Message interface{ Kind() Kind }
 
-// Kind numbers the message types on the wire.
+// Kind is the number of a message type on the wire.
 type Kind uint8
 
-// String returns the kind's name in metrics and logs.
+// String returns the name of the kind in metrics and logs.
 func (k Kind) String() string {
 	if name, ok := kindNames[k]; ok {
 		return name
@@ -38,7 +38,7 @@
 	KindPresences: "presences", KindPresenceAsk: "presence_ask",
 }
 
-// Message kinds. Numbers are never reused.
+// Message kinds that are not in one of the ranges of numbers below. Numbers are never reused.
 const (
 	KindGrantAsk Kind = iota + 1
 	KindGrantAnswer
@@ -53,7 +53,7 @@
 	KindExplainAnswer
 )
 
-// Message kinds of streams and strikes.
+// Message kinds for resumed streams, orphans and strikes. They have their own range of numbers.
 const (
 	KindAdopted Kind = iota + 32
 	KindFollowAsk
@@ -62,63 +62,65 @@
 	KindStrikes
 )
 
-// GrantAsk asks the home of a pool for the permission to run an attempt. It is
-// idempotent by attempt and repeated while the entry waits.
+// GrantAsk requests the permission of a pool's home to run an attempt. It is idempotent by
+// attempt and repeated while the entry waits.
 type GrantAsk struct {
 	Pool string
 	Ask  placement.Ask
-	// Failed names the upstream whose failure made this attempt necessary:
-	// the home checks it before it places anything there.
+	// Failed is the upstream whose failure caused this attempt. The home checks whether it has
+	// crashed before it grants the attempt.
 	Failed string
-	// FailedBoot is the run of that upstream which the attempt failed on. It
-	// is empty if the call can't have reached it.
+	// FailedBoot identifies the run of that upstream on which the previous attempt failed. It
+	// is empty if the request cannot have reached the upstream.
 	FailedBoot string
-	// Number counts the asks for the attempt at this home, from 1.
+	// Number counts the requests for the attempt to this home, from 1.
 	Number int
 }
 
-// GrantAnswer answers a GrantAsk, at once or when its turn has come.
+// GrantAnswer is the response to a GrantAsk. It is sent at once, and again when a queued
+// attempt is granted.
 type GrantAnswer struct {
 	Pool     string
 	Decision placement.Decision
-	// Address is where the upstream takes calls, if granted.
+	// Address is the upstream's address for calls, if the attempt is granted.
 	Address string
-	// Entry is the upstream, for an entry that need not know it; nil if it does.
+	// Entry is the upstream's entry, for an entry instance that may not have it; nil if that
+	// has it.
 	Entry *roster.Entry
-	// Boot is the upstream's run, as of its last report.
+	// Boot identifies the upstream's run, as of its last report.
 	Boot string
-	// TTL is how long after the ask was sent the grant may be used, and
-	// Number that ask's number.
+	// TTL is how long the grant may be used, counted from when the request was sent; Number is
+	// the number of that request.
 	TTL    time.Duration
 	Number int
 }
 
-// GrantEnd tells the home that an attempt has ended or was given up.
+// GrantEnd notifies the home that an attempt has ended or was given up.
 type GrantEnd struct {
 	Pool    string
 	Attempt string
 	Tokens  int
-	// Failed is set when the upstream broke the attempt off: the home keeps
-	// the grant until it knows whether the upstream has crashed. Upstream and
-	// Boot say where the attempt ran, Fingerprint what it was.
+	// Failed is set if the upstream broke off the attempt: the home keeps the grant until it
+	// knows whether the upstream has crashed. Upstream and Boot identify the upstream and its
+	// run, Fingerprint the request.
 	Failed      bool
 	Upstream    string
 	Boot        string
 	Fingerprint uint64
-	// Unreachable is set when no connection to Upstream could be made.
+	// Unreachable is set if no connection to Upstream could be made.
 	Unreachable bool
-	// Cut is set when the caller had left: the length is then no answer's, as
-	// little as that of a failed attempt.
+	// Cut is set if the caller had disconnected. Tokens is then not the length of a complete
+	// answer, as with a failed attempt.
 	Cut bool
 }
 
-// ReserveAsk asks the home of an organisation for a reservation.
+// ReserveAsk requests a reservation from the home of an organisation.
 type ReserveAsk struct{ Ask budget.Ask }
 
-// ReserveAnswer answers a ReserveAsk.
+// ReserveAnswer is the response to a ReserveAsk.
 type ReserveAnswer struct{ Answer budget.Answer }
 
-// Settle ends a reservation with what was used.
+// Settle ends a reservation and reports what was used.
 type Settle struct {
 	Org     string
 	Request string
@@ -126,38 +128,38 @@
 	Tokens  int
 }
 
-// Strike tells every instance that an upstream crashed while it ran a request.
+// Strike announces to every instance that an upstream crashed while it ran a request.
 type Strike struct {
 	Fingerprint uint64
 	Upstream    string
-	// Boot is the run of the upstream that ended in the crash.
+	// Boot identifies the run of the upstream that ended in the crash.
 	Boot string
-	// Age is how long ago that was: instances do not share a clock.
+	// Age is the time since the crash. It is relative because instances do not share a clock.
 	Age time.Duration
 }
 
-// StrikesAsk asks an instance for the strikes that it knows: an instance that
-// has just started knows none, and a Strike can be lost.
+// StrikesAsk requests the strikes that an instance knows: an instance that has just started has
+// none, and a Strike can be lost.
 type StrikesAsk struct{}
 
-// Strikes answers a StrikesAsk, the newest first.
+// Strikes is the response to a StrikesAsk, with the newest strike first.
 type Strikes struct{ List []Strike }
 
-// Adopted tells an entry that another has taken a generation over, because its
-// caller resumed there.
+// Adopted notifies an entry that another entry has taken over a generation, because its caller
+// resumed there.
 type Adopted struct {
 	Request string
 	Attempt string
 }
 
-// FollowAsk asks an instance which of these attempts it follows for a caller.
-// A home asks everyone before it cancels a generation that no entry announces.
+// FollowAsk asks an instance which of some attempts it follows for a caller. A home sends it to
+// every instance before it cancels a generation that no entry announces.
 type FollowAsk struct {
 	Pool     string
 	Attempts []string
 }
 
-// FollowAnswer answers a FollowAsk. Following lists those of Attempts that the
+// FollowAnswer is the response to a FollowAsk. Following lists those of Attempts that the
 // instance follows.
 type FollowAnswer struct {
 	Pool      string
@@ -165,31 +167,30 @@
 	Following []string
 }
 
-// Announce tells a pool's home which attempts of an entry still run. Homes
-// learn from it after they took over, and cancel generations that no entry
-// announces.
+// Announce notifies a pool's home which attempts of an entry still run. A new home rebuilds its
+// state from these messages, and homes cancel generations that no entry announces.
 type Announce struct {
 	Pool    string
 	Running []RunningAttempt
 }
 
-// RunningAttempt is one attempt in an Announce.
+// RunningAttempt is one running attempt in an Announce.
 type RunningAttempt struct {
 	Ask      placement.Ask
 	Upstream string
 	Tokens   int
-	// Pace is the time between tokens while no prompt is read beside them, 0 if
-	// that is not known.
+	// Pace is the time between tokens while the upstream computes no prompt in the same batch;
+	// 0 if it is not known.
 	Pace time.Duration
 }
 
-// ExplainAsk asks an instance for the decisions on a request.
+// ExplainAsk requests the decisions recorded for a request.
 type ExplainAsk struct {
 	ID      uint64
 	Request string
 }
 
-// ExplainAnswer carries the recorded decisions, oldest first.
+// ExplainAnswer is the response to an ExplainAsk: the recorded decisions, oldest first.
 type ExplainAnswer struct {
 	ID    uint64
 	Lines []string
--- a/internal/core/msg/packed.go
+++ b/internal/core/msg/packed.go
@@ -13,48 +13,49 @@
 )
 
 const (
-	// maxConfig bounds an unpacked configuration in bytes, so that a broken peer cannot make
-	// this instance allocate without limit.
-	maxConfig = 16 << 20
-	// compressFrom is the encoded size in bytes from which a configuration is compressed.
-	compressFrom = 1 << 10
+	// maxConfigBytes is the maximum size of an unpacked configuration, so that a faulty peer
+	// cannot make this instance allocate memory without limit.
+	maxConfigBytes = 16 << 20
+	// minCompressBytes is the encoded size from which a configuration is compressed.
+	minCompressBytes = 1 << 10
 )
 
-// Forms of a packed configuration, its first byte.
+// The first byte of a packed configuration specifies its form.
 const (
 	packedPlain   = 0
 	packedDeflate = 1
 )
 
-// Errors of Unpack.
+// Errors returned by PackedConfig.Unpack.
 var (
-	ErrConfigTooLarge = errors.New("configuration is larger than allowed")
-	ErrConfigForm     = errors.New("configuration has an unknown form")
+	ErrConfigTooLarge = errors.New("unpacked configuration exceeds the maximum size")
+	ErrConfigForm     = errors.New("packed configuration is empty or has an unknown form byte")
 )
 
-// PackedConfig is a configuration in its transfer form: a byte for the form, then msgpack,
-// compressed with DEFLATE if it is large. A relay packs each version once for all receivers:
-// plain, 1,900 routes take 180 KB, which occupy a link of 10 Mbit/s for 140 ms each time.
+// PackedConfig is a configuration encoded for transfer: one byte for the form, then msgpack,
+// compressed with DEFLATE if it is large. A relay packs each version once for all receivers.
+// Without compression, 1,900 routes take 180 KB, which occupy a link of 10 Mbit/s for 140 ms
+// per receiver.
 type PackedConfig []byte
 
-// PackConfig returns a configuration's transfer form.
+// PackConfig encodes a configuration for transfer.
 func PackConfig(c *route.Config) (PackedConfig, error) {
-	var raw bytes.Buffer
-	enc := msgpack.NewEncoder(&raw)
+	var encoded bytes.Buffer
+	enc := msgpack.NewEncoder(&encoded)
 	enc.UseArrayEncodedStructs(true)
 	enc.UseCompactInts(true)
 	if err := enc.Encode(c); err != nil {
 		return nil, fmt.Errorf("pack configuration %d: %w", c.Version, err)
 	}
-	if raw.Len() < compressFrom {
-		return append(PackedConfig{packedPlain}, raw.Bytes()...), nil
+	if encoded.Len() < minCompressBytes {
+		return append(PackedConfig{packedPlain}, encoded.Bytes()...), nil
 	}
 	out := bytes.NewBuffer([]byte{packedDeflate})
 	w, err := flate.NewWriter(out, flate.DefaultCompression)
 	if err != nil {
 		return nil, fmt.Errorf("compress configuration %d: %w", c.Version, err)
 	}
-	if _, err := w.Write(raw.Bytes()); err != nil {
+	if _, err := w.Write(encoded.Bytes()); err != nil {
 		return nil, fmt.Errorf("compress configuration %d: %w", c.Version, err)
 	}
 	if err := w.Close(); err != nil {
@@ -63,29 +64,30 @@
 	return out.Bytes(), nil
 }
 
-// Unpack returns the configuration.
+// Unpack decodes a configuration that PackConfig has encoded.
 func (p PackedConfig) Unpack() (*route.Config, error) {
-	raw, err := p.plain()
+	encoded, err := p.decompress()
 	if err != nil {
 		return nil, fmt.Errorf("unpack configuration of %d bytes: %w", len(p), err)
 	}
 	c := &route.Config{}
-	if err := msgpack.Unmarshal(raw, c); err != nil {
+	if err := msgpack.Unmarshal(encoded, c); err != nil {
 		return nil, fmt.Errorf("decode configuration of %d bytes: %w", len(p), err)
 	}
 	return c, nil
 }
 
-func (p PackedConfig) plain() ([]byte, error) {
+// decompress returns the msgpack encoding of the configuration.
+func (p PackedConfig) decompress() ([]byte, error) {
 	switch {
 	case len(p) > 0 && p[0] == packedPlain:
 		return p[1:], nil
 	case len(p) == 0 || p[0] != packedDeflate:
 		return nil, ErrConfigForm
 	}
-	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(p[1:])), maxConfig+1))
-	if err == nil && len(raw) > maxConfig {
+	encoded, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(p[1:])), maxConfigBytes+1))
+	if err == nil && len(encoded) > maxConfigBytes {
 		err = ErrConfigTooLarge
 	}
-	return raw, err
+	return encoded, err
 }
--- a/internal/core/msg/packed_test.go
+++ b/internal/core/msg/packed_test.go
@@ -15,7 +15,7 @@
 	"mulberrylug.example/mulberrylug/internal/core/route"
 )
 
-// largeConfig has routes with random names, as customers have them.
+// largeConfig returns a configuration with random names of the kind that customers use.
 func largeConfig(routes int) *route.Config {
 	rng := rand.New(rand.NewPCG(1, 2))
 	word := func(n int) string {
@@ -39,7 +39,7 @@
 	return c
 }
 
-func TestAPackedConfigurationComesBack(t *testing.T) {
+func TestPackAndUnpackPreserveAConfiguration(t *testing.T) {
 	for _, routes := range []int{0, 1, 1900} {
 		want := largeConfig(routes)
 		p, err := PackConfig(want)
@@ -48,14 +48,14 @@
 		}
 		got, err := p.Unpack()
 		if err != nil || !reflect.DeepEqual(got, want) {
-			t.Errorf("%d routes: came back differently, error %v", routes, err)
+			t.Errorf("%d routes: configuration differs after PackConfig and Unpack, or error %v", routes, err)
 		}
 	}
 }
 
-// A large configuration that takes a second of a small machine's link for each of its
-// receivers: its heartbeats wait behind that, and its peers take it for dead.
-func TestALargeConfigurationIsSmallOnTheWire(t *testing.T) {
+// An uncompressed large configuration occupies the link of a small machine for a second per
+// receiver: the machine's heartbeats are delayed, and its peers consider it dead.
+func TestALargeConfigurationIsCompressed(t *testing.T) {
 	c := largeConfig(1900)
 	var plain bytes.Buffer
 	enc := msgpack.NewEncoder(&plain)
@@ -69,11 +69,11 @@
 	}
 	t.Logf("routes=1900 plain_bytes=%d packed_bytes=%d", plain.Len(), len(p))
 	if len(p) > 70_000 {
-		t.Errorf("%d bytes, want at most 70,000", len(p))
+		t.Errorf("packed configuration has %d bytes, want at most 70,000", len(p))
 	}
 }
 
-func TestABrokenPackedConfigurationIsRefused(t *testing.T) {
+func TestUnpackRejectsInvalidData(t *testing.T) {
 	good, err := PackConfig(largeConfig(100))
 	if err != nil {
 		t.Fatal(err)
@@ -82,26 +82,26 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	bomb := bytes.NewBuffer([]byte{packedDeflate})
-	w, err := flate.NewWriter(bomb, flate.BestSpeed)
+	tooLarge := bytes.NewBuffer([]byte{packedDeflate})
+	w, err := flate.NewWriter(tooLarge, flate.BestSpeed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := w.Write(make([]byte, maxConfig+1)); err != nil {
+	if _, err := w.Write(make([]byte, maxConfigBytes+1)); err != nil {
 		t.Fatal(err)
 	}
 	if err := w.Close(); err != nil {
 		t.Fatal(err)
 	}
 	for name, p := range map[string]PackedConfig{
-		"empty": {}, "cut": good[:len(good)/2], "cut plain": small[:len(small)/2], "noise": []byte("no configuration"), "too large": bomb.Bytes(),
+		"empty": {}, "truncated": good[:len(good)/2], "truncated without compression": small[:len(small)/2], "unknown form": []byte("no configuration"), "too large": tooLarge.Bytes(),
 	} {
 		c, err := p.Unpack()
 		if err == nil {
-			t.Errorf("%s: unpacked to version %d", name, c.Version)
+			t.Errorf("%s: Unpack returned version %d, want an error", name, c.Version)
 		}
 		if name == "too large" && !errors.Is(err, ErrConfigTooLarge) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: error = %v, want ErrConfigTooLarge", name, err)
 		}
 	}
 }
