--- a/internal/core/mechanism/mechanism.go
+++ b/internal/core/mechanism/mechanism.go
@@ -1,6 +1,6 @@
 // Package mechanism names the mechanisms of an instance that can be disabled to measure their
-// value, and the decisions that can be made in several ways. None of them keeps a promise:
-// what must always hold has no switch.
+// value, and the decisions that can be made in several ways. No mechanism is needed to keep a
+// promise: safeguards that must always hold cannot be disabled.
 package mechanism
 
 import (
@@ -12,60 +12,64 @@
 // Mechanism is an optimization that can be disabled.
 type Mechanism uint8
 
-// The mechanisms. The comments say what happens without them.
+// The mechanisms. Each comment describes the behaviour while the mechanism is disabled.
 const (
-	// Homes: each entry places generations by itself.
+	// Homes: each entry places generations without asking a home.
 	Homes Mechanism = iota
-	// Moves: generations stay on upstreams that leave.
+	// Moves: generations stay on leaving upstreams.
 	Moves
-	// MoveOrder: generations leave in the order of their ids, not of their worth.
+	// MoveOrder: generations are moved in the order of their ids, not of their value.
 	MoveOrder
-	// MoveReserve: new work takes the memory that leaving generations need.
+	// MoveReserve: new work may take the memory that generations on leaving upstreams need
+	// elsewhere.
 	MoveReserve
-	// CopyMemory: copies count as memory only once their generations run there.
+	// CopyMemory: copies do not count as used memory until their generations run at the
+	// destination.
 	CopyMemory
-	// LeaveProbes: upstreams that run something are not asked whether they leave.
+	// LeaveProbes: upstreams with running generations are not asked whether they are leaving.
 	LeaveProbes
-	// Near: homes do not prefer the entry's data centre.
+	// Near: homes do not prefer upstreams in the entry's data centre.
 	Near
-	// Failures: recent failures of an upstream do not count against it.
+	// Failures: recent failures of an upstream do not affect the choice.
 	Failures
-	// WaitAtHome: prompts are sent to upstreams that still compute others.
+	// WaitAtHome: prompts are sent to upstreams that are still computing other prompts.
 	WaitAtHome
-	// Delays: the delay of running generations by a prompt is not a cost.
+	// Delays: the delay that a prompt causes to running generations is not part of the cost.
 	Delays
 	// Speeds: all upstreams of a pool are assumed to be equally fast.
 	Speeds
-	// Headroom: memory is forecast without a margin for its variance.
+	// Headroom: the memory forecast has no margin for its variance.
 	Headroom
 	// Lengths: the lengths of answers are not learned.
 	Lengths
-	// Kinds: lengths are learned without regard to the declared maximum.
+	// Kinds: lengths are learned regardless of the declared maximum.
 	Kinds
-	// Hints: callers' estimates are ignored.
+	// Hints: callers' estimates of the length are ignored.
 	Hints
 	// DueOrder: queued work is granted in the order of its cost, not of its targets.
 	DueOrder
-	// LateBehind: requests that can no longer meet their deadline are not demoted.
+	// LateBehind: requests that can no longer meet their deadline keep their place in the
+	// queue.
 	LateBehind
-	// Fairness: the lead of an organisation over others that wait is not bounded.
+	// Fairness: the lead of an organisation over other waiting organisations is not bounded.
 	Fairness
-	// EarlyRefusal: work that would wait too long is refused only once it has.
+	// EarlyRefusal: work that would exceed its maximum wait is queued and refused only when
+	// that has passed.
 	EarlyRefusal
 	// Retries: repeatable calls are not retried.
 	Retries
-	// Relays: all instances poll the readers of the store.
+	// Relays: all instances poll the readers of the store directly.
 	Relays
-	// Parts: large services are not divided.
+	// Parts: large services are not divided into groups.
 	Parts
 	// RareHeartbeats: heartbeats are as frequent in a large fleet as in a small one.
 	RareHeartbeats
 	// SilenceProbes: upstreams are not asked about silent streams.
 	SilenceProbes
-	count
+	mechanismCount
 )
 
-var names = [count]string{
+var mechanismNames = [mechanismCount]string{
 	Homes: "homes", Moves: "moves", MoveOrder: "move_order", MoveReserve: "move_reserve", CopyMemory: "copy_memory",
 	LeaveProbes: "leave_probes", Near: "near", Failures: "failures", WaitAtHome: "wait_at_home", Delays: "delays", Speeds: "speeds",
 	Headroom: "headroom", Lengths: "lengths", Kinds: "kinds", Hints: "hints", DueOrder: "due_order", LateBehind: "late_behind",
@@ -73,12 +77,12 @@
 	RareHeartbeats: "rare_heartbeats", SilenceProbes: "silence_probes",
 }
 
-// String returns the name in settings, logs and tables.
-func (m Mechanism) String() string { return names[m] }
+// String returns the name of the mechanism in settings, logs and tables.
+func (m Mechanism) String() string { return mechanismNames[m] }
 
-// All lists the mechanisms.
+// All returns all mechanisms.
 func All() []Mechanism {
-	out := make([]Mechanism, count)
+	out := make([]Mechanism, mechanismCount)
 	for m := range out {
 		out[m] = Mechanism(m)
 	}
@@ -88,7 +92,7 @@
 // Set is a set of mechanisms; the zero value is empty.
 type Set uint64
 
-// Of returns the set of some mechanisms.
+// Of returns the set of the given mechanisms.
 func Of(list ...Mechanism) (s Set) {
 	for _, m := range list {
 		s |= 1 << m
@@ -99,7 +103,7 @@
 // Has reports whether a mechanism is in the set.
 func (s Set) Has(m Mechanism) bool { return s&(1<<m) != 0 }
 
-// Names lists the set's mechanisms in a fixed order.
+// Names returns the names of the set's mechanisms in a fixed order.
 func (s Set) Names() []string {
 	var out []string
 	for _, m := range All() {
@@ -110,21 +114,21 @@
 	return out
 }
 
-// String joins the names by commas.
+// String returns the names, separated by commas.
 func (s Set) String() string { return strings.Join(s.Names(), ",") }
 
-// Known reports whether a name is that of a mechanism.
-func Known(name string) bool { return slices.Contains(names[:], name) }
+// Known reports whether a mechanism has the given name.
+func Known(name string) bool { return slices.Contains(mechanismNames[:], name) }
 
-// Allowed lists the names of all mechanisms.
-func Allowed() string { return strings.Join(names[:], ", ") }
+// Allowed returns the names of all mechanisms, separated by commas.
+func Allowed() string { return strings.Join(mechanismNames[:], ", ") }
 
-// Parse returns the set with the given names. An unknown one is an error that lists the
-// known ones.
+// Parse returns the set of the mechanisms with the given names. The error for an unknown name
+// lists the known names.
 func Parse(list []string) (Set, error) {
 	var s Set
 	for _, name := range list {
-		m := slices.Index(names[:], name)
+		m := slices.Index(mechanismNames[:], name)
 		if m < 0 {
 			return 0, fmt.Errorf("mechanism %q is unknown; there are %s", name, Allowed())
 		}
--- a/internal/core/mechanism/way.go
+++ b/internal/core/mechanism/way.go
@@ -6,26 +6,27 @@
 	"strings"
 )
 
-// Way is an alternative to the default way of making a decision.
+// Way is an alternative to the default way of a decision.
 type Way uint8
 
-// The alternatives, by decision.
+// The alternatives, grouped by decision.
 const (
-	// ChoiceMemory: answers run on the upstream with the most free memory. By default where the
-	// predicted time in flight, of the answer and of others beside it, is shortest.
+	// ChoiceMemory: generations run on the upstream with the most free memory. The default is
+	// the upstream with the shortest predicted time in flight, of the generation itself and of
+	// the others beside it.
 	ChoiceMemory Way = iota
-	// DirectoryMixed: callers are sent to some near and a few far instances, which survive the
-	// loss of their data centre. By default to near ones only.
+	// DirectoryMixed: callers are sent to some near instances and a few distant ones, which
+	// remain available if the data centre is lost. The default is near instances only.
 	DirectoryMixed
-	ways
+	wayCount
 )
 
-// decision is a decision that can be made in several ways.
+// decision is a decision with a default way and alternatives.
 type decision struct {
 	name string
-	// otherwise is the default way.
-	otherwise string
-	ways      map[string]Way
+	// defaultWay is the name of the default; ways maps the names of the alternatives.
+	defaultWay string
+	ways       map[string]Way
 }
 
 var decisions = []decision{
@@ -33,13 +34,13 @@
 	{"directory", "near", map[string]Way{"mixed": DirectoryMixed}},
 }
 
-// String returns the way as decision=way.
+// String returns the alternative in the form decision=way.
 func (w Way) String() string { return Ways(1 << w).String() }
 
-// Ways is a set of alternatives; the zero value is the default of each decision.
+// Ways is a set of alternatives. The zero value selects the default of each decision.
 type Ways uint64
 
-// WaysOf returns the set of some ways.
+// WaysOf returns the set of the given alternatives.
 func WaysOf(list ...Way) (w Ways) {
 	for _, way := range list {
 		w |= 1 << way
@@ -50,7 +51,7 @@
 // Has reports whether an alternative is in the set.
 func (w Ways) Has(way Way) bool { return w&(1<<way) != 0 }
 
-// String lists the alternatives in the form that ParseWays accepts.
+// String returns the alternatives in the form decision=way, separated by commas.
 func (w Ways) String() string {
 	var out []string
 	for _, d := range decisions {
@@ -63,9 +64,9 @@
 	return strings.Join(out, ",")
 }
 
-// names lists the ways of a decision, the default first.
+// names returns the names of the ways of a decision, the default first.
 func (d decision) names() []string {
-	out := []string{d.otherwise}
+	out := []string{d.defaultWay}
 	for name := range d.ways {
 		out = append(out, name)
 	}
@@ -73,8 +74,8 @@
 	return out
 }
 
-// ParseWays returns the set for a list of decision=way. An unknown one is an error that lists
-// the known ones.
+// ParseWays returns the set for a list of items in the form decision=way. For each decision the
+// last item applies. The error for an unknown decision or way lists the known ones.
 func ParseWays(list []string) (w Ways, err error) {
 	for _, item := range list {
 		if w, err = w.with(item); err != nil {
@@ -84,6 +85,7 @@
 	return w, nil
 }
 
+// with returns the set after the item decision=way is applied.
 func (w Ways) with(item string) (Ways, error) {
 	name, way, _ := strings.Cut(item, "=")
 	k := slices.IndexFunc(decisions, func(d decision) bool { return d.name == name })
@@ -91,10 +93,10 @@
 		return 0, fmt.Errorf("decision %q is unknown; there are %s", name, strings.Join(Decisions(), ", "))
 	}
 	d := decisions[k]
-	for _, other := range d.ways {
-		w &^= 1 << other
+	for _, alternative := range d.ways {
+		w &^= 1 << alternative
 	}
-	if way == d.otherwise {
+	if way == d.defaultWay {
 		return w, nil
 	}
 	chosen, ok := d.ways[way]
@@ -104,7 +106,7 @@
 	return w | 1<<chosen, nil
 }
 
-// Decisions lists every decision=way, the default of each decision first.
+// Decisions returns every way in the form decision=way, the default of each decision first.
 func Decisions() []string {
 	var out []string
 	for _, d := range decisions {
