--- a/internal/core/config/defaults.go
+++ b/internal/core/config/defaults.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Defaults of fields that the files leave out.
+// The defaults of fields that the files do not set.
 const (
 	defaultEntryTTL        = Duration(30 * time.Second)
 	defaultResumeWindow    = Duration(30 * time.Second)
@@ -21,16 +21,16 @@
 	defaultWeight          = 1
 )
 
-// setDefaults fills in what the files leave out. A field that is set to zero
-// keeps it, so that the checks can refuse it: a default in its place would
-// permit what the operator meant to forbid.
+// setDefaults sets the fields that the files do not set to their defaults. A field that is set
+// to zero stays zero, so that the checks can report it: a default would permit what the
+// operator meant to forbid.
 func (c *Config) setDefaults(has func(field string) bool) {
 	d := &c.Deployment
-	fill(has, "deployment.entry_ttl", &d.EntryTTL, defaultEntryTTL)
-	fill(has, "deployment.resume_window", &d.ResumeWindow, defaultResumeWindow)
-	fill(has, "deployment.weights.stall", &d.Weights.Stall, defaultWeight)
-	fill(has, "deployment.weights.preemptions", &d.Weights.Preemptions, defaultWeight)
-	fill(has, "deployment.weights.tail", &d.Weights.Tail, defaultWeight)
+	setDefault(has, "deployment.entry_ttl", &d.EntryTTL, defaultEntryTTL)
+	setDefault(has, "deployment.resume_window", &d.ResumeWindow, defaultResumeWindow)
+	setDefault(has, "deployment.weights.stall", &d.Weights.Stall, defaultWeight)
+	setDefault(has, "deployment.weights.preemptions", &d.Weights.Preemptions, defaultWeight)
+	setDefault(has, "deployment.weights.tail", &d.Weights.Tail, defaultWeight)
 	for i := range c.Services {
 		c.Services[i].setDefaults(has, fmt.Sprintf("services[%d].", i))
 	}
@@ -43,21 +43,22 @@
 	timeout := defaultPlainTimeout
 	if s.Kind == KindEngine {
 		timeout = defaultEngineTimeout
-		fill(has, at+"first_token", &s.FirstToken, defaultFirstToken)
+		setDefault(has, at+"first_token", &s.FirstToken, defaultFirstToken)
 	}
-	fill(has, at+"timeout", &s.Timeout, timeout)
-	fill(has, at+"max_wait", &s.MaxWait, defaultMaxWait)
+	setDefault(has, at+"timeout", &s.Timeout, timeout)
+	setDefault(has, at+"max_wait", &s.MaxWait, defaultMaxWait)
 }
 
 func (l *Limits) setDefaults(has func(string) bool, at string) {
-	fill(has, at+"period", &l.Period, defaultPeriod)
-	fill(has, at+"requests_per_second", &l.RequestsPerSecond, defaultRequestsPerSec)
-	fill(has, at+"tokens_per_second", &l.TokensPerSecond, defaultTokensPerSec)
-	fill(has, at+"max_output_tokens", &l.MaxOutputTokens, defaultMaxOutputTokens)
-	fill(has, at+"concurrent", &l.Concurrent, defaultConcurrent)
+	setDefault(has, at+"period", &l.Period, defaultPeriod)
+	setDefault(has, at+"requests_per_second", &l.RequestsPerSecond, defaultRequestsPerSec)
+	setDefault(has, at+"tokens_per_second", &l.TokensPerSecond, defaultTokensPerSec)
+	setDefault(has, at+"max_output_tokens", &l.MaxOutputTokens, defaultMaxOutputTokens)
+	setDefault(has, at+"concurrent", &l.Concurrent, defaultConcurrent)
 }
 
-func fill[T any](has func(string) bool, field string, value *T, def T) {
+// setDefault sets a field to its default if the files do not set it.
+func setDefault[T any](has func(string) bool, field string, value *T, def T) {
 	if !has(field) {
 		*value = def
 	}
--- a/internal/core/config/diff.go
+++ b/internal/core/config/diff.go
@@ -7,51 +7,50 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// digestShown is how many digits of a key's digest a diff shows.
-const digestShown = 12
+// shownDigestDigits is the number of digits of an API key's digest that a diff shows.
+const shownDigestDigits = 12
 
-// Diff lists what changes from one configuration to another, a line for each
-// field: "+" for added, "-" for removed and "~" for changed. Objects are named
-// by their own names, so that a move within a list is no change.
+// Diff returns one line for each field that differs between two configurations: "+" for an
+// added, "-" for a removed and "~" for a changed field. Objects in lists are identified by
+// their names, so that a different position in a list is not a difference.
 func Diff(from, to *Config) []string {
-	was, now := flatten(from), flatten(to)
+	before, after := fieldValues(from), fieldValues(to)
 	all := map[string]string{}
-	for k, v := range was {
+	for k, v := range before {
 		all[k] = v
 	}
-	for k, v := range now {
+	for k, v := range after {
 		all[k] = v
 	}
 	var lines []string
 	for _, k := range sortedKeys(all) {
-		a, hadA := was[k]
-		b, hasB := now[k]
+		a, inBefore := before[k]
+		b, inAfter := after[k]
 		switch {
-		case !hadA:
-			lines = append(lines, fmt.Sprintf("+ %s: %s", k, shown(k, b)))
-		case !hasB:
-			lines = append(lines, fmt.Sprintf("- %s: %s", k, shown(k, a)))
+		case !inBefore:
+			lines = append(lines, fmt.Sprintf("+ %s: %s", k, redact(k, b)))
+		case !inAfter:
+			lines = append(lines, fmt.Sprintf("- %s: %s", k, redact(k, a)))
 		case a != b:
-			lines = append(lines, fmt.Sprintf("~ %s: %s -> %s", k, shown(k, a), shown(k, b)))
+			lines = append(lines, fmt.Sprintf("~ %s: %s -> %s", k, redact(k, a), redact(k, b)))
 		}
 	}
 	return lines
 }
 
-// shown hides what must not stand in a terminal's history.
-func shown(field, value string) string {
+// redact replaces values that must not appear in the history of a terminal.
+func redact(field, value string) string {
 	if field == "deployment.stream_key" {
 		return "(secret)"
 	}
 	return value
 }
 
-// flatten maps the path of each field that is set to its value as the files
-// write it.
-func flatten(c *Config) map[string]string {
+// fieldValues maps the path of each field that is set to its value in YAML.
+func fieldValues(c *Config) map[string]string {
 	out := map[string]string{}
 	raw, err := yaml.Marshal(c)
-	if err != nil { // plain data always encodes
+	if err != nil { // cannot happen: every type in Config can be encoded
 		panic(err)
 	}
 	var doc yaml.Node
@@ -62,6 +61,7 @@
 	return out
 }
 
+// flattenNode adds the values of a node and its children to out.
 func flattenNode(out map[string]string, path string, n *yaml.Node) {
 	switch n.Kind {
 	case yaml.MappingNode:
@@ -77,7 +77,8 @@
 	}
 }
 
-// flattenList names the objects of a list, and joins a list of plain values.
+// flattenList adds the values of a list to out. The path of an object contains its name, and a
+// list of plain values is joined to one value.
 func flattenList(out map[string]string, path string, n *yaml.Node) {
 	var values []string
 	for _, item := range n.Content {
@@ -86,8 +87,8 @@
 			continue
 		}
 		v := item.Value
-		if strings.HasSuffix(path, "key_sha256") && len(v) > digestShown {
-			v = v[:digestShown] + "…"
+		if strings.HasSuffix(path, "key_sha256") && len(v) > shownDigestDigits {
+			v = v[:shownDigestDigits] + "…"
 		}
 		values = append(values, v)
 	}
@@ -96,6 +97,7 @@
 	}
 }
 
+// nameOf returns the value of an object's field name, or "".
 func nameOf(object *yaml.Node) string {
 	for i := 0; i+1 < len(object.Content); i += 2 {
 		if object.Content[i].Value == "name" {
--- a/internal/core/config/parse.go
+++ b/internal/core/config/parse.go
@@ -13,35 +13,36 @@
 )
 
 const (
-	// microsPerUnit is the resolution of Money.
+	// microsPerUnit is the number of Money values per currency unit.
 	microsPerUnit = 1_000_000
-	// moneyPlaces is the number of decimal places that microsPerUnit allows.
-	moneyPlaces = 6
+	// moneyDecimals is the number of decimal places of an amount.
+	moneyDecimals = 6
 )
 
-// ParseDuration reads "250ms" and the like.
+// ParseDuration parses a duration with its unit, such as "250ms".
 func ParseDuration(s string) (Duration, error) {
 	d, err := time.ParseDuration(s)
 	return Duration(d), err
 }
 
-// MarshalYAML writes what ParseDuration reads.
+// MarshalYAML returns the duration in the form that ParseDuration accepts.
 func (d Duration) MarshalYAML() (any, error) { return d.D().String(), nil }
 
-// amount is at most a trillion units, so that sums can't overflow.
-var amount = regexp.MustCompile(`^-?[0-9]{1,12}(\.[0-9]{1,6})?$`)
+// amountPattern matches amounts of less than a trillion units, so that sums of them cannot
+// overflow.
+var amountPattern = regexp.MustCompile(`^-?[0-9]{1,12}(\.[0-9]{1,6})?$`)
 
-// ParseMoney reads a decimal amount such as "12.50".
+// ParseMoney parses a decimal amount, such as "12.50".
 func ParseMoney(s string) (Money, error) {
-	if !amount.MatchString(s) {
+	if !amountPattern.MatchString(s) {
 		return 0, fmt.Errorf("%q is not an amount such as 12.50", s)
 	}
-	whole, frac, _ := strings.Cut(s, ".")
-	v, err := strconv.ParseInt(whole+frac+strings.Repeat("0", moneyPlaces-len(frac)), 10, 64)
+	units, frac, _ := strings.Cut(s, ".")
+	v, err := strconv.ParseInt(units+frac+strings.Repeat("0", moneyDecimals-len(frac)), 10, 64)
 	return Money(v), err
 }
 
-// String writes the amount as a decimal.
+// String returns the amount as a decimal without trailing zeros.
 func (m Money) String() string {
 	sign, v := "", int64(m)
 	if v < 0 {
@@ -51,33 +52,33 @@
 	return strings.TrimSuffix(strings.TrimRight(s, "0"), ".")
 }
 
-// MarshalYAML writes what ParseMoney reads.
+// MarshalYAML returns the amount in the form that ParseMoney accepts.
 func (m Money) MarshalYAML() (any, error) { return m.String(), nil }
 
-// File is one configuration file as read from its directory.
+// File is a configuration file with its name and content.
 type File struct {
 	Name string
 	Data []byte
 }
 
-// Parse merges the files into one configuration, fills the defaults in and
-// checks it whole. The error is Problems, with all that is wrong.
+// Parse merges the files into one configuration, sets the defaults and checks the result. The
+// error is of type Problems and lists every problem found.
 func Parse(files []File) (*Config, error) {
 	found := newFindings()
 	if len(files) > 0 {
-		found.first = position{file: files[0].Name, line: 1}
+		found.start = position{file: files[0].Name, line: 1}
 	}
 	cfg := &Config{}
-	whole := true
+	allReadable := true
 	for order, f := range files {
-		r := &reader{findings: found, file: f.Name, order: order, offsets: cfg.lengths()}
-		part, ok := r.read(f.Data)
-		whole = whole && ok
+		r := &fileReader{findings: found, file: f.Name, order: order, offsets: cfg.lengths()}
+		part, ok := r.decodeConfig(f.Data)
+		allReadable = allReadable && ok
 		cfg.merge(part, r)
 	}
-	// What a file without readable content should have held can't be missed
-	// or dangle: only its own problem is told.
-	if whole {
+	// If a file could not be read, fields and names that it may contain are not reported as
+	// missing or unknown: only the problem of the file itself is.
+	if allReadable {
 		cfg.setDefaults(found.has)
 		cfg.check(found)
 	}
@@ -87,7 +88,7 @@
 	return cfg, nil
 }
 
-// lengths returns the number of entries in each top-level list.
+// lengths returns the number of elements of each top-level list.
 func (c *Config) lengths() map[string]int {
 	return map[string]int{
 		"organisations": len(c.Organisations), "models": len(c.Models),
@@ -95,12 +96,12 @@
 	}
 }
 
-// merge adds a file's part. Lists are joined; the deployment stands in one
-// file only.
-func (c *Config) merge(part Config, r *reader) {
-	if at, ok := r.at["deployment"]; ok && at.order == r.order {
+// merge adds the content of one file. Lists are concatenated; only one file may set the
+// deployment.
+func (c *Config) merge(part Config, r *fileReader) {
+	if at, ok := r.positions["deployment"]; ok && at.order == r.order {
 		if first := r.deployment; first.file != "" {
-			r.addAt(at, "deployment", fmt.Sprintf("a second deployment, the first is at %s:%d", first.file, first.line), "one deployment in all files")
+			r.addAt(at, "deployment", fmt.Sprintf("is already set at %s:%d", first.file, first.line), "one deployment in all files")
 		} else {
 			c.Deployment, r.deployment = part.Deployment, at
 		}
@@ -111,8 +112,8 @@
 	c.Upstreams = append(c.Upstreams, part.Upstreams...)
 }
 
-// Encode returns the canonical object for the configuration and its hex
-// SHA-256, under which it is published.
+// Encode returns the configuration as the JSON object that is published, and the object's hash
+// as hex SHA-256, under which it is published.
 func (c *Config) Encode() (object []byte, hash string, err error) {
 	object, err = json.Marshal(c)
 	if err != nil {
@@ -122,7 +123,7 @@
 	return object, hex.EncodeToString(sum[:]), nil
 }
 
-// Decode reads a published object and checks it against its hash.
+// Decode decodes a published object after checking it against its hash.
 func Decode(object []byte, hash string) (*Config, error) {
 	sum := sha256.Sum256(object)
 	if hex.EncodeToString(sum[:]) != hash {
@@ -135,15 +136,15 @@
 	return cfg, nil
 }
 
-// ParseObject reads a single file into the struct that v points to, with the
-// same strictness as Parse: every field has a yaml tag and may have validate
-// rules. The error is Problems.
+// ParseObject parses a single file into the struct that v points to, as strictly as Parse.
+// Every field of the struct must have a yaml tag and can have a validate tag. The error is of
+// type Problems.
 func ParseObject(f File, v any) error {
 	found := newFindings()
-	found.first = position{file: f.Name, line: 1}
-	r := &reader{findings: found, file: f.Name}
-	if doc, ok := r.document(f.Data); ok {
-		r.value(doc, reflect.ValueOf(v).Elem(), "")
+	found.start = position{file: f.Name, line: 1}
+	r := &fileReader{findings: found, file: f.Name}
+	if doc, ok := r.parseDocument(f.Data); ok {
+		r.decodeValue(doc, reflect.ValueOf(v).Elem(), "")
 		checkRules(found, v)
 	}
 	return found.err()
--- a/internal/core/config/parse_test.go
+++ b/internal/core/config/parse_test.go
@@ -15,7 +15,8 @@
 	"mulberrylug.example/mulberrylug/internal/testkit"
 )
 
-const sound = `deployment:
+// validYAML is a configuration file without problems; %[1]s is the digest of an API key.
+const validYAML = `deployment:
   name: small
   regions: {south: [a, b]}
   stream_key: a-key-that-is-long-enough-to-sign-with
@@ -34,8 +35,10 @@
   - {name: d1, service: desk, data_centre: b}
 `
 
-func soundFile() string { return fmt.Sprintf(sound, HashKey("k")) }
+// validFile returns a configuration file without problems.
+func validFile() string { return fmt.Sprintf(validYAML, HashKey("k")) }
 
+// parseText parses texts as files named f1.yaml, f2.yaml and so on.
 func parseText(texts ...string) (*Config, error) {
 	var files []File
 	for i, text := range texts {
@@ -45,7 +48,7 @@
 }
 
 func TestParseFillsDefaults(t *testing.T) {
-	cfg, err := parseText(soundFile())
+	cfg, err := parseText(validFile())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,14 +58,14 @@
 		t.Errorf("limits = %+v, want %+v", l, want)
 	}
 	if s := cfg.Services[0]; s.Timeout != defaultEngineTimeout || s.FirstToken != defaultFirstToken || s.MaxWait != defaultMaxWait {
-		t.Errorf("engine service = %+v, want the defaults", s)
+		t.Errorf("engine service = %+v, want the default timeouts", s)
 	}
 	if w := cfg.Deployment.Weights; w != (Weights{1, 1, 1}) {
 		t.Errorf("weights = %+v, want 1 each", w)
 	}
 }
 
-func TestParseTellsEveryProblem(t *testing.T) {
+func TestParseReportsEveryProblem(t *testing.T) {
 	digest := HashKey("k")
 	for _, c := range []struct {
 		name  string
@@ -71,7 +74,7 @@
 	}{
 		{
 			"two in one file, in the order of lines",
-			[]string{strings.NewReplacer("spend: 10", "spend: 0", "service: desk, d", "service: dask, d").Replace(soundFile())},
+			[]string{strings.NewReplacer("spend: 10", "spend: 0", "service: desk, d", "service: dask, d").Replace(validFile())},
 			[]string{
 				`f1.yaml:9: organisations[0].limits.spend: "0" is not allowed; more than 0`,
 				`f1.yaml:17: upstreams[1].service: there is no service "dask"; one of assistant, desk`,
@@ -79,35 +82,35 @@
 		},
 		{
 			"two deployments",
-			[]string{soundFile(), "\ndeployment: {name: other}\n"},
-			[]string{`f2.yaml:2: deployment: a second deployment, the first is at f1.yaml:1; one deployment in all files`},
+			[]string{validFile(), "\ndeployment: {name: other}\n"},
+			[]string{`f2.yaml:2: deployment: is already set at f1.yaml:1; one deployment in all files`},
 		},
 		{
-			"a name that another file has, numbered over all files",
-			[]string{soundFile(), "upstreams:\n  - {name: e1, service: assistant, data_centre: b}\n"},
-			[]string{`f2.yaml:2: upstreams[2].name: "e1" is taken, first at f1.yaml:16; each name once`},
+			"a name that another file already uses, with elements numbered over all files",
+			[]string{validFile(), "upstreams:\n  - {name: e1, service: assistant, data_centre: b}\n"},
+			[]string{`f2.yaml:2: upstreams[2].name: "e1" is already used at f1.yaml:16; a unique name`},
 		},
 		{
 			"one data centre in two regions",
-			[]string{strings.Replace(soundFile(), "{south: [a, b]}", "{south: [a, b], west: [b]}", 1)},
-			[]string{`f1.yaml:3: deployment.regions[west][0]: data centre "b" stands in region "south" already; each data centre in one region, once`},
+			[]string{strings.Replace(validFile(), "{south: [a, b]}", "{south: [a, b], west: [b]}", 1)},
+			[]string{`f1.yaml:3: deployment.regions[west][0]: data centre "b" is already in region "south"; each data centre in exactly one region`},
 		},
 		{
-			"a region that does not exist, and none in common",
-			[]string{strings.NewReplacer("{south: [a, b]}", "{south: [a], north: [b]}", "call_price: 0}", "call_price: 0, allowed_regions: [north]}").Replace(soundFile()), "organisations:\n  - name: other\n    key_sha256: [" + strings.Repeat("ab", 32) + "]\n    services: [desk]\n    allowed_regions: [south, east]\n    limits: {spend: 1}\n"},
+			"an unknown region, and a service and an organisation without a common region",
+			[]string{strings.NewReplacer("{south: [a, b]}", "{south: [a], north: [b]}", "call_price: 0}", "call_price: 0, allowed_regions: [north]}").Replace(validFile()), "organisations:\n  - name: other\n    key_sha256: [" + strings.Repeat("ab", 32) + "]\n    services: [desk]\n    allowed_regions: [south, east]\n    limits: {spend: 1}\n"},
 			[]string{
-				`f2.yaml:4: organisations[1].services[0]: service "desk" and the organisation allow no region in common; one that both allow`,
+				`f2.yaml:4: organisations[1].services[0]: service "desk" and the organisation allow no region in common; a service that allows one of the organisation's regions`,
 				`f2.yaml:5: organisations[1].allowed_regions[1]: there is no region "east"; one of north, south`,
 			},
 		},
 		{
 			"one key in two organisations",
-			[]string{soundFile(), "organisations:\n  - name: other\n    key_sha256: [" + digest + "]\n    services: [desk]\n    limits: {spend: 1}\n"},
-			[]string{`f2.yaml:3: organisations[1].key_sha256[0]: organisation "depot" has this key already; each key in one organisation, once`},
+			[]string{validFile(), "organisations:\n  - name: other\n    key_sha256: [" + digest + "]\n    services: [desk]\n    limits: {spend: 1}\n"},
+			[]string{`f2.yaml:3: organisations[1].key_sha256[0]: organisation "depot" already has this key; each key in exactly one organisation`},
 		},
 		{
-			"fields of the other kind",
-			[]string{strings.NewReplacer("model: m}", "model: m, call_price: 1}", "call_price: 0}", "call_price: 0, model: m}").Replace(soundFile())},
+			"fields of the other kind of service",
+			[]string{strings.NewReplacer("model: m}", "model: m, call_price: 1}", "call_price: 0}", "call_price: 0, model: m}").Replace(validFile())},
 			[]string{
 				`f1.yaml:13: services[0].call_price: is set for an engine service; only services of kind plain have it; models have prices for tokens`,
 				`f1.yaml:14: services[1].model: is set for a plain service; only services of kind engine have it`,
@@ -115,24 +118,24 @@
 		},
 		{
 			"one model in two services",
-			[]string{soundFile(), "services:\n  - {name: second, kind: engine, model: m}\n"},
-			[]string{`f2.yaml:2: services[2].model: model "m" is served by service "assistant" already; each model by one service`},
+			[]string{validFile(), "services:\n  - {name: second, kind: engine, model: m}\n"},
+			[]string{`f2.yaml:2: services[2].model: model "m" is already served by service "assistant"; each model served by exactly one service`},
 		},
 		{
-			"an alias",
-			[]string{strings.NewReplacer("name: small", "name: &n small").Replace(soundFile())},
-			[]string{`f1.yaml:2: deployment.name: anchors and aliases are not used here; write the value out`},
+			"an anchor",
+			[]string{strings.NewReplacer("name: small", "name: &n small").Replace(validFile())},
+			[]string{`f1.yaml:2: deployment.name: anchors and aliases are not supported; write the value out`},
 		},
 		{
-			"empty files hide what would only follow from them",
-			[]string{soundFile(), "", "# comment\n"},
+			"only the empty files are reported, not problems that result from them",
+			[]string{validFile(), "", "# comment\n"},
 			[]string{
 				`f2.yaml:1: document: the file is empty; each file holds one YAML document`,
 				`f3.yaml:1: document: the file is empty; each file holds one YAML document`,
 			},
 		},
 		{
-			"everything missing",
+			"all required fields missing",
 			[]string{"models: []\n"},
 			[]string{
 				`f1.yaml:1: deployment.name: is missing; it must be set`,
@@ -155,14 +158,14 @@
 }
 
 func TestDiffNamesFields(t *testing.T) {
-	from, err := parseText(soundFile())
+	from, err := parseText(validFile())
 	if err != nil {
 		t.Fatal(err)
 	}
 	to, err := parseText(strings.NewReplacer(
 		"spend: 10", "spend: 12.5", "with\n", "with!\n",
 		"  - {name: d1, service: desk, data_centre: b}\n", "", "data_centre: a}", "data_centre: b, checks_fencing: true}",
-	).Replace(soundFile()))
+	).Replace(validFile()))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -177,45 +180,45 @@
 		"~ upstreams[e1].data_centre: a -> b",
 	}
 	if got := Diff(from, to); !reflect.DeepEqual(got, want) {
-		t.Errorf("diff:\n%s\nwant:\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
+		t.Errorf("Diff =\n%s\nwant:\n%s", strings.Join(got, "\n"), strings.Join(want, "\n"))
 	}
 	if got := Diff(from, from); len(got) != 0 {
-		t.Errorf("diff with itself = %q, want none", got)
+		t.Errorf("Diff of a configuration with itself = %q, want no lines", got)
 	}
 }
 
-// Whatever an operator's file holds, Parse answers with a configuration or with
-// problems that name a file and a line; it never panics.
+// For any content of an operator's file, Parse returns a configuration or problems with a file
+// and a line. It never panics.
 func TestPropertyParseNeverPanics(t *testing.T) {
 	pieces := []string{
 		"deployment:", "organisations:", "  - ", "name: ", "limits: {", "}", "[", "]", "&a ", "*a", "<<: ", "? ", "---\n",
 		"\n", "spend: ", "-1", "1e400", "!!binary x", "'", "\"", "\x00", "\xff", "regions: ", "{a: [b]}", "null", "~", "|\n", "- ", ": ", "#", "upstreams:\n",
 	}
 	properties := gopter.NewProperties(testkit.Parameters())
-	properties.Property("problems or a configuration", prop.ForAll(func(order []int, at int) string {
+	properties.Property("Parse returns problems or a configuration", prop.ForAll(func(order []int, at int) string {
 		var b strings.Builder
 		for _, n := range order {
 			b.WriteString(pieces[n])
 		}
-		whole := soundFile()
-		for _, text := range []string{b.String(), whole[:at] + b.String() + whole[at:]} {
+		valid := validFile()
+		for _, text := range []string{b.String(), valid[:at] + b.String() + valid[at:]} {
 			_, err := parseText(text)
 			var ps Problems
 			if err != nil && (!errors.As(err, &ps) || len(ps) == 0 || ps[0].Line < 1 || ps[0].File == "" || ps[0].Field == "") {
-				return fmt.Sprintf("error %v of %q", err, text)
+				return fmt.Sprintf("error %v for input %q, want Problems with file, line and field", err, text)
 			}
 		}
 		return ""
-	}, gen.SliceOf(gen.IntRange(0, len(pieces)-1)), gen.IntRange(0, len(soundFile()))))
+	}, gen.SliceOf(gen.IntRange(0, len(pieces)-1)), gen.IntRange(0, len(validFile()))))
 	properties.TestingRun(t)
 }
 
-// What is applied is what was written: a configuration that is written out as
-// YAML and parsed again encodes to the same object, and decodes to itself.
+// The applied configuration must be the written one: a configuration that is written as YAML
+// and parsed again encodes to the same object, and decoding that object returns it.
 func TestPropertyParseOfEncodedIsStable(t *testing.T) {
 	properties := gopter.NewProperties(testkit.Parameters())
-	properties.Property("same object", prop.ForAll(func(spend, price int64, millis int64, rate float64, tokens int, plain bool) string {
-		cfg, err := parseText(soundFile())
+	properties.Property("a parsed configuration encodes to the same object", prop.ForAll(func(spend, price int64, millis int64, rate float64, tokens int, plain bool) string {
+		cfg, err := parseText(validFile())
 		if err != nil {
 			return err.Error()
 		}
@@ -229,20 +232,20 @@
 		if err != nil {
 			return err.Error()
 		}
-		again, err := parseText(string(text))
+		reparsed, err := parseText(string(text))
 		if err != nil {
-			return fmt.Sprintf("%v in\n%s", err, text)
+			return fmt.Sprintf("Parse of the written YAML: error %v in\n%s", err, text)
 		}
 		object, hash, err := cfg.Encode()
 		if err != nil {
 			return err.Error()
 		}
-		if _, second, err := again.Encode(); err != nil || second != hash {
-			return fmt.Sprintf("another object, %v, after\n%s", err, text)
+		if _, secondHash, err := reparsed.Encode(); err != nil || secondHash != hash {
+			return fmt.Sprintf("the parsed configuration encodes to another object, or error %v, for\n%s", err, text)
 		}
 		decoded, err := Decode(object, hash)
-		if err != nil || !reflect.DeepEqual(decoded, again) {
-			return fmt.Sprintf("decoded %+v, %v", decoded, err)
+		if err != nil || !reflect.DeepEqual(decoded, reparsed) {
+			return fmt.Sprintf("Decode = %+v, error %v, want the encoded configuration", decoded, err)
 		}
 		return ""
 	}, gen.Int64Range(1, 1e15), gen.Int64Range(0, 1e12), gen.Int64Range(1, 1e9), gen.Float64Range(1e-6, 1e6), gen.IntRange(1, 1_000_000), gen.Bool()))
@@ -250,7 +253,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add(soundFile())
+	f.Add(validFile())
 	f.Add("a: &a [*a, *a]\n")
 	f.Fuzz(func(_ *testing.T, text string) { _, _ = parseText(text) })
 }
--- a/internal/core/config/read.go
+++ b/internal/core/config/read.go
@@ -14,95 +14,101 @@
 	"go.yaml.in/yaml/v3"
 )
 
-// reader turns one file's YAML into a Config and notes the position of each
-// field and every problem.
-type reader struct {
+// fileReader decodes the YAML of one file into a Config. It records the position of each field
+// and every problem.
+type fileReader struct {
 	*findings
 	file  string
 	order int
-	// offsets holds how many entries of each top-level list came from
-	// earlier files, so that paths number the merged lists.
+	// offsets holds the number of elements that earlier files contribute to each top-level
+	// list, so that paths contain the index in the merged list.
 	offsets map[string]int
 }
 
-// document stands for the field in a problem with a file as a whole.
-const document = "document"
+// documentField is the field of problems that concern the whole file.
+const documentField = "document"
 
-// yamlLine finds the line in an error of the YAML library.
-var yamlLine = regexp.MustCompile(`line (\d+): (.*)`)
+// yamlErrorPattern matches the line number and the text in an error of the YAML library.
+var yamlErrorPattern = regexp.MustCompile(`line (\d+): (.*)`)
 
-// read returns the file's part of the configuration. ok is false if the file
-// could not be read as YAML at all.
-func (r *reader) read(data []byte) (part Config, ok bool) {
-	doc, ok := r.document(data)
+// decodeConfig returns the configuration in the file. ok is false if the file is not one YAML
+// document.
+func (r *fileReader) decodeConfig(data []byte) (part Config, ok bool) {
+	doc, ok := r.parseDocument(data)
 	if ok {
-		r.value(doc, reflect.ValueOf(&part).Elem(), "")
+		r.decodeValue(doc, reflect.ValueOf(&part).Elem(), "")
 	}
 	return part, ok
 }
 
-// document returns the root of the file's one YAML document.
-func (r *reader) document(data []byte) (root *yaml.Node, ok bool) {
+// parseDocument returns the root node of the file, which must contain exactly one YAML
+// document.
+func (r *fileReader) parseDocument(data []byte) (root *yaml.Node, ok bool) {
 	dec := yaml.NewDecoder(bytes.NewReader(data))
-	var doc, second yaml.Node
-	err := dec.Decode(&doc)
+	var first, second yaml.Node
+	err := dec.Decode(&first)
 	switch {
-	case errors.Is(err, io.EOF) || err == nil && isNull(doc.Content[0]):
-		r.addAt(r.position(1), document, "the file is empty", "each file holds one YAML document")
+	case errors.Is(err, io.EOF) || err == nil && isNull(first.Content[0]):
+		r.addAt(r.position(1), documentField, "the file is empty", "each file holds one YAML document")
 		return nil, false
 	case err != nil:
-		r.syntax(err)
+		r.addSyntaxError(err)
 		return nil, false
 	}
 	switch err := dec.Decode(&second); {
 	case err == nil:
-		r.addAt(r.position(second.Line), document, "a second document begins here", "each file holds one YAML document")
+		r.addAt(r.position(second.Line), documentField, "a second document begins here", "each file holds one YAML document")
 	case !errors.Is(err, io.EOF):
-		r.syntax(err)
+		r.addSyntaxError(err)
 	default:
-		return doc.Content[0], true
+		return first.Content[0], true
 	}
 	return nil, false
 }
 
+// isNull reports whether a node is the YAML null value.
 func isNull(n *yaml.Node) bool { return n.Kind == yaml.ScalarNode && n.Tag == "!!null" }
 
-func (r *reader) position(line int) position {
+// position returns a position in the file.
+func (r *fileReader) position(line int) position {
 	return position{file: r.file, line: max(line, 1), order: r.order}
 }
 
-func (r *reader) syntax(err error) {
+// addSyntaxError records an error of the YAML library as a problem.
+func (r *fileReader) addSyntaxError(err error) {
 	line, text := 1, strings.TrimPrefix(err.Error(), "yaml: ")
-	if m := yamlLine.FindStringSubmatch(text); m != nil {
-		line, _ = strconv.Atoi(m[1]) // digits by the expression
+	if m := yamlErrorPattern.FindStringSubmatch(text); m != nil {
+		line, _ = strconv.Atoi(m[1]) // cannot fail: the pattern matches digits only
 		text = m[2]
 	}
 	text, _, _ = strings.Cut(text, "\n")
-	r.addAt(r.position(line), document, "not YAML: "+text, "each file holds one YAML document")
+	r.addAt(r.position(line), documentField, "invalid YAML: "+text, "each file holds one YAML document")
 }
 
-func (r *reader) wrong(n *yaml.Node, field, wrong, allowed string) {
-	r.addAt(r.position(n.Line), orRoot(field), wrong, allowed)
+// addProblem records a problem at the position of a node.
+func (r *fileReader) addProblem(n *yaml.Node, field, wrong, allowed string) {
+	r.addAt(r.position(n.Line), fieldOrDocument(field), wrong, allowed)
 }
 
-// value decodes a node into a value of the configuration's types.
-func (r *reader) value(n *yaml.Node, v reflect.Value, field string) {
+// decodeValue decodes a node into a value; field is the path of the node.
+func (r *fileReader) decodeValue(n *yaml.Node, v reflect.Value, field string) {
 	if n.Kind == yaml.AliasNode || n.Anchor != "" {
-		r.wrong(n, field, "anchors and aliases are not used here", "write the value out")
+		r.addProblem(n, field, "anchors and aliases are not supported", "write the value out")
 		return
 	}
 	switch v.Kind() {
 	case reflect.Struct:
-		r.object(n, v, field)
+		r.decodeStruct(n, v, field)
 	case reflect.Slice:
-		r.list(n, v, field)
+		r.decodeList(n, v, field)
 	case reflect.Map:
-		r.mapping(n, v, field)
+		r.decodeMap(n, v, field)
 	default:
-		r.scalar(n, v, field)
+		r.decodeScalar(n, v, field)
 	}
 }
 
+// join returns the path of a key in the object at path field.
 func join(field, key string) string {
 	if field == "" {
 		return key
@@ -110,10 +116,11 @@
 	return field + "." + key
 }
 
-// keys calls f for each key of a mapping, and reports duplicates.
-func (r *reader) keys(n *yaml.Node, field string, f func(key *yaml.Node, value *yaml.Node, path string)) {
+// eachKey calls f for each key of a mapping with its value and path. It reports repeated keys
+// as problems.
+func (r *fileReader) eachKey(n *yaml.Node, field string, f func(key *yaml.Node, value *yaml.Node, path string)) {
 	if n.Kind != yaml.MappingNode {
-		r.wrong(n, field, "is "+kindName(n), "a mapping of fields to values")
+		r.addProblem(n, field, "is "+kindName(n), "a mapping of fields to values")
 		return
 	}
 	seen := map[string]int{}
@@ -121,7 +128,7 @@
 		key, value := n.Content[i], n.Content[i+1]
 		path := join(field, key.Value)
 		if line, ok := seen[key.Value]; ok {
-			r.wrong(key, path, fmt.Sprintf("is set a second time, first at line %d", line), "each field at most once")
+			r.addProblem(key, path, fmt.Sprintf("is already set at line %d", line), "each field at most once")
 			continue
 		}
 		seen[key.Value] = key.Line
@@ -129,31 +136,33 @@
 	}
 }
 
-func orRoot(field string) string {
+// fieldOrDocument returns the path, or documentField for the root.
+func fieldOrDocument(field string) string {
 	if field == "" {
-		return document
+		return documentField
 	}
 	return field
 }
 
-func (r *reader) object(n *yaml.Node, v reflect.Value, field string) {
+// decodeStruct decodes a mapping into a struct.
+func (r *fileReader) decodeStruct(n *yaml.Node, v reflect.Value, field string) {
 	names, byName := yamlFields(v.Type())
-	r.keys(n, field, func(key, value *yaml.Node, path string) {
+	r.eachKey(n, field, func(key, value *yaml.Node, path string) {
 		i, ok := byName[key.Value]
 		if !ok {
-			r.wrong(key, path, "unknown field", "one of "+strings.Join(names, ", "))
+			r.addProblem(key, path, "unknown field", "one of "+strings.Join(names, ", "))
 			return
 		}
 		if isNull(value) {
-			r.wrong(key, path, "has no value", "a value, or leave the field out")
+			r.addProblem(key, path, "has no value", "a value, or leave the field out")
 			return
 		}
-		r.at[path] = r.position(key.Line)
-		r.value(value, v.Field(i), path)
+		r.positions[path] = r.position(key.Line)
+		r.decodeValue(value, v.Field(i), path)
 	})
 }
 
-// yamlFields lists a struct's YAML names and their field indices.
+// yamlFields returns the YAML names of a struct's fields, and the index of each field by name.
 func yamlFields(t reflect.Type) (names []string, byName map[string]int) {
 	byName = map[string]int{}
 	for i := range t.NumField() {
@@ -164,42 +173,46 @@
 	return names, byName
 }
 
-func (r *reader) list(n *yaml.Node, v reflect.Value, field string) {
+// decodeList decodes a sequence into a slice.
+func (r *fileReader) decodeList(n *yaml.Node, v reflect.Value, field string) {
 	if n.Kind != yaml.SequenceNode {
-		r.wrong(n, field, "is "+kindName(n), "a list")
+		r.addProblem(n, field, "is "+kindName(n), "a list")
 		return
 	}
 	for i, item := range n.Content {
 		path := fmt.Sprintf("%s[%d]", field, i+r.offsets[field])
-		r.at[path] = r.position(item.Line)
+		r.positions[path] = r.position(item.Line)
 		e := reflect.New(v.Type().Elem()).Elem()
-		r.value(item, e, path)
+		r.decodeValue(item, e, path)
 		v.Set(reflect.Append(v, e))
 	}
 }
 
-func (r *reader) mapping(n *yaml.Node, v reflect.Value, field string) {
+// decodeMap decodes a mapping into a map whose keys are strings.
+func (r *fileReader) decodeMap(n *yaml.Node, v reflect.Value, field string) {
 	v.Set(reflect.MakeMap(v.Type()))
-	r.keys(n, field, func(key, value *yaml.Node, _ string) {
+	r.eachKey(n, field, func(key, value *yaml.Node, _ string) {
 		path := field + "[" + key.Value + "]"
-		r.at[path] = r.position(key.Line)
+		r.positions[path] = r.position(key.Line)
 		e := reflect.New(v.Type().Elem()).Elem()
-		r.value(value, e, path)
+		r.decodeValue(value, e, path)
 		v.SetMapIndex(reflect.ValueOf(key.Value), e)
 	})
 }
 
-func (r *reader) scalar(n *yaml.Node, v reflect.Value, field string) {
+// decodeScalar decodes a scalar node into a value of a basic type.
+func (r *fileReader) decodeScalar(n *yaml.Node, v reflect.Value, field string) {
 	if n.Kind != yaml.ScalarNode || isNull(n) {
-		r.wrong(n, field, "is "+kindName(n), scalarAllowed(v))
+		r.addProblem(n, field, "is "+kindName(n), allowedScalar(v))
 		return
 	}
 	if !setScalar(n, v) {
-		r.wrong(n, field, fmt.Sprintf("%q does not fit", n.Value), scalarAllowed(v))
+		r.addProblem(n, field, fmt.Sprintf("%q is not valid", n.Value), allowedScalar(v))
 	}
 }
 
-// setScalar stores a scalar node and reports whether it fits the type.
+// setScalar stores the value of a scalar node in v and reports whether it is valid for the type
+// of v.
 func setScalar(n *yaml.Node, v reflect.Value) bool {
 	var err error
 	switch p := v.Addr().Interface().(type) {
@@ -223,12 +236,13 @@
 	return err == nil
 }
 
-func scalarAllowed(v reflect.Value) string {
+// allowedScalar describes the valid values for the type of v.
+func allowedScalar(v reflect.Value) string {
 	switch v.Addr().Interface().(type) {
 	case *Duration:
 		return "a duration with its unit, such as 250ms, 30s or 10m"
 	case *Money:
-		return "a decimal amount with at most six places, such as 12.50"
+		return "a decimal amount with at most six decimal places, such as 12.50"
 	case *float64:
 		return "a number"
 	case *int:
@@ -236,10 +250,11 @@
 	case *bool:
 		return "true or false"
 	default:
-		return "text, in quotes if YAML reads it otherwise"
+		return "a string, in quotes if YAML would read another type"
 	}
 }
 
+// kindName describes the kind of a node in a problem.
 func kindName(n *yaml.Node) string {
 	switch {
 	case n.Kind == yaml.SequenceNode:
--- a/internal/core/config/validate.go
+++ b/internal/core/config/validate.go
@@ -14,61 +14,61 @@
 	"mulberrylug.example/mulberrylug/internal/core/mechanism"
 )
 
-// safeName is the alphabet of names. They become parts of table keys, paths
-// and log lines, so that a slash, colon or space in one could make two
-// different names meet in the same key.
-var safeName = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
+// safeNamePattern matches valid names. Names become parts of table keys, paths and log lines,
+// so that a slash, colon or space in a name could give two different names the same key.
+var safeNamePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
-// rules holds the validator with the project's own rules. It is safe for
-// concurrent use.
-var rules = newRules()
+// structValidator applies the rules in validate tags, including this project's own rules. It is
+// safe for concurrent use.
+var structValidator = newStructValidator()
 
-func newRules() *validator.Validate {
+// newStructValidator returns a validator that reports fields by their YAML names.
+func newStructValidator() *validator.Validate {
 	v := validator.New()
 	v.RegisterTagNameFunc(func(f reflect.StructField) string {
 		name, _, _ := strings.Cut(f.Tag.Get("yaml"), ",")
 		return name
 	})
-	register := func(tag string, ok func(s string) bool) {
-		err := v.RegisterValidation(tag, func(fl validator.FieldLevel) bool { return ok(fl.Field().String()) })
-		if err != nil { // only for an empty tag or a nil function
+	register := func(tag string, isValid func(s string) bool) {
+		err := v.RegisterValidation(tag, func(fl validator.FieldLevel) bool { return isValid(fl.Field().String()) })
+		if err != nil { // only possible for an empty tag or a nil function
 			panic(err)
 		}
 	}
-	register("safename", safeName.MatchString)
+	register("safename", safeNamePattern.MatchString)
 	register("ipport", isIPPort)
 	register("mechanism", mechanism.Known)
 	return v
 }
 
-// isIPPort reports whether others can reach an address that is listened on as
-// it stands: instances announce it to callers and peers.
+// isIPPort reports whether a listen address can also be announced to callers and peers:
+// unspecified addresses cannot.
 func isIPPort(s string) bool {
 	a, err := netip.ParseAddrPort(s)
 	return err == nil && !a.Addr().IsUnspecified()
 }
 
-// check adds all that is wrong with the merged configuration.
+// check records every problem of the merged configuration.
 func (c *Config) check(f *findings) {
 	checkRules(f, c)
-	c.checkPresent(f)
+	c.checkPrices(f)
 	dcs := c.checkRegions(f)
-	models := names(f, "models", c.Models, func(m Model) string { return m.Name })
-	services := names(f, "services", c.Services, func(s Service) string { return s.Name })
-	names(f, "organisations", c.Organisations, func(o Organisation) string { return o.Name })
-	names(f, "upstreams", c.Upstreams, func(u Upstream) string { return u.Name })
+	models := checkUniqueNames(f, "models", c.Models, func(m Model) string { return m.Name })
+	services := checkUniqueNames(f, "services", c.Services, func(s Service) string { return s.Name })
+	checkUniqueNames(f, "organisations", c.Organisations, func(o Organisation) string { return o.Name })
+	checkUniqueNames(f, "upstreams", c.Upstreams, func(u Upstream) string { return u.Name })
 	c.checkServices(f, models)
 	c.checkOrganisations(f, services)
 	c.checkAllowedRegions(f)
 	for i, u := range c.Upstreams {
 		at := fmt.Sprintf("upstreams[%d]", i)
-		known(f, at+".service", u.Service, "service", services)
-		known(f, at+".data_centre", u.DataCentre, "data centre", dcs)
+		checkNameExists(f, at+".service", u.Service, "service", services)
+		checkNameExists(f, at+".data_centre", u.DataCentre, "data centre", dcs)
 	}
 }
 
-// checkAllowedRegions refuses regions that the deployment does not have, and organisations
-// that no service which they may call shares a region with.
+// checkAllowedRegions reports regions that the deployment does not have, and services that
+// allow none of the regions of an organisation that may call them.
 func (c *Config) checkAllowedRegions(f *findings) {
 	regions := map[string]bool{}
 	for name := range c.Deployment.Regions {
@@ -79,51 +79,52 @@
 		s := &c.Services[i]
 		services[s.Name] = s
 		for k, name := range s.AllowedRegions {
-			known(f, fmt.Sprintf("services[%d].allowed_regions[%d]", i, k), name, "region", regions)
+			checkNameExists(f, fmt.Sprintf("services[%d].allowed_regions[%d]", i, k), name, "region", regions)
 		}
 	}
 	for i, o := range c.Organisations {
 		for k, name := range o.AllowedRegions {
-			known(f, fmt.Sprintf("organisations[%d].allowed_regions[%d]", i, k), name, "region", regions)
+			checkNameExists(f, fmt.Sprintf("organisations[%d].allowed_regions[%d]", i, k), name, "region", regions)
 		}
 		for k, name := range o.Services {
 			if s := services[name]; s != nil && !s.sharesRegion(o.AllowedRegions) {
-				f.add(fmt.Sprintf("organisations[%d].services[%d]", i, k), fmt.Sprintf("service %q and the organisation allow no region in common", name), "one that both allow")
+				f.add(fmt.Sprintf("organisations[%d].services[%d]", i, k), fmt.Sprintf("service %q and the organisation allow no region in common", name), "a service that allows one of the organisation's regions")
 			}
 		}
 	}
 }
 
-// sharesRegion reports whether the service allows one of some regions; none stands for all.
+// sharesRegion reports whether the service allows at least one of the regions; an empty list
+// stands for all regions.
 func (s *Service) sharesRegion(regions []string) bool {
 	return len(regions) == 0 || slices.ContainsFunc(regions, s.AllowsRegion)
 }
 
-// checkRules applies the rules in a struct's tags.
+// checkRules reports the violations of the rules in the validate tags of a struct.
 func checkRules(f *findings, v any) {
-	err := rules.Struct(v)
-	var wrong validator.ValidationErrors
-	if !errors.As(err, &wrong) {
+	err := structValidator.Struct(v)
+	var violations validator.ValidationErrors
+	if !errors.As(err, &violations) {
 		return
 	}
-	for _, e := range wrong {
+	for _, e := range violations {
 		_, field, _ := strings.Cut(e.Namespace(), ".")
-		said, allowed := ruleText(e)
+		problem, allowed := ruleText(e)
 		if !f.has(field) {
-			said = "is missing"
+			problem = "is missing"
 		}
-		f.add(field, said, allowed)
+		f.add(field, problem, allowed)
 	}
 }
 
-// ruleText words a broken rule: what is wrong and what is allowed.
+// ruleText describes the violation of a rule: what is wrong and what is allowed.
 func ruleText(e validator.FieldError) (wrong, allowed string) {
 	wrong = fmt.Sprintf("%q is not allowed", fmt.Sprint(e.Value()))
 	switch e.Tag() {
 	case "safename":
 		return wrong, "1 to 63 letters, digits, dots, dashes and underscores, beginning with a letter or digit"
 	case "ipport":
-		return wrong, "IP:port of this machine as others reach it, such as 10.0.0.7:7001; port 0 takes a free one"
+		return wrong, "IP:port at which others reach this instance, such as 10.0.0.7:7001; port 0 selects a free port"
 	case "mechanism":
 		return wrong, "one of " + mechanism.Allowed()
 	case "http_url":
@@ -132,7 +133,7 @@
 		return "is empty", "it must be set"
 	case "min":
 		if e.Kind() != reflect.String {
-			return "is empty", "at least one entry"
+			return "is empty", "at least one element"
 		}
 		return fmt.Sprintf("has %d characters", len(fmt.Sprint(e.Value()))), "at least " + e.Param() + " characters"
 	case "len", "hexadecimal", "lowercase":
@@ -148,9 +149,9 @@
 	}
 }
 
-// checkPresent refuses prices that are left out: a call without a price would
-// cost nothing, which an operator should say and not forget.
-func (c *Config) checkPresent(f *findings) {
+// checkPrices reports prices that are not set. A call without a price would be free, which
+// operators must state explicitly.
+func (c *Config) checkPrices(f *findings) {
 	var prices []string
 	for i := range c.Models {
 		at := fmt.Sprintf("models[%d].", i)
@@ -168,7 +169,8 @@
 	}
 }
 
-// checkRegions returns the data centres of all regions.
+// checkRegions reports data centres in several regions and weights that are all 0. It returns
+// the set of all data centres.
 func (c *Config) checkRegions(f *findings) map[string]bool {
 	regionOf := map[string]string{}
 	dcs := map[string]bool{}
@@ -176,7 +178,7 @@
 		for i, dc := range c.Deployment.Regions[region] {
 			field := fmt.Sprintf("deployment.regions[%s][%d]", region, i)
 			if other, ok := regionOf[dc]; ok {
-				f.add(field, fmt.Sprintf("data centre %q stands in region %q already", dc, other), "each data centre in one region, once")
+				f.add(field, fmt.Sprintf("data centre %q is already in region %q", dc, other), "each data centre in exactly one region")
 			}
 			regionOf[dc], dcs[dc] = region, true
 		}
@@ -188,16 +190,16 @@
 	return dcs
 }
 
-// names reports duplicate names in a list and returns the set of them.
-func names[T any](f *findings, list string, items []T, name func(T) string) map[string]bool {
+// checkUniqueNames reports duplicate names in a list and returns the set of names.
+func checkUniqueNames[T any](f *findings, list string, items []T, name func(T) string) map[string]bool {
 	first := map[string]int{}
 	set := map[string]bool{}
 	for i, item := range items {
 		n := name(item)
 		field := fmt.Sprintf("%s[%d].name", list, i)
 		if j, ok := first[n]; ok && n != "" {
-			at := f.where(fmt.Sprintf("%s[%d].name", list, j))
-			f.add(field, fmt.Sprintf("%q is taken, first at %s:%d", n, at.file, at.line), "each name once")
+			at := f.positionOf(fmt.Sprintf("%s[%d].name", list, j))
+			f.add(field, fmt.Sprintf("%q is already used at %s:%d", n, at.file, at.line), "a unique name")
 			continue
 		}
 		first[n], set[n] = i, true
@@ -205,23 +207,26 @@
 	return set
 }
 
-// known reports a name that nothing bears.
-func known(f *findings, field, name, what string, set map[string]bool) {
+// checkNameExists reports a name that is not in the set of names of its kind.
+func checkNameExists(f *findings, field, name, kind string, set map[string]bool) {
 	if name != "" && !set[name] {
-		f.add(field, fmt.Sprintf("there is no %s %q", what, name), "one of "+listed(set))
+		f.add(field, fmt.Sprintf("there is no %s %q", kind, name), "one of "+joinLimited(set))
 	}
 }
 
-// listed names the members of a set, at most a few of them.
-func listed(set map[string]bool) string {
-	const most = 10
+// joinLimited returns the first elements of a set, separated by commas, and the number of the
+// others.
+func joinLimited(set map[string]bool) string {
+	const limit = 10
 	all := sortedKeys(set)
-	if len(all) > most {
-		return fmt.Sprintf("%s and %d more", strings.Join(all[:most], ", "), len(all)-most)
+	if len(all) > limit {
+		return fmt.Sprintf("%s and %d more", strings.Join(all[:limit], ", "), len(all)-limit)
 	}
 	return strings.Join(all, ", ")
 }
 
+// checkServices reports fields that do not apply to the kind of a service, and problems of
+// engine services.
 func (c *Config) checkServices(f *findings, models map[string]bool) {
 	servedBy := map[string]string{}
 	for i, s := range c.Services {
@@ -240,14 +245,16 @@
 	}
 }
 
+// checkEngine reports problems of an engine service. servedBy maps models to the services that
+// serve them.
 func (c *Config) checkEngine(f *findings, at string, s Service, models map[string]bool, servedBy map[string]string) {
 	switch other := servedBy[s.Model]; {
 	case s.Model == "":
-		f.add(at+"model", "is missing", "one of "+listed(models))
+		f.add(at+"model", "is missing", "one of "+joinLimited(models))
 	case other != "":
-		f.add(at+"model", fmt.Sprintf("model %q is served by service %q already", s.Model, other), "each model by one service")
+		f.add(at+"model", fmt.Sprintf("model %q is already served by service %q", s.Model, other), "each model served by exactly one service")
 	default:
-		known(f, at+"model", s.Model, "model", models)
+		checkNameExists(f, at+"model", s.Model, "model", models)
 	}
 	servedBy[s.Model] = s.Name
 	if s.CallPrice != 0 {
@@ -258,6 +265,8 @@
 	}
 }
 
+// checkOrganisations reports keys that are used more than once, and services that are listed
+// more than once or do not exist.
 func (c *Config) checkOrganisations(f *findings, services map[string]bool) {
 	owner := map[string]string{}
 	for i, o := range c.Organisations {
@@ -265,7 +274,7 @@
 		for j, digest := range o.KeySHA256 {
 			field := fmt.Sprintf("%skey_sha256[%d]", at, j)
 			if other, ok := owner[digest]; ok {
-				f.add(field, fmt.Sprintf("organisation %q has this key already", other), "each key in one organisation, once")
+				f.add(field, fmt.Sprintf("organisation %q already has this key", other), "each key in exactly one organisation")
 			}
 			owner[digest] = o.Name
 		}
@@ -273,10 +282,10 @@
 		for j, s := range o.Services {
 			field := fmt.Sprintf("%sservices[%d]", at, j)
 			if seen[s] {
-				f.add(field, fmt.Sprintf("%q is listed a second time", s), "each service once")
+				f.add(field, fmt.Sprintf("service %q is already listed", s), "each service at most once")
 			}
 			seen[s] = true
-			known(f, field, s, "service", services)
+			checkNameExists(f, field, s, "service", services)
 		}
 	}
 }
--- a/internal/core/config/version.go
+++ b/internal/core/config/version.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// poolMax is the most upstreams that one home places work on together. A
-// service with more of them in a region is split into a pool for each data
-// centre, which bounds what one home carries.
-const poolMax = 16
+// maxPoolUpstreams is the maximum number of upstreams in a pool that spans a region. A service
+// with more upstreams in a region has one pool for each data centre of the region, which limits
+// the load of one home.
+const maxPoolUpstreams = 16
 
-// Version is one applied configuration with the lookups that requests need.
-// It is immutable; requests keep the one they started with.
+// Version is one applied version of the configuration, with the lookups that requests need. It
+// is immutable; each request keeps the version that it started with.
 type Version struct {
 	Number int64
 	Hash   string
@@ -30,16 +30,16 @@
 	poolOf    map[string]string
 }
 
-// Pool is a set of upstreams of one service that one home places work on.
+// Pool is a set of upstreams of one service on which one home places work.
 type Pool struct {
 	Name       string
 	Service    string
 	Region     string
-	DataCentre string // empty when the pool spans its region
+	DataCentre string // empty if the pool spans its region
 	Upstreams  []string
 }
 
-// Compile builds the lookups of a configuration version.
+// Compile builds the lookups of a version of the configuration.
 func Compile(number int64, hash string, cfg *Config) *Version {
 	v := &Version{
 		Number: number, Hash: hash, Config: cfg,
@@ -74,6 +74,7 @@
 	return v
 }
 
+// compilePools assigns the upstreams to pools.
 func (v *Version) compilePools() {
 	perRegion := map[string]int{}
 	for i := range v.Config.Upstreams {
@@ -84,7 +85,7 @@
 	for _, u := range v.Config.Upstreams {
 		region := v.regionOf[u.DataCentre]
 		p := Pool{Name: u.Service + "@" + region, Service: u.Service, Region: region}
-		if perRegion[p.Name] > poolMax {
+		if perRegion[p.Name] > maxPoolUpstreams {
 			p.Name, p.DataCentre = u.Service+"@"+u.DataCentre, u.DataCentre
 		}
 		if v.pools[p.Name] == nil {
@@ -95,40 +96,40 @@
 	}
 }
 
-// HashKey returns the digest under which an API key is configured.
+// HashKey returns the digest by which an API key appears in the configuration.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// OrganisationByKey finds the organisation that an API key belongs to, or nil.
+// OrganisationByKey returns the organisation that an API key belongs to, or nil.
 func (v *Version) OrganisationByKey(key string) *Organisation { return v.orgByKey[HashKey(key)] }
 
-// Organisation finds an organisation by name, or nil.
+// Organisation returns the organisation with the given name, or nil.
 func (v *Version) Organisation(name string) *Organisation { return v.orgs[name] }
 
-// Service finds a service by name, or nil.
+// Service returns the service with the given name, or nil.
 func (v *Version) Service(name string) *Service { return v.services[name] }
 
-// ServiceForModel finds the engine service that serves a model, or nil.
+// ServiceForModel returns the engine service that serves a model, or nil.
 func (v *Version) ServiceForModel(model string) *Service { return v.byModel[model] }
 
-// Model finds a model by name, or nil.
+// Model returns the model with the given name, or nil.
 func (v *Version) Model(name string) *Model { return v.models[name] }
 
-// Upstream finds an upstream by name, or nil.
+// Upstream returns the upstream with the given name, or nil.
 func (v *Version) Upstream(name string) *Upstream { return v.upstreams[name] }
 
-// Region returns the region of a data centre, or "".
+// Region returns the region of a data centre, or "" if it has none.
 func (v *Version) Region(dataCentre string) string { return v.regionOf[dataCentre] }
 
-// Pool finds a pool by name, or nil.
+// Pool returns the pool with the given name, or nil.
 func (v *Version) Pool(name string) *Pool { return v.pools[name] }
 
-// PoolOf returns the name of the pool an upstream belongs to, or "".
+// PoolOf returns the name of the pool that an upstream belongs to, or "".
 func (v *Version) PoolOf(upstream string) string { return v.poolOf[upstream] }
 
-// PoolsFor lists the pools of a service, the caller's data centre first, then
+// PoolsFor returns the pools of a service: those in the given data centre first, then those in
 // its region, then the others.
 func (v *Version) PoolsFor(service, dataCentre string) []*Pool {
 	var near, region, far []*Pool
@@ -147,7 +148,7 @@
 	return append(append(near, region...), far...)
 }
 
-// Renumbered returns the same configuration under another number.
+// Renumbered returns a copy of the version with another number.
 func (v *Version) Renumbered(number int64) *Version {
 	c := *v
 	c.Number = number
@@ -162,11 +163,13 @@
 	return allowsRegion(o.AllowedRegions, region)
 }
 
+// allowsRegion reports whether a list of allowed regions, where empty stands for all, contains
+// a region.
 func allowsRegion(allowed []string, region string) bool {
 	return len(allowed) == 0 || slices.Contains(allowed, region)
 }
 
-// Allows reports whether the organisation may call the service.
+// Allows reports whether the organisation may call a service.
 func (o *Organisation) Allows(service string) bool {
 	for _, s := range o.Services {
 		if s == service {
@@ -176,7 +179,7 @@
 	return false
 }
 
-// PeriodLength returns the length of the accounting period.
+// PeriodLength returns the duration of the accounting period.
 func (l Limits) PeriodLength() time.Duration {
 	const day = 24 * time.Hour
 	switch l.Period {
