--- a/internal/core/config/defaults.go
+++ b/internal/core/config/defaults.go
@@ -39,22 +39,22 @@
 	}
 }
 
-func (s *Service) setDefaults(has func(string) bool, at string) {
+func (s *Service) setDefaults(has func(string) bool, prefix string) {
 	timeout := defaultPlainTimeout
 	if s.Kind == KindEngine {
 		timeout = defaultEngineTimeout
-		setDefault(has, at+"first_token", &s.FirstToken, defaultFirstToken)
+		setDefault(has, prefix+"first_token", &s.FirstToken, defaultFirstToken)
 	}
-	setDefault(has, at+"timeout", &s.Timeout, timeout)
-	setDefault(has, at+"max_wait", &s.MaxWait, defaultMaxWait)
+	setDefault(has, prefix+"timeout", &s.Timeout, timeout)
+	setDefault(has, prefix+"max_wait", &s.MaxWait, defaultMaxWait)
 }
 
-func (l *Limits) setDefaults(has func(string) bool, at string) {
-	setDefault(has, at+"period", &l.Period, defaultPeriod)
-	setDefault(has, at+"requests_per_second", &l.RequestsPerSecond, defaultRequestsPerSec)
-	setDefault(has, at+"tokens_per_second", &l.TokensPerSecond, defaultTokensPerSec)
-	setDefault(has, at+"max_output_tokens", &l.MaxOutputTokens, defaultMaxOutputTokens)
-	setDefault(has, at+"concurrent", &l.Concurrent, defaultConcurrent)
+func (l *Limits) setDefaults(has func(string) bool, prefix string) {
+	setDefault(has, prefix+"period", &l.Period, defaultPeriod)
+	setDefault(has, prefix+"requests_per_second", &l.RequestsPerSecond, defaultRequestsPerSec)
+	setDefault(has, prefix+"tokens_per_second", &l.TokensPerSecond, defaultTokensPerSec)
+	setDefault(has, prefix+"max_output_tokens", &l.MaxOutputTokens, defaultMaxOutputTokens)
+	setDefault(has, prefix+"concurrent", &l.Concurrent, defaultConcurrent)
 }
 
 // setDefault sets a field to its default if the files do not set it.
--- a/internal/core/config/parse_test.go
+++ b/internal/core/config/parse_test.go
@@ -73,7 +73,7 @@
 		want  []string
 	}{
 		{
-			"two in one file, in the order of lines",
+			"two problems in one file, in the order of lines",
 			[]string{strings.NewReplacer("spend: 10", "spend: 0", "service: desk, d", "service: dask, d").Replace(validFile())},
 			[]string{
 				`f1.yaml:9: organisations[0].limits.spend: "0" is not allowed; more than 0`,
--- a/internal/core/config/validate.go
+++ b/internal/core/config/validate.go
@@ -15,7 +15,7 @@
 )
 
 // safeNamePattern matches valid names. Names become parts of table keys, paths and log lines,
-// so that a slash, colon or space in a name could give two different names the same key.
+// so that with a slash, colon or space two different names could result in the same key.
 var safeNamePattern = regexp.MustCompile(`^[A-Za-z0-9][A-Za-z0-9._-]{0,62}$`)
 
 // structValidator applies the rules in validate tags, including this project's own rules. It is
@@ -41,8 +41,8 @@
 	return v
 }
 
-// isIPPort reports whether a listen address can also be announced to callers and peers:
-// unspecified addresses cannot.
+// isIPPort reports whether a string is an IP address with a port that instances can listen on
+// and announce to callers and peers. An unspecified address cannot be announced.
 func isIPPort(s string) bool {
 	a, err := netip.ParseAddrPort(s)
 	return err == nil && !a.Addr().IsUnspecified()
@@ -61,9 +61,9 @@
 	c.checkOrganisations(f, services)
 	c.checkAllowedRegions(f)
 	for i, u := range c.Upstreams {
-		at := fmt.Sprintf("upstreams[%d]", i)
-		checkNameExists(f, at+".service", u.Service, "service", services)
-		checkNameExists(f, at+".data_centre", u.DataCentre, "data centre", dcs)
+		prefix := fmt.Sprintf("upstreams[%d]", i)
+		checkNameExists(f, prefix+".service", u.Service, "service", services)
+		checkNameExists(f, prefix+".data_centre", u.DataCentre, "data centre", dcs)
 	}
 }
 
@@ -154,8 +154,8 @@
 func (c *Config) checkPrices(f *findings) {
 	var prices []string
 	for i := range c.Models {
-		at := fmt.Sprintf("models[%d].", i)
-		prices = append(prices, at+"prompt_price", at+"output_price")
+		prefix := fmt.Sprintf("models[%d].", i)
+		prices = append(prices, prefix+"prompt_price", prefix+"output_price")
 	}
 	for i, s := range c.Services {
 		if s.Kind == KindPlain {
@@ -230,16 +230,16 @@
 func (c *Config) checkServices(f *findings, models map[string]bool) {
 	servedBy := map[string]string{}
 	for i, s := range c.Services {
-		at := fmt.Sprintf("services[%d].", i)
+		prefix := fmt.Sprintf("services[%d].", i)
 		switch s.Kind {
 		case KindEngine:
-			c.checkEngine(f, at, s, models, servedBy)
+			c.checkEngine(f, prefix, s, models, servedBy)
 		case KindPlain:
 			if s.Model != "" {
-				f.add(at+"model", "is set for a plain service", "only services of kind engine have it")
+				f.add(prefix+"model", "is set for a plain service", "only services of kind engine have it")
 			}
 			if s.FirstToken != 0 {
-				f.add(at+"first_token", "is set for a plain service", "only services of kind engine have it")
+				f.add(prefix+"first_token", "is set for a plain service", "only services of kind engine have it")
 			}
 		}
 	}
@@ -247,21 +247,21 @@
 
 // checkEngine reports problems of an engine service. servedBy maps models to the services that
 // serve them.
-func (c *Config) checkEngine(f *findings, at string, s Service, models map[string]bool, servedBy map[string]string) {
+func (c *Config) checkEngine(f *findings, prefix string, s Service, models map[string]bool, servedBy map[string]string) {
 	switch other := servedBy[s.Model]; {
 	case s.Model == "":
-		f.add(at+"model", "is missing", "one of "+joinLimited(models))
+		f.add(prefix+"model", "is missing", "one of "+joinLimited(models))
 	case other != "":
-		f.add(at+"model", fmt.Sprintf("model %q is already served by service %q", s.Model, other), "each model served by exactly one service")
+		f.add(prefix+"model", fmt.Sprintf("model %q is already served by service %q", s.Model, other), "each model served by exactly one service")
 	default:
-		checkNameExists(f, at+"model", s.Model, "model", models)
+		checkNameExists(f, prefix+"model", s.Model, "model", models)
 	}
 	servedBy[s.Model] = s.Name
 	if s.CallPrice != 0 {
-		f.add(at+"call_price", "is set for an engine service", "only services of kind plain have it; models have prices for tokens")
+		f.add(prefix+"call_price", "is set for an engine service", "only services of kind plain have it; models have prices for tokens")
 	}
-	if f.has(at+"first_token") && s.FirstToken == 0 {
-		f.add(at+"first_token", `"0s" is not allowed`, "more than 0")
+	if f.has(prefix+"first_token") && s.FirstToken == 0 {
+		f.add(prefix+"first_token", `"0s" is not allowed`, "more than 0")
 	}
 }
 
@@ -270,9 +270,9 @@
 func (c *Config) checkOrganisations(f *findings, services map[string]bool) {
 	owner := map[string]string{}
 	for i, o := range c.Organisations {
-		at := fmt.Sprintf("organisations[%d].", i)
+		prefix := fmt.Sprintf("organisations[%d].", i)
 		for j, digest := range o.KeySHA256 {
-			field := fmt.Sprintf("%skey_sha256[%d]", at, j)
+			field := fmt.Sprintf("%skey_sha256[%d]", prefix, j)
 			if other, ok := owner[digest]; ok {
 				f.add(field, fmt.Sprintf("organisation %q already has this key", other), "each key in exactly one organisation")
 			}
@@ -280,7 +280,7 @@
 		}
 		seen := map[string]bool{}
 		for j, s := range o.Services {
-			field := fmt.Sprintf("%sservices[%d]", at, j)
+			field := fmt.Sprintf("%sservices[%d]", prefix, j)
 			if seen[s] {
 				f.add(field, fmt.Sprintf("service %q is already listed", s), "each service at most once")
 			}
--- a/internal/core/msg/fleet.go
+++ b/internal/core/msg/fleet.go
@@ -85,7 +85,7 @@
 	Digest uint64
 	// Age is the time since the relay announced this content.
 	Age time.Duration
-	// Members lists the instances; nil if the list is the same as previously announced.
+	// Members lists the instances; nil if the list has not changed since it was last announced.
 	Members []Heartbeat
 	// Base is set if this is a change to an earlier list: the name of the relay in the same
 	// data centre, this one or another, that announced that list. Members then contains only
@@ -104,6 +104,7 @@
 // the requester's versions. It is answered as soon as there is an update or after a short time,
 // because a response also confirms that there is no update.
 type SyncAsk struct {
+	// Number identifies the request; Config is the version of the requester's configuration.
 	Number int64
 	Config int64
 	// Cordons is the version of the requester's cordons; 0 if it has none.
--- a/internal/core/msg/msg.go
+++ b/internal/core/msg/msg.go
@@ -84,8 +84,7 @@
 	Decision placement.Decision
 	// Address is the upstream's address for calls, if the attempt is granted.
 	Address string
-	// Entry is the upstream's entry, for an entry instance that may not have it; nil if that
-	// has it.
+	// Entry is the upstream's entry in the list; nil if the receiver is expected to have it.
 	Entry *roster.Entry
 	// Boot identifies the upstream's run, as of its last report.
 	Boot string
@@ -110,7 +109,7 @@
 	// Unreachable is set if no connection to Upstream could be made.
 	Unreachable bool
 	// Cut is set if the caller had disconnected. Tokens is then not the length of a complete
-	// answer, as with a failed attempt.
+	// answer; the same holds for a failed attempt.
 	Cut bool
 }
 
--- a/internal/core/roster/bench_test.go
+++ b/internal/core/roster/bench_test.go
@@ -14,7 +14,7 @@
 	r.Replace(start, all, int64(len(all)))
 	r.Divide(start)
 	layout, divided := r.Layout()
-	return r, Question{Version: r.Newest(), Divided: divided, Groups: layout.Own("large", "a", "i1", anywhere)}
+	return r, Question{Version: r.Newest(), Divided: divided, Groups: layout.Own("large", "a", "i1", allOpen)}
 }
 
 func BenchmarkAnswerNothingNew(b *testing.B) {
--- a/internal/core/roster/group.go
+++ b/internal/core/roster/group.go
@@ -91,8 +91,8 @@
 	return Group{Service: e.Service, DataCentre: e.DataCentre, Index: groupIndex(e.ID, of), Of: of}
 }
 
-// groupIndex hashes a name to an index from 0 to of-1.
-func groupIndex(name string, of int) int { return int(xxhash.Sum64String(name) % uint64(of)) }
+// groupIndex hashes a name to an index from 0 to n-1.
+func groupIndex(name string, n int) int { return int(xxhash.Sum64String(name) % uint64(n)) }
 
 // Groups returns the groups of a divided service in one data centre, or in all data centres if
 // dataCentre is "".
--- a/internal/core/roster/group_test.go
+++ b/internal/core/roster/group_test.go
@@ -41,7 +41,7 @@
 	layout, divided := reader.Layout()
 	var own []Group
 	for service := range layout {
-		own = append(own, layout.Own(service, dataCentre, instance, anywhere)...)
+		own = append(own, layout.Own(service, dataCentre, instance, allOpen)...)
 	}
 	groups := append(reader.Since(start, r.Newest(), own), reader.Copies(start, own)...)
 	r.Adopt(start, Share{Version: reader.Newest(), Layout: layout, Divided: divided, Groups: groups})
@@ -125,7 +125,7 @@
 	r.Update(at(divideDelay), doubled, v+200)
 	r.Divide(at(divideDelay))
 	if r.Divide(at(2*divideDelay-time.Second)) || !r.Divide(at(2*divideDelay)) {
-		t.Error("service must be divided divideDelay after its second increase, and not before")
+		t.Error("Divide does not divide the service exactly divideDelay after the second increase")
 	}
 }
 
@@ -170,7 +170,7 @@
 		t.Errorf("%d upstreams of the small service are known, want 6", len(follower.Of("small")))
 	}
 	layout, _ := r.Layout()
-	own := layout.Own("large", "b", "i1", anywhere)
+	own := layout.Own("large", "b", "i1", allOpen)
 	for _, g := range own {
 		if !follower.Knows(g) || len(follower.In(g)) != len(r.In(g)) || g.DataCentre != "b" {
 			t.Errorf("group %s: %d upstreams known, want all %d of a group in data centre b", g.Name(), len(follower.In(g)), len(r.In(g)))
@@ -180,7 +180,7 @@
 	v := r.Newest()
 	r.Update(at(time.Second), []Change{{ID: removed.ID, Version: v + 1, Removed: true}}, v+1)
 	if changed := r.Since(start, v, own); len(changed) != 1 || changed[0].Group != own[0] {
-		t.Errorf("Since returns %d of the own groups, want only the one that changed", len(changed))
+		t.Errorf("Since returns %d of the follower's groups, want only the one that changed", len(changed))
 	}
 	if changed := r.Since(start, v, nil); len(changed) != 1 {
 		t.Errorf("Since returns %d of all groups, want only the one that changed", len(changed))
@@ -223,7 +223,7 @@
 	}
 	syncFrom(follower, r, "i1", "a")
 	layout, _ := r.Layout()
-	for _, g := range layout.Own("s", "a", "i1", anywhere) {
+	for _, g := range layout.Own("s", "a", "i1", allOpen) {
 		if !slices.Equal(names(follower.In(g)), names(r.In(g))) {
 			t.Errorf("group %s: upstreams %v, want %v", g.Name(), names(follower.In(g)), names(r.In(g)))
 		}
@@ -259,7 +259,7 @@
 func TestAnswerWithoutChangesIsCheap(t *testing.T) {
 	r := newReader(t, spread("large", 1000)...)
 	layout, divided := r.Layout()
-	q := Question{Version: r.Newest(), Divided: divided, Groups: layout.Own("large", "a", "i1", anywhere)}
+	q := Question{Version: r.Newest(), Divided: divided, Groups: layout.Own("large", "a", "i1", allOpen)}
 	if allocs := testing.AllocsPerRun(100, func() { r.Answer(start, q) }); allocs > 3 {
 		t.Errorf("Answer without changes makes %.0f allocations, want at most 3", allocs)
 	}
@@ -273,7 +273,7 @@
 	layout, divided := r.Layout()
 	follower := New()
 	syncFrom(follower, r, "i1", "b")
-	own := layout.Own("large", "b", "i1", anywhere)
+	own := layout.Own("large", "b", "i1", allOpen)
 	other := layout.Groups("large", "c")[:1]
 	for _, c := range []struct {
 		name string
--- a/internal/core/roster/roster.go
+++ b/internal/core/roster/roster.go
@@ -115,8 +115,8 @@
 	}
 }
 
-// Confirm records that the list was current when a request to the store was sent; asked is that
-// time.
+// Confirm records that the list was current at the time asked, when a request was sent to the
+// store.
 func (r *Roster) Confirm(asked time.Time) {
 	if asked.After(r.confirmedAt) {
 		r.confirmedAt = asked
--- a/internal/core/roster/roster_test.go
+++ b/internal/core/roster/roster_test.go
@@ -7,7 +7,8 @@
 
 var start = time.Unix(1000, 0)
 
-func anywhere(string) bool { return true }
+// allOpen treats every data centre as open.
+func allOpen(string) bool { return true }
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
@@ -36,11 +37,11 @@
 	leaving := listed("a", 9)
 	leaving.Entry.Leaving = true
 	if left := r.Update(start, []Change{leaving}, 9); len(left) != 1 {
-		t.Fatalf("left = %v after a announced its shutdown, want a", names(left))
+		t.Fatalf("left = %v after upstream a announced its shutdown, want a", names(left))
 	}
 	r.Update(start, []Change{listed("a", 7)}, 7)
 	if r.Find("a").TakesWork() || r.Newest() != 9 {
-		t.Errorf("a stale entry made a leaving upstream accept work, or newest version = %d, want 9", r.Newest())
+		t.Errorf("after a stale entry: upstream a accepts work although it is leaving, or the newest version is %d instead of 9", r.Newest())
 	}
 	r.Update(start, []Change{{ID: "a", Version: 12, Removed: true}}, 12)
 	r.Update(start, []Change{listed("a", 10)}, 10)
@@ -67,13 +68,13 @@
 	}
 	r.Update(at(11*time.Second), []Change{listed("a", 5)}, 5)
 	if left := r.Tick(at(11900 * time.Millisecond)); left != nil {
-		t.Fatalf("%v dropped before expiryGrace had passed", names(left))
+		t.Fatalf("upstreams %v dropped before expiryGrace had passed", names(left))
 	}
 	if left := r.Tick(at(12100 * time.Millisecond)); len(left) != 1 || left[0].ID != "b" {
 		t.Fatalf("left = %v after expiryGrace, want b, whose entry was not renewed", names(left))
 	}
 	if !r.Find("a").TakesWork() || r.Find("b") != nil {
-		t.Error("want a, whose entry was renewed, to accept work and b to be dropped")
+		t.Error("want upstream a, whose entry was renewed, to accept work and upstream b to be dropped")
 	}
 }
 
@@ -85,7 +86,7 @@
 	u := r.Find("a")
 	left := r.Update(at(time.Second), []Change{{ID: "a", Version: 2, Removed: true}}, 2)
 	if len(left) != 1 || u.TakesWork() || !u.Gone || len(r.Of("pool")) != 0 {
-		t.Errorf("left = %v, upstream = %+v, want it removed from the list and not accepting work", names(left), u)
+		t.Errorf("left = %v, upstream = %+v, want the upstream removed and not accepting work", names(left), u)
 	}
 }
 
@@ -140,7 +141,7 @@
 	r.StoreDown()
 	left := r.Adopt(at(time.Second), Share{Version: 4, Groups: []GroupCopy{{Group: Whole("pool"), List: []Change{listed("b", 3)}}}})
 	if len(left) != 1 || left[0].ID != "a" || r.Find("a") != nil {
-		t.Errorf("left = %v, want a dropped at once", names(left))
+		t.Errorf("left = %v, want upstream a, which the copy does not contain", names(left))
 	}
 }
 
