--- a/internal/core/config/diff.go
+++ b/internal/core/config/diff.go
@@ -97,7 +97,7 @@
 	}
 }
 
-// nameOf returns the value of an object's field name, or "".
+// nameOf returns the value of the field "name" of an object, or "".
 func nameOf(object *yaml.Node) string {
 	for i := 0; i+1 < len(object.Content); i += 2 {
 		if object.Content[i].Value == "name" {
--- a/internal/core/msg/fleet.go
+++ b/internal/core/msg/fleet.go
@@ -52,19 +52,19 @@
 	Answer bool
 }
 
-// JoinAsk requests the live instances that the receiver knows. Like a heartbeat, it announces
-// the sender.
+// JoinAsk requests the receiver's list of live instances. Like a heartbeat, it announces the
+// sender.
 type JoinAsk struct {
 	Sender Heartbeat
-	// Known is a digest of the names of the live instances that the sender knows.
+	// Known is a digest of the names in the sender's list of live instances.
 	Known uint64
 }
 
 // JoinAnswer is the response to a JoinAsk.
 type JoinAnswer struct {
 	// Instances lists live instances and Size is the number of all live ones; both are empty if
-	// the requester knows the same instances. In a large fleet, Instances contains only a few
-	// of each other data centre.
+	// the requester has the same list. In a large fleet, Instances contains only a few of each
+	// other data centre.
 	Instances []Heartbeat
 	Size      int
 	// Settled is set if the responding instance has been alive for long enough to know the
@@ -131,7 +131,7 @@
 	// Cordons is nil if the requester has the newest version known to the sender. The cordons
 	// were confirmed together with the configuration.
 	Cordons *cordon.Set
-	// List is nil if the requester has all that the sender knows.
+	// List is nil if the requester's list is up to date.
 	List *roster.Share
 }
 
--- a/internal/core/msg/msg.go
+++ b/internal/core/msg/msg.go
@@ -99,8 +99,8 @@
 	Pool    string
 	Attempt string
 	Tokens  int
-	// Failed is set if the upstream broke off the attempt: the home keeps the grant until it
-	// knows whether the upstream has crashed. Upstream and Boot identify the upstream and its
+	// Failed is set if the upstream broke off the attempt: the home keeps the grant until it is
+	// known whether the upstream has crashed. Upstream and Boot identify the upstream and its
 	// run, Fingerprint the request.
 	Failed      bool
 	Upstream    string
@@ -137,8 +137,8 @@
 	Age time.Duration
 }
 
-// StrikesAsk requests the strikes that an instance knows: an instance that has just started has
-// none, and a Strike can be lost.
+// StrikesAsk requests the strikes recorded by an instance: an instance that has just started
+// has none, and a Strike can be lost.
 type StrikesAsk struct{}
 
 // Strikes is the response to a StrikesAsk, with the newest strike first.
