--- a/internal/core/budget/budget.go
+++ b/internal/core/budget/budget.go
@@ -1,6 +1,6 @@
-// Package budget is the home of an organisation's limits. It debits chunks of
-// the spending limit from the table before it grants reservations out of them,
-// so that no pause, death or outage can bring the spend above the limit.
+// Package budget implements the home of an organisation's limits. It debits chunks of the
+// spending limit from the table before it grants reservations out of them, so that no pause,
+// crash or outage can bring the spend above the limit.
 package budget
 
 import (
@@ -21,38 +21,38 @@
 )
 
 const (
-	// burstSeconds is how much unused rate may be saved up.
+	// burstSeconds is the capacity of a bucket in seconds of its rate.
 	burstSeconds = 2
-	// retryStore is when to come back while the table does not answer.
+	// retryStore is the RetryAfter while the table is unavailable.
 	retryStore = 2 * time.Second
-	// retryConcurrent is when to come back when too much runs at once.
+	// retryConcurrent is the RetryAfter at the limit on concurrent requests.
 	retryConcurrent = time.Second
-	// retryHeld is when to come back while running requests hold what is
-	// left of the limit.
-	retryHeld = 5 * time.Second
-	// idleAfter is how long an account is kept that nobody asks about.
-	idleAfter = 10 * time.Minute
+	// retryReserved is the RetryAfter while running requests hold the rest of the spending
+	// limit.
+	retryReserved = 5 * time.Second
+	// accountTTL is how long an unused account is kept.
+	accountTTL = 10 * time.Minute
 )
 
 // Ask is a request for a reservation.
 type Ask struct {
 	Request string
 	Org     string
-	// Entry is the instance that asks, Boot its present run.
+	// Entry is the requesting instance, Boot identifies its current run.
 	Entry string
 	Boot  string
-	// Version is the configuration that Limits are from.
+	// Version is the configuration version that Limits is taken from.
 	Version int64
 	Limits  config.Limits
-	// Amount is the most the request can cost, for one attempt.
+	// Amount is the maximum cost of the request, for one attempt.
 	Amount config.Money
-	// Tokens is the most output tokens the request can produce.
+	// Tokens is the maximum number of output tokens of the request.
 	Tokens int
-	// Hold is the longest that the attempt can last.
+	// Hold is the maximum duration of the attempt.
 	Hold time.Duration
 }
 
-// Out is something the home wants done: exactly one field is set.
+// Out is an action that the home requests: exactly one field is set.
 type Out struct {
 	Answer *Answer
 	Debit  *Debit
@@ -65,45 +65,46 @@
 	Entry   string
 	Request string
 	Granted bool
-	// Waiting tells that the answer needs a debit and comes later.
+	// Waiting is set if the decision needs a debit; it follows in another Answer.
 	Waiting    bool
 	Reason     string
 	RetryAfter time.Duration
 }
 
-// Home keeps the accounts whose home is this instance.
+// Home manages the accounts of the organisations whose home is this instance.
 type Home struct {
-	name      string
-	accounts  map[string]*account
+	name     string
+	accounts map[string]*account
+	// boots maps each entry to its current run.
 	boots     map[string]string
-	moves     int
+	transfers int
 	storeDown bool
 }
 
-// NewHome returns a home. name must be unique to this run of the instance: it
-// makes the ids of chunks unique.
+// NewHome returns a home without accounts. name must be unique to this run of the instance,
+// because the ids of transfers are derived from it.
 func NewHome(name string) *Home {
 	return &Home{name: name, accounts: map[string]*account{}, boots: map[string]string{}}
 }
 
-// SetStoreDown tells whether the table is known not to answer. While it is
-// down, what can't be granted from a debited chunk is refused at once.
+// SetStoreDown sets whether the table is known to be unavailable. While it is, requests that the
+// available amount does not cover are refused at once.
 func (h *Home) SetStoreDown(down bool) { h.storeDown = down }
 
-// Accounts returns how many organisations' accounts are in memory.
+// Accounts returns the number of accounts in memory.
 func (h *Home) Accounts() int { return len(h.accounts) }
 
-// Moving reports whether a chunk is being debited or returned.
+// Moving reports whether a transfer is in flight, i.e. a chunk is being debited or returned.
 func (h *Home) Moving() bool {
 	for _, a := range h.accounts {
-		if a.pending != nil && !a.pending.stuck {
+		if a.pending != nil && !a.pending.unresolved {
 			return true
 		}
 	}
 	return false
 }
 
-// Ask answers a request for a reservation, at once or after a debit. It is
+// Ask processes a request for a reservation. The decision comes at once or after a debit. Ask is
 // idempotent by request.
 func (h *Home) Ask(now time.Time, ask Ask) []Out {
 	a := h.accounts[ask.Org]
@@ -111,10 +112,10 @@
 		a = &account{org: ask.Org, limits: ask.Limits}
 		h.accounts[ask.Org] = a
 	}
-	a.used = now
+	a.lastUsed = now
 	h.boots[ask.Entry] = ask.Boot
 	a.configure(now, ask)
-	outs := append(h.admit(now, a, ask), h.serve(now, a)...)
+	outs := append(h.admit(now, a, ask), h.serveWaiting(now, a)...)
 	if a.isWaiting(ask.Request) {
 		outs = append(outs, Out{Answer: &Answer{Org: ask.Org, Entry: ask.Entry, Request: ask.Request, Waiting: true}})
 	}
@@ -131,89 +132,89 @@
 	if len(a.reserved)+len(a.waiting) >= a.limits.Concurrent {
 		return []Out{refused(ask, ReasonConcurrent, retryConcurrent)}
 	}
-	if wait := a.tokens.check(now, a.limits.TokensPerSecond); wait > 0 {
+	if wait := a.tokenBucket.check(now, a.limits.TokensPerSecond); wait > 0 {
 		return []Out{refused(ask, ReasonTokens, wait)}
 	}
-	if wait := a.requests.take(now, 1, a.limits.RequestsPerSecond); wait > 0 {
+	if wait := a.requestBucket.take(now, 1, a.limits.RequestsPerSecond); wait > 0 {
 		return []Out{refused(ask, ReasonRate, wait)}
 	}
 	a.waiting = append(a.waiting, ask)
 	return nil
 }
 
-// serve grants waiting asks from the free part of the chunk and debits another
-// chunk if one is needed.
-func (h *Home) serve(now time.Time, a *account) []Out {
+// serveWaiting grants waiting requests from the available amount. If that is too low, it debits
+// another chunk.
+func (h *Home) serveWaiting(now time.Time, a *account) []Out {
 	var outs []Out
-	for len(a.waiting) > 0 && a.waiting[0].Amount <= a.free {
+	for len(a.waiting) > 0 && a.waiting[0].Amount <= a.available {
 		outs = append(outs, a.grantHead(now))
 	}
 	switch {
-	case a.pending != nil && !a.pending.stuck:
+	case a.pending != nil && !a.pending.unresolved:
 		return outs
-	case a.pending == nil && a.owed > 0 && !h.storeDown:
-		return append(outs, h.giveBack(a))
+	case a.pending == nil && a.excess > 0 && !h.storeDown:
+		return append(outs, h.returnExcess(a))
 	case len(a.waiting) == 0:
 		return outs
 	case h.storeDown:
 		return append(outs, h.refuseAll(a, ReasonStore, retryStore)...)
 	case a.pending != nil:
-		return append(outs, a.resend())
+		return append(outs, a.retryPending())
 	default:
-		return append(outs, h.debit(now, a)...)
+		return append(outs, h.debitChunk(now, a)...)
 	}
 }
 
 func (a *account) grantHead(now time.Time) Out {
 	ask := a.waiting[0]
-	a.dropHead()
-	a.free -= ask.Amount
+	a.popWaiting()
+	a.available -= ask.Amount
 	a.reserved = append(a.reserved, reservation{
 		request: ask.Request, amount: ask.Amount, epoch: a.epoch,
-		entry: ask.Entry, boot: ask.Boot, until: now.Add(ask.Hold),
+		entry: ask.Entry, boot: ask.Boot, expires: now.Add(ask.Hold),
 	})
 	return granted(ask)
 }
 
-// Settle ends a reservation with what was used and returns the rest to the
-// chunk. It is idempotent by request.
+// Settle ends a reservation, charges the amount used and the output tokens, and returns the rest
+// to the chunk. It is idempotent by request.
 func (h *Home) Settle(now time.Time, org, request string, used config.Money, tokens int) []Out {
 	a := h.accounts[org]
 	if a == nil {
 		return nil
 	}
-	a.used = now
+	a.lastUsed = now
 	a.waiting = slices.DeleteFunc(a.waiting, func(w Ask) bool { return w.Request == request })
 	r, ok := a.reserved.take(request)
 	if !ok {
 		return nil
 	}
-	a.enter(PeriodOf(now, a.limits))
-	a.tokens.force(now, float64(tokens), a.limits.TokensPerSecond)
+	a.startPeriod(PeriodOf(now, a.limits))
+	a.tokenBucket.overdraw(now, float64(tokens), a.limits.TokensPerSecond)
 	a.refund(r, used)
-	return h.serve(now, a)
+	return h.serveWaiting(now, a)
 }
 
-// Tick counts the reservations of dead entries at their maximum, returns what
-// this home no longer needs and forgets idle accounts. alive tells whether an
-// entry is still listed, mine whether this instance is an organisation's home.
-func (h *Home) Tick(now time.Time, alive, mine func(name string) bool) []Out {
+// Tick ends the reservations of dead entries at their maximum, returns amounts that this home no
+// longer needs and drops idle accounts. alive reports whether an entry is still listed, isHome
+// whether this instance is the home of an organisation.
+func (h *Home) Tick(now time.Time, alive, isHome func(name string) bool) []Out {
 	var outs []Out
 	for entry := range h.boots {
 		if !alive(entry) {
 			delete(h.boots, entry)
 		}
 	}
-	for _, org := range h.orgs() {
+	for _, org := range h.sortedOrgs() {
 		a := h.accounts[org]
-		a.expire(now, h.boots)
-		outs = append(outs, h.tidy(now, a, mine)...)
+		a.expireReservations(now, h.boots)
+		outs = append(outs, h.cleanUp(now, a, isHome)...)
 	}
 	return outs
 }
 
-// orgs lists the accounts in a fixed order.
-func (h *Home) orgs() []string {
+// sortedOrgs returns the organisations with an account in a fixed order.
+func (h *Home) sortedOrgs() []string {
 	list := make([]string, 0, len(h.accounts))
 	for org := range h.accounts {
 		list = append(list, org)
@@ -222,28 +223,28 @@
 	return list
 }
 
-// expire ends reservations that nobody will settle: those of entries that died,
-// and those whose settlement got lost. They would else fill the limit on
-// concurrent requests for ever. What they cost is not known, so that nothing of
-// them returns to the chunk; a settlement that comes later finds nothing.
-func (a *account) expire(now time.Time, boots map[string]string) {
+// expireReservations ends reservations that will not be settled: those of entries that died, and
+// those whose settlement was lost. They would otherwise occupy the limit on concurrent requests
+// for ever. Their cost is unknown, so that nothing is returned to the chunk; a later settlement
+// finds no reservation.
+func (a *account) expireReservations(now time.Time, boots map[string]string) {
 	a.reserved = slices.DeleteFunc(a.reserved, func(r reservation) bool {
-		return now.After(r.until) || boots[r.entry] != r.boot
+		return now.After(r.expires) || boots[r.entry] != r.boot
 	})
 }
 
-func (h *Home) tidy(now time.Time, a *account, mine func(org string) bool) []Out {
-	if a.pending != nil && a.pending.stuck && !h.storeDown {
-		return []Out{a.resend()}
+func (h *Home) cleanUp(now time.Time, a *account, isHome func(org string) bool) []Out {
+	if a.pending != nil && a.pending.unresolved && !h.storeDown {
+		return []Out{a.retryPending()}
 	}
-	if !a.idle() || mine(a.org) && now.Sub(a.used) < idleAfter {
+	if !a.idle() || isHome(a.org) && now.Sub(a.lastUsed) < accountTTL {
 		return nil
 	}
-	a.enter(PeriodOf(now, a.limits))
-	a.owed += a.free
-	a.free = 0
-	if a.owed > 0 {
-		return h.serve(now, a)
+	a.startPeriod(PeriodOf(now, a.limits))
+	a.excess += a.available
+	a.available = 0
+	if a.excess > 0 {
+		return h.serveWaiting(now, a)
 	}
 	delete(h.accounts, a.org)
 	return nil
@@ -251,7 +252,7 @@
 
 func (h *Home) refuseHead(a *account, reason string, after time.Duration) []Out {
 	ask := a.waiting[0]
-	a.dropHead()
+	a.popWaiting()
 	return []Out{refused(ask, reason, after)}
 }
 
--- a/internal/core/budget/budget_test.go
+++ b/internal/core/budget/budget_test.go
@@ -16,10 +16,10 @@
 	"mulberrylug.example/mulberrylug/internal/testkit"
 )
 
-// Three homes believe to be the organisation's at once. Debits and returns lose
-// their answers or themselves or land late, homes die and are replaced, entries
-// are reborn, periods end, settlements get lost or come twice. What the granted
-// work cost never passes the limit in any period.
+// Three homes act for one organisation at the same time. Debits and returns lose their requests
+// or their responses or are applied late, homes die and are replaced, entries restart, periods
+// end, settlements are lost or repeated. The cost of the granted work must not exceed the limit
+// in any period.
 func TestBudgetPropertyNeverOverspent(t *testing.T) {
 	p := gopter.NewProperties(testkit.Parameters())
 	p.Property("spend stays within the limit", prop.ForAll(func(steps []int) string {
@@ -28,7 +28,7 @@
 			l.step(v)
 			for period, sum := range l.spent {
 				if sum > spend {
-					return fmt.Sprintf("period %d spent %d of %d", period, sum, spend)
+					return fmt.Sprintf("spent in period %d = %d, want at most %d", period, sum, spend)
 				}
 			}
 		}
@@ -51,108 +51,108 @@
 	}
 }
 
-// The home's debit takes effect, its answer is lost. The home sends the same
-// transaction again and finds its id in the row: one debit, nothing forfeited,
-// and the caller's request is granted.
+// A debit is committed, but its response is lost. The home must send the same transaction again
+// and find its id in the row: the limit is debited once, nothing is forfeited, and the request
+// is granted.
 func TestBudgetLostDebitAnswerIsOneDebit(t *testing.T) {
 	l := newLedger(1)
 	id := l.ask(0, 100, "b")
-	l.decide(0, lostAnswer)
-	l.settleAll()
+	l.process(0, responseLost)
+	l.processAll()
 	if !l.answers[id].Granted {
 		t.Errorf("answer = %+v, want granted", l.answers[id])
 	}
 	l.mustDebit(t, "100")
 }
 
-// The table goes down while a debit is in flight. The request is refused with
-// a time to come back. The next ask settles the same debit instead of making
-// another one.
-func TestBudgetStuckDebitIsTakenUpAgain(t *testing.T) {
+// The table becomes unavailable while a debit is in flight. The request must be refused with a
+// RetryAfter, and the next request must retry the same debit instead of starting another one.
+func TestBudgetUnresolvedDebitIsRetried(t *testing.T) {
 	l := newLedger(1)
 	id := l.ask(0, 100, "b")
-	l.decide(0, lostAnswer)
-	l.decide(0, lostCall)
+	l.process(0, responseLost)
+	l.process(0, requestLost)
 	if a := l.answers[id]; a.Granted || a.Reason != budget.ReasonStore || a.RetryAfter == 0 {
-		t.Errorf("answer = %+v, want a refusal for the store with a time", a)
+		t.Errorf("answer = %+v, want a refusal with reason store_unavailable and a RetryAfter", a)
 	}
 	l.now = l.now.Add(time.Minute)
 	id = l.ask(0, 100, "b")
-	l.settleAll()
+	l.processAll()
 	if !l.answers[id].Granted {
 		t.Errorf("answer = %+v, want granted", l.answers[id])
 	}
 	l.mustDebit(t, "100")
 }
 
-// A home holds a free chunk of 600 debited under a limit of 1,000. The limit is
-// lowered to 500 while another home knows only the row. Neither may grant from
-// the old chunk: the first gives it back, then both share the new limit.
+// A home has 600 available of a chunk debited under a limit of 1,000. The limit is lowered to
+// 500 while another home has only read the row. Neither home may grant from the old chunk: the
+// first returns it, then both share the new limit.
 func TestBudgetLoweredLimit(t *testing.T) {
 	l := newLedger(2)
 	l.ask(0, 700, "b")
-	l.settleAll()
-	l.end(0, 100, 1)
-	l.cfg, l.limits.Spend = 1, 500
+	l.processAll()
+	l.finish(0, 100, 1)
+	l.configVersion, l.limits.Spend = 1, 500
 	first := l.ask(0, 450, "b")
 	second := l.ask(1, 300, "b")
-	l.settleAll()
+	l.processAll()
 	if l.answers[first].Granted || !l.answers[second].Granted {
 		t.Errorf("answers = %+v and %+v, want 450 refused and 300 granted", l.answers[first], l.answers[second])
 	}
-	l.cfg, l.limits.Spend = 0, 1000
-	old := l.ask(0, 300, "b") // from an entry that does not know of the change yet
-	l.settleAll()
+	l.configVersion, l.limits.Spend = 0, 1000
+	old := l.ask(0, 300, "b") // from an entry that still has the old configuration
+	l.processAll()
 	if l.answers[old].Granted {
-		t.Error("an ask under the old configuration brought the old limit back")
+		t.Error("a request with the old configuration was granted under the old limit, want it refused")
 	}
 	if sum := l.spent[budget.PeriodOf(l.now, l.limits)]; sum > 500 {
-		t.Errorf("spent %d, want at most 500", sum)
+		t.Errorf("spent = %d, want at most 500", sum)
 	}
 }
 
-// A home saw the limit used up by chunks of another, which has returned what it
-// did not need. The home reads the row again before it refuses for the limit.
+// A home has read that another home debited most of the limit. The other home has since returned
+// the part that it did not need. The first must read the row again before it refuses a request
+// because of the limit.
 func TestBudgetReturnedChunkIsFoundByOthers(t *testing.T) {
 	l := newLedger(2)
 	l.ask(0, 900, "b")
-	l.settleAll()
+	l.processAll()
 	refused := l.ask(1, 500, "b")
-	l.settleAll()
-	l.end(0, 0, 1)
-	l.do(l.homes[0], l.homes[0].Tick(l.now, func(string) bool { return true }, func(string) bool { return false }))
-	l.settleAll()
+	l.processAll()
+	l.finish(0, 0, 1)
+	l.handle(l.homes[0], l.homes[0].Tick(l.now, func(string) bool { return true }, func(string) bool { return false }))
+	l.processAll()
 	l.now = l.now.Add(2 * time.Second)
 	id := l.ask(1, 500, "b")
-	l.settleAll()
+	l.processAll()
 	if l.answers[refused].Granted || !l.answers[id].Granted {
 		t.Errorf("answers = %+v and %+v, want a refusal and then a grant", l.answers[refused], l.answers[id])
 	}
 }
 
-// An entry dies with a reservation. The concurrency that it took is free again
-// once its next run is heard of, or once the list has dropped it; its cost
-// stays counted at the maximum, also when a settlement arrives late.
+// An entry dies with a reservation. The reservation must stop counting as a concurrent request
+// once the entry's next run sends a request, or once the entry is no longer listed. Its maximum
+// cost stays debited, even if a settlement arrives late.
 func TestBudgetDeadEntryLeaksNothing(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		boot  string
 		alive bool
-	}{{"listed no more", "b", false}, {"came back", "b2", true}} {
+	}{{"no longer listed", "b", false}, {"restarted", "b2", true}} {
 		t.Run(c.name, func(t *testing.T) {
 			l := newLedger(1)
 			l.limits.Concurrent = 1
 			l.ask(0, 100, "b")
-			l.settleAll()
+			l.processAll()
 			refused := l.ask(0, 100, c.boot)
 			if a := l.answers[refused]; a.Reason != budget.ReasonConcurrent || a.RetryAfter == 0 {
-				t.Errorf("answer = %+v, want concurrent_limit with a time", a)
+				t.Errorf("answer = %+v, want a refusal with reason concurrent_limit and a RetryAfter", a)
 			}
 			yes := func(string) bool { return true }
-			l.do(l.homes[0], l.homes[0].Tick(l.now, func(string) bool { return c.alive }, yes))
-			l.do(l.homes[0], l.homes[0].Settle(l.now, "depot", "r1", 0, 0))
+			l.handle(l.homes[0], l.homes[0].Tick(l.now, func(string) bool { return c.alive }, yes))
+			l.handle(l.homes[0], l.homes[0].Settle(l.now, "depot", "r1", 0, 0))
 			id := l.ask(0, 100, c.boot)
-			l.settleAll()
+			l.processAll()
 			if !l.answers[id].Granted {
 				t.Errorf("answer = %+v, want granted", l.answers[id])
 			}
@@ -161,17 +161,17 @@
 	}
 }
 
-// Requests near a limit are refused before they run, each with the time after
-// which it helps to come back.
-func TestBudgetRefusalsNameATime(t *testing.T) {
+// A request that would exceed a limit must be refused before it runs, with a RetryAfter that
+// depends on the limit.
+func TestBudgetRefusalsSetRetryAfter(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		limits config.Limits
-		amount config.Money
-		reason string
-		most   time.Duration
+		name     string
+		limits   config.Limits
+		amount   config.Money
+		reason   string
+		maxRetry time.Duration
 	}{
-		{"spend, running work may return some", config.Limits{Spend: 150}, 100, budget.ReasonSpend, 5 * time.Second},
+		{"spend, running requests may return some", config.Limits{Spend: 150}, 100, budget.ReasonSpend, 5 * time.Second},
 		{"spend, nothing can return", config.Limits{Spend: 50}, 100, budget.ReasonSpend, time.Hour},
 		{"rate", config.Limits{Spend: spend, RequestsPerSecond: 0.5}, 1, budget.ReasonRate, 2 * time.Second},
 		{"concurrency", config.Limits{Spend: spend, Concurrent: 1}, 1, budget.ReasonConcurrent, time.Second},
@@ -187,59 +187,59 @@
 				l.limits.Concurrent = 10
 			}
 			l.ask(0, c.amount, "b")
-			l.settleAll()
+			l.processAll()
 			id := l.ask(0, c.amount, "b")
-			l.settleAll()
-			if a := l.answers[id]; a.Granted || a.Reason != c.reason || a.RetryAfter <= 0 || a.RetryAfter > c.most {
-				t.Errorf("answer = %+v, want %s within %s", a, c.reason, c.most)
+			l.processAll()
+			if a := l.answers[id]; a.Granted || a.Reason != c.reason || a.RetryAfter <= 0 || a.RetryAfter > c.maxRetry {
+				t.Errorf("answer = %+v, want a refusal with reason %s and a RetryAfter of at most %s", a, c.reason, c.maxRetry)
 			}
 		})
 	}
 }
 
-// A home that is no longer the organisation's returns its free chunk and
-// forgets the account; one that dies instead forfeits it, which is less than
-// the fiftieth part of the limit.
+// An instance that is no longer the organisation's home must return the available amount and
+// drop the account. A home that dies instead forfeits that amount, which is less than one
+// fiftieth of the limit.
 func TestBudgetForfeitedRemainder(t *testing.T) {
 	l := newLedger(1)
 	yes, no := func(string) bool { return true }, func(string) bool { return false }
 	l.ask(0, 3, "b")
-	l.settleAll()
-	l.end(0, 3, 1)
+	l.processAll()
+	l.finish(0, 3, 1)
 	l.mustDebit(t, "20")
-	l.do(l.homes[0], l.homes[0].Tick(l.now, yes, no))
-	l.settleAll()
+	l.handle(l.homes[0], l.homes[0].Tick(l.now, yes, no))
+	l.processAll()
 	l.mustDebit(t, "3")
 	const deaths = 10
 	for range deaths {
-		l.rebirth(0)
+		l.replaceHome(0)
 		l.ask(0, 3, "b")
-		l.settleAll()
-		l.end(len(l.open)-1, 3, 1)
+		l.processAll()
+		l.finish(len(l.grants)-1, 3, 1)
 	}
 	l.mustDebit(t, fmt.Sprint(3+deaths*int(spend)/50))
 	t.Logf("forfeited=%d of %d for each death of a home, with 3 spent", spend/50-3, spend)
 }
 
-// A chunk was debited in the last minutes of a period. Work granted from it in
-// the next would not count there: the new period debits its own.
+// A chunk was debited shortly before the end of a period. Work granted from it in the next
+// period would not count there, so the home must debit a new chunk for the new period.
 func TestBudgetChunkBelongsToOnePeriod(t *testing.T) {
 	l := newLedger(1)
 	l.ask(0, 500, "b")
-	l.settleAll()
-	l.end(0, 0, 1)
+	l.processAll()
+	l.finish(0, 0, 1)
 	l.now = l.now.Add(time.Hour)
 	for range 3 {
 		l.ask(0, 400, "b")
-		l.settleAll()
+		l.processAll()
 	}
 	if sum := l.spent[budget.PeriodOf(l.now, l.limits)]; sum != 800 {
-		t.Errorf("spent %d, want 800 of %d", sum, spend)
+		t.Errorf("spent = %d, want 800 of a limit of %d", sum, spend)
 	}
 }
 
-// An account that nobody asks about is forgotten after ten minutes, and what it
-// held costs little memory until then: there are 31,000 organisations.
+// An unused account must be dropped after ten minutes. Until then it should use little memory,
+// as there are 31,000 organisations.
 func TestBudgetIdleAccountsAreForgotten(t *testing.T) {
 	const orgs = 31_000
 	now := time.Date(2026, 3, 1, 8, 0, 0, 0, time.UTC)
@@ -253,14 +253,15 @@
 	yes := func(string) bool { return true }
 	h.Tick(now.Add(9*time.Minute), yes, yes)
 	if got := h.Accounts(); got != orgs {
-		t.Errorf("%d accounts within ten minutes, want %d", got, orgs)
+		t.Errorf("accounts after 9 minutes = %d, want %d", got, orgs)
 	}
 	h.Tick(now.Add(11*time.Minute), yes, yes)
 	if got := h.Accounts(); got != 0 {
-		t.Errorf("%d accounts are left", got)
+		t.Errorf("accounts after 11 minutes = %d, want 0", got)
 	}
 }
 
+// heap returns the bytes of live heap objects.
 func heap() uint64 {
 	var m runtime.MemStats
 	runtime.GC()
@@ -268,25 +269,25 @@
 	return m.HeapAlloc
 }
 
-// What budgets cost in writes to the table: a thousand generations, each
-// reserved at five times of what it then costs, ten at a time.
+// Measures the number of writes to the table for a thousand generations, ten at a time, each
+// with a reservation of five times its final cost.
 func TestBudgetCostOfAThousandGenerations(t *testing.T) {
 	for _, c := range []struct {
-		spend config.Money
-		most  int
+		spend     config.Money
+		maxWrites int
 	}{{100_000, 60}, {10_000_000, 1}} {
 		l := newLedger(1)
 		l.limits.Spend = c.spend
 		for n := range 1000 {
 			l.ask(0, 100, "b")
-			l.settleAll()
+			l.processAll()
 			if n >= 10 {
-				l.end(n-10, 20, 1)
+				l.finish(n-10, 20, 1)
 			}
 		}
 		t.Logf("limit=%d spent=20000 writes=%d", c.spend, l.commits)
-		if l.commits > c.most {
-			t.Errorf("%d writes, want at most %d", l.commits, c.most)
+		if l.commits > c.maxWrites {
+			t.Errorf("writes = %d, want at most %d", l.commits, c.maxWrites)
 		}
 	}
 }
--- a/internal/core/budget/ledger_test.go
+++ b/internal/core/budget/ledger_test.go
@@ -13,37 +13,41 @@
 
 const spend = config.Money(1000)
 
-// ledger drives homes of one organisation against a table and keeps account of
-// what really was spent, at its maximum for as long as the work may run.
+// ledger is a test harness: it runs homes of one organisation against a table and records the
+// cost of the granted work, which counts at its maximum while the work may still run.
 type ledger struct {
-	now    time.Time
-	limits config.Limits
-	cfg    int64
-	homes  []*budget.Home
-	born   int
-	asks   int
-	table  *memtable.Table
-	held   []heldOut
-	late   []table.Tx
-
-	open    []grant
+	now           time.Time
+	limits        config.Limits
+	configVersion int64
+	homes         []*budget.Home
+	homesCreated  int
+	requestCount  int
+	table         *memtable.Table
+	// queue holds the actions that the homes requested and that are not performed yet.
+	queue []queuedOut
+	// lateTxs holds transactions without a response that the table may still commit.
+	lateTxs []table.Tx
+
+	grants  []grant
 	amounts map[string]config.Money
+	// spent is the cost of the granted work by period.
 	spent   map[int64]config.Money
 	answers map[string]budget.Answer
+	// commits counts the transactions sent, including those that were not committed.
 	commits int
 }
 
-type heldOut struct {
+type queuedOut struct {
 	home *budget.Home
 	out  budget.Out
 }
 
 type grant struct {
-	home    *budget.Home
-	request string
-	amount  config.Money
-	period  int64
-	done    bool
+	home     *budget.Home
+	request  string
+	amount   config.Money
+	period   int64
+	finished bool
 }
 
 func newLedger(homes int) *ledger {
@@ -54,120 +58,126 @@
 	}
 	for n := range homes {
 		l.homes = append(l.homes, nil)
-		l.rebirth(n)
+		l.replaceHome(n)
 	}
 	return l
 }
 
-// rebirth replaces a home by a new one: the old one's memory is gone.
-func (l *ledger) rebirth(n int) {
-	l.born++
-	l.homes[n] = budget.NewHome(fmt.Sprint("home-", l.born))
+// replaceHome replaces a home by a new one without its state.
+func (l *ledger) replaceHome(n int) {
+	l.homesCreated++
+	l.homes[n] = budget.NewHome(fmt.Sprint("home-", l.homesCreated))
 }
 
+// ask requests a reservation from home n and returns the id of the request.
 func (l *ledger) ask(n int, amount config.Money, boot string) string {
-	l.asks++
-	id := fmt.Sprint("r", l.asks)
+	l.requestCount++
+	id := fmt.Sprint("r", l.requestCount)
 	l.amounts[id] = amount
-	l.do(l.homes[n], l.homes[n].Ask(l.now, budget.Ask{
-		Request: id, Org: "depot", Entry: "entry", Boot: boot, Version: l.cfg, Limits: l.limits,
+	l.handle(l.homes[n], l.homes[n].Ask(l.now, budget.Ask{
+		Request: id, Org: "depot", Entry: "entry", Boot: boot, Version: l.configVersion, Limits: l.limits,
 		Amount: amount, Hold: 10 * time.Minute,
 	}))
 	return id
 }
 
-func (l *ledger) do(h *budget.Home, outs []budget.Out) {
+// handle records a home's answers and queues its other actions.
+func (l *ledger) handle(h *budget.Home, outs []budget.Out) {
 	for _, o := range outs {
 		if o.Answer == nil {
-			l.held = append(l.held, heldOut{home: h, out: o})
+			l.queue = append(l.queue, queuedOut{home: h, out: o})
 			continue
 		}
 		l.answers[o.Answer.Request] = *o.Answer
 		if o.Answer.Granted {
 			g := grant{home: h, request: o.Answer.Request, amount: l.amounts[o.Answer.Request], period: budget.PeriodOf(l.now, l.limits)}
-			l.open = append(l.open, g)
+			l.grants = append(l.grants, g)
 			l.spent[g.period] += g.amount
 		}
 	}
 }
 
-// end finishes a granted request that cost used, and settles it, perhaps twice.
-func (l *ledger) end(at int, used config.Money, settle int) {
-	g := &l.open[at]
-	if !g.done {
-		g.done = true
+// finish ends a granted request, whose cost was used, and sends the given number of settlements.
+func (l *ledger) finish(at int, used config.Money, settlements int) {
+	g := &l.grants[at]
+	if !g.finished {
+		g.finished = true
 		l.spent[g.period] -= g.amount - used
 		g.amount = used
 	}
-	for range settle {
-		l.do(g.home, g.home.Settle(l.now, "depot", g.request, g.amount, 0))
+	for range settlements {
+		l.handle(g.home, g.home.Settle(l.now, "depot", g.request, g.amount, 0))
 	}
 }
 
+// Faults of a call to the table: its response or request is lost, or the transaction is
+// committed later.
 const (
-	good = iota
-	lostAnswer
-	lostCall
-	landsLate
-	ways
+	noFault = iota
+	responseLost
+	requestLost
+	appliedLate
+	numFaults
 )
 
-func (l *ledger) decide(at, way int) {
-	h := l.held[at]
-	l.held = append(l.held[:at:at], l.held[at+1:]...)
+// process performs the queued action at an index with a fault.
+func (l *ledger) process(at, fault int) {
+	h := l.queue[at]
+	l.queue = append(l.queue[:at:at], l.queue[at+1:]...)
 	if r := h.out.Reread; r != nil {
-		l.do(h.home, h.home.Reread(l.now, r.Org, r.ID, l.table.Row(r.Key), way == good))
+		l.handle(h.home, h.home.Reread(l.now, r.Org, r.ID, l.table.Row(r.Key), fault == noFault))
 		return
 	}
 	d := h.out.Debit
 	l.commits++
 	res := table.Result{Status: table.Unknown}
-	switch way {
-	case good:
+	switch fault {
+	case noFault:
 		res = l.table.Apply(d.Tx)
-	case lostAnswer:
+	case responseLost:
 		l.table.Apply(d.Tx)
-	case landsLate:
-		l.late = append(l.late, d.Tx)
+	case appliedLate:
+		l.lateTxs = append(l.lateTxs, d.Tx)
 	}
-	l.do(h.home, h.home.Debited(l.now, d.Org, d.ID, res))
+	l.handle(h.home, h.home.Debited(l.now, d.Org, d.ID, res))
 }
 
-func (l *ledger) settleAll() {
-	for len(l.held) > 0 {
-		l.decide(0, good)
+func (l *ledger) processAll() {
+	for len(l.queue) > 0 {
+		l.process(0, noFault)
 	}
 }
 
+// step performs one step of a random run, which v selects.
 func (l *ledger) step(v int) {
-	const kinds = 16
-	arg := v / kinds
+	const numSteps = 16
+	arg := v / numSteps
 	n := arg % len(l.homes)
 	always := func(string) bool { return true }
-	switch v % kinds {
+	switch v % numSteps {
 	case 0, 1, 2, 3:
 		l.ask(n, config.Money(arg/3%300+1), fmt.Sprint("boot", arg/1000%20/19))
 	case 4, 5, 6:
-		if len(l.open) > 0 {
-			at := arg % len(l.open)
-			l.end(at, config.Money(arg/7%int(l.open[at].amount+1)), arg/5%3)
+		if len(l.grants) > 0 {
+			at := arg % len(l.grants)
+			l.finish(at, config.Money(arg/7%int(l.grants[at].amount+1)), arg/5%3)
 		}
 	case 7:
 		if arg%4 == 0 {
-			l.rebirth(n)
+			l.replaceHome(n)
 		}
 	case 8:
 		l.now = l.now.Add(time.Duration(arg%1200) * time.Second)
 	case 9:
-		l.do(l.homes[n], l.homes[n].Tick(l.now, always, func(string) bool { return arg%2 == 0 }))
+		l.handle(l.homes[n], l.homes[n].Tick(l.now, always, func(string) bool { return arg%2 == 0 }))
 	case 10:
-		if len(l.late) > 0 {
-			l.table.Apply(l.late[0])
-			l.late = l.late[1:]
+		if len(l.lateTxs) > 0 {
+			l.table.Apply(l.lateTxs[0])
+			l.lateTxs = l.lateTxs[1:]
 		}
 	default:
-		if len(l.held) > 0 {
-			l.decide(arg%len(l.held), max(arg/11%(2*ways)-ways, good))
+		if len(l.queue) > 0 {
+			l.process(arg%len(l.queue), max(arg/11%(2*numFaults)-numFaults, noFault))
 		}
 	}
 }
--- a/internal/core/budget/reservations.go
+++ b/internal/core/budget/reservations.go
@@ -12,14 +12,14 @@
 	request string
 	amount  config.Money
 	epoch   int
-	// entry and boot name the run of the instance that holds it.
-	entry string
-	boot  string
-	until time.Time
+	// entry and boot identify the run of the instance that holds the reservation.
+	entry   string
+	boot    string
+	expires time.Time
 }
 
-// reservations is what an account holds. Most of the target's 31,000 accounts
-// hold none or a few; a map would cost each of them a kilobyte.
+// reservations are the reservations of an account. Most of the 31,000 accounts expected at the
+// target size have none or a few; a map would cost each of them a kilobyte.
 type reservations []reservation
 
 func (rs reservations) find(request string) int {
--- a/internal/core/budget/row.go
+++ b/internal/core/budget/row.go
@@ -10,43 +10,42 @@
 	"mulberrylug.example/mulberrylug/internal/core/table"
 )
 
-// recentMoves is how many ids of moves a row remembers. A home whose answer was
-// lost finds its move there, unless that many others came in between: it then
-// forfeits the chunk.
-const recentMoves = 8
+// maxRecent is the number of transfer ids stored in a row. A home whose response was lost finds
+// its transfer there, unless that many others were committed in between: it then forfeits the
+// chunk.
+const maxRecent = 8
 
-// Row is the stored state of an organisation's spending limit. There is one for
-// each organisation and kind of period; a later period takes it over, so that
-// rows don't pile up.
+// Row is the stored state of an organisation's spending limit. There is one row for each
+// organisation and kind of period; a later period reuses it, so that rows do not accumulate.
 type Row struct {
-	// Period numbers the period that Debited belongs to.
+	// Period is the number of the period that Debited belongs to; see PeriodOf.
 	Period  int64        `json:"period"`
 	Debited config.Money `json:"debited"`
-	// Recent lists the ids of the latest moves, newest first.
+	// Recent lists the ids of the latest transfers, newest first.
 	Recent []string `json:"recent,omitempty"`
 }
 
-// move is a change of the debited amount that may be in flight: a debited chunk
-// or, if negative, a returned one.
-type move struct {
+// transfer is a change of the debited amount that may be in flight: a debited chunk or, if
+// negative, a returned amount.
+type transfer struct {
 	id     string
 	amount config.Money
 	period int64
-	// epoch is the account's when the move began.
+	// epoch is the account's epoch when the transfer started.
 	epoch int
-	// tx stays the same from try to try: the id in the row tells whether an
-	// earlier try took effect, so that no chunk is debited twice.
+	// tx is the same for each try: the id in the row shows whether an earlier try took effect,
+	// so that no chunk is debited twice.
 	tx    table.Tx
 	tries int
-	// stuck is set while nothing is in flight and the outcome is not known.
-	stuck bool
-	// read marks a mere reading of the row.
-	read bool
+	// unresolved is set while no try is in flight and the outcome is unknown.
+	unresolved bool
+	// readOnly marks a read of the row without a change.
+	readOnly bool
 }
 
 func rowKey(org, period string) string { return fmt.Sprintf("budget/%q/%s", org, period) }
 
-// PeriodOf numbers the accounting period that contains now.
+// PeriodOf returns the number of the accounting period that contains now.
 func PeriodOf(now time.Time, l config.Limits) int64 {
 	return now.UnixNano() / int64(l.PeriodLength())
 }
@@ -56,12 +55,12 @@
 	return length - time.Duration(now.UnixNano()%int64(length))
 }
 
-// moveTx returns the transaction that adds amount to what is debited.
-func (a *account) moveTx(id string, amount config.Money) table.Tx {
+// transferTx returns the transaction that adds amount to the debited amount.
+func (a *account) transferTx(id string, amount config.Money) table.Tx {
 	next := Row{Period: a.period, Debited: a.debited() + amount}
 	next.Recent = append([]string{id}, a.row.Recent...)
-	if len(next.Recent) > recentMoves {
-		next.Recent = next.Recent[:recentMoves]
+	if len(next.Recent) > maxRecent {
+		next.Recent = next.Recent[:maxRecent]
 	}
 	key := rowKey(a.org, a.limits.Period)
 	return table.Tx{
@@ -83,7 +82,7 @@
 func decodeRow(b []byte) Row {
 	var r Row
 	if len(b) > 0 && json.Unmarshal(b, &r) != nil {
-		// An unreadable row must not look like an untouched budget.
+		// An unreadable row must not be taken for an unused limit.
 		return Row{Period: 1 << 62, Debited: 1 << 62}
 	}
 	return r
