--- a/internal/core/order/machine.go
+++ b/internal/core/order/machine.go
@@ -7,206 +7,211 @@
 	"mulberrylug.example/mulberrylug/internal/core/table"
 )
 
-// step is where a machine stands.
+// step is the current step of a machine.
 type step int
 
 const (
-	// idle: the upstream runs what is wanted, as far as known.
+	// idle: the upstream runs the wanted version, as far as known.
 	idle step = iota
-	// turning: a turn at the weight store was asked for.
-	turning
-	// emptying: the upstream gets no new work and finishes what it runs.
-	emptying
-	// reading: the row was asked for.
+	// requestingTurn: the weight store was asked for a turn to load.
+	requestingTurn
+	// draining: the upstream gets no new work and finishes its running generations.
+	draining
+	// reading: the row was requested.
 	reading
-	// waiting: somebody else's order may still be sent or on its way.
-	waiting
-	// writing: the row is being written.
+	// waitingQuiet: another home's order may still be sent or be in transit.
+	waitingQuiet
+	// writing: the order is being written to the row.
 	writing
-	// confirming: the order was sent; a report will show its effect.
+	// confirming: the order was sent; a report will show that it took effect.
 	confirming
-	// closing: the effect was seen and is being written to the row.
-	closing
+	// recording: the order took effect, and this is being written to the row.
+	recording
 )
 
-// Machine gives one upstream its orders on behalf of one home. Several homes
-// may each have a machine for the same upstream, as far as they know; the row
-// and the waiting keep their orders apart.
+// Machine orders one upstream to load versions on behalf of one home. Several homes may have a
+// machine for the same upstream if their views differ; the row and the Quiet period keep their
+// orders apart.
 type Machine struct {
 	upstream string
 	sender   string
-	// checks says whether the upstream refuses old fencing numbers.
-	checks bool
+	// checksFencing is set if the upstream refuses old fencing numbers.
+	checksFencing bool
 
-	step   step
-	wanted string
-	actual string
-	// running is how many generations the upstream reported.
+	step          step
+	wantedVersion string
+	actualVersion string
+	// running is the number of running generations that the upstream reported.
 	running int
-	// since is when the present step began; retry when to go on.
-	since time.Time
-	retry time.Time
+	// stepStart is when the current step started, resumeAt the earliest time of the next action.
+	stepStart time.Time
+	resumeAt  time.Time
 
-	row     table.Row
-	stored  Row
-	seen    int64
-	seenAt  time.Time
-	pending Row
-	before  time.Time
+	// row is the table row as last read or written, stored its decoded value. seenVersion is the
+	// row's version, first seen here at seenAt.
+	row         table.Row
+	stored      Row
+	seenVersion int64
+	seenAt      time.Time
+	// pending is the latest order of this machine, which may be sent before sendBefore.
+	pending    Row
+	sendBefore time.Time
 	// answered is set once the upstream has answered the pending order.
 	answered bool
-	orders   int
+	// orderCount is the number of orders written, used for their ids.
+	orderCount int
 }
 
-// NewMachine returns a machine for an upstream. sender must be unique to this
-// run of the instance.
+// NewMachine returns a machine for an upstream. sender must be unique to this run of the
+// instance, because the ids of orders are derived from it.
 func NewMachine(upstream, sender string, checksFencing bool) *Machine {
-	return &Machine{upstream: upstream, sender: sender, checks: checksFencing}
+	return &Machine{upstream: upstream, sender: sender, checksFencing: checksFencing}
 }
 
-// Want sets the version that the configuration asks for; "" wants nothing.
-func (m *Machine) Want(version string) { m.wanted = version }
+// Want sets the version that the configuration requires; "" requires none.
+func (m *Machine) Want(version string) { m.wantedVersion = version }
 
-// Busy reports whether the upstream must get no new work, as it is about to
-// load another version.
-func (m *Machine) Busy() bool { return m.step > turning && m.step != closing }
+// Busy reports whether the upstream must get no new work because it is about to load another
+// version.
+func (m *Machine) Busy() bool { return m.step > requestingTurn && m.step != recording }
 
-// Report takes the version that the upstream runs and its running generations.
+// Report processes an upstream's report: the version that it runs and the number of its running
+// generations.
 func (m *Machine) Report(now time.Time, version string, running int) []Out {
-	m.actual, m.running = version, running
+	m.actualVersion, m.running = version, running
 	if m.step == confirming && m.tookEffect() {
-		return m.confirm(now)
+		return m.recordConfirmed(now)
 	}
 	return m.Tick(now)
 }
 
-// Tick moves on what waits for time.
+// Tick performs the actions that are due.
 func (m *Machine) Tick(now time.Time) []Out {
-	if now.Before(m.retry) {
+	if now.Before(m.resumeAt) {
 		return nil
 	}
 	switch m.step {
 	case idle:
-		if m.wanted == "" || m.actual == m.wanted {
+		if m.wantedVersion == "" || m.actualVersion == m.wantedVersion {
 			return nil
 		}
-		m.enter(now, turning)
+		m.setStep(now, requestingTurn)
 		return []Out{{Turn: true}}
-	case emptying:
-		if m.running > 0 && now.Sub(m.since) < EmptyMax {
+	case draining:
+		if m.running > 0 && now.Sub(m.stepStart) < EmptyMax {
 			return nil
 		}
-		return m.read(now)
-	case waiting:
-		return m.write(now)
-	case turning, reading, writing, closing:
-		// The answer is due; a lost one is asked for again.
-		if now.Sub(m.since) > Quiet {
-			m.enter(now, idle)
+		return m.readRow(now)
+	case waitingQuiet:
+		return m.writeOrder(now)
+	case requestingTurn, reading, writing, recording:
+		// An overdue response is assumed to be lost: start again.
+		if now.Sub(m.stepStart) > Quiet {
+			m.setStep(now, idle)
 		}
 	case confirming:
-		// Not seen to take effect: order again, by way of the row.
-		if now.Sub(m.since) > Quiet {
-			return m.read(now)
+		// An order that did not take effect in time is repeated, starting with the row.
+		if now.Sub(m.stepStart) > Quiet {
+			return m.readRow(now)
 		}
 	}
 	return nil
 }
 
-// tookEffect reports whether the pending order is done with. That the upstream
-// runs the version is not enough where it ignores fencing numbers: another
-// home's order may have brought the version about while this one is still on
-// its way, and would then undo the next order. An answered order is not.
+// tookEffect reports whether the pending order is complete. If the upstream ignores fencing
+// numbers, it is not enough that it runs the ordered version: another home's order may have
+// brought the version about while this order is still in transit, and this order would then undo
+// the next one. An order that the upstream has answered is no longer in transit.
 func (m *Machine) tookEffect() bool {
-	return m.actual == m.pending.Value && (m.checks || m.answered)
+	return m.actualVersion == m.pending.Value && (m.checksFencing || m.answered)
 }
 
-func (m *Machine) enter(now time.Time, s step) {
-	m.step, m.since, m.retry = s, now, time.Time{}
+func (m *Machine) setStep(now time.Time, s step) {
+	m.step, m.stepStart, m.resumeAt = s, now, time.Time{}
 }
 
-func (m *Machine) pause(now time.Time) { m.retry = now.Add(retryAfter) }
+func (m *Machine) backOff(now time.Time) { m.resumeAt = now.Add(retryDelay) }
 
-func (m *Machine) read(now time.Time) []Out {
-	m.enter(now, reading)
+func (m *Machine) readRow(now time.Time) []Out {
+	m.setStep(now, reading)
 	return []Out{{Read: true}}
 }
 
-// Turn takes the weight store's answer: how long to wait for a turn. ok is
-// false if it did not answer.
+// Turn processes the weight store's response: the time to wait for a turn to load, 0 if the turn
+// is granted. ok is false if there was no response.
 func (m *Machine) Turn(now time.Time, wait time.Duration, ok bool) []Out {
-	if m.step != turning {
+	if m.step != requestingTurn {
 		return nil
 	}
 	if ok && wait == 0 {
-		m.enter(now, emptying)
+		m.setStep(now, draining)
 		return m.Tick(now)
 	}
-	m.enter(now, idle)
-	m.retry = now.Add(max(wait, retryAfter))
+	m.setStep(now, idle)
+	m.resumeAt = now.Add(max(wait, retryDelay))
 	return nil
 }
 
-// ReadBack takes the row; ok is false if the table did not answer.
+// ReadBack processes the row that was read; ok is false if the table did not respond.
 func (m *Machine) ReadBack(now time.Time, row table.Row, ok bool) []Out {
 	if m.step != reading {
 		return nil
 	}
 	stored, err := decode(row)
 	if !ok || err != nil {
-		m.enter(now, emptying)
-		m.pause(now)
+		m.setStep(now, draining)
+		m.backOff(now)
 		return nil
 	}
-	m.see(now, row, stored)
-	if m.pending.ID != "" && stored.ID == m.pending.ID && !stored.Confirmed && now.Before(m.before) {
-		return m.send(now) // the write whose answer was lost took effect
+	m.recordRow(now, row, stored)
+	if m.pending.ID != "" && stored.ID == m.pending.ID && !stored.Confirmed && now.Before(m.sendBefore) {
+		return m.sendOrder(now) // the write whose response was lost took effect
 	}
-	if m.wanted == "" || m.actual == m.wanted {
-		m.enter(now, idle)
+	if m.wantedVersion == "" || m.actualVersion == m.wantedVersion {
+		m.setStep(now, idle)
 		return nil
 	}
-	m.enter(now, waiting)
-	m.retry = m.free(now)
+	m.setStep(now, waitingQuiet)
+	m.resumeAt = m.earliestWrite(now)
 	return m.Tick(now)
 }
 
-// see remembers when a version of the row was first seen here.
-func (m *Machine) see(now time.Time, row table.Row, stored Row) {
+// recordRow stores the row and when its version was first seen here.
+func (m *Machine) recordRow(now time.Time, row table.Row, stored Row) {
 	m.row, m.stored = row, stored
-	if row.Version != m.seen {
-		m.seen, m.seenAt = row.Version, now
+	if row.Version != m.seenVersion {
+		m.seenVersion, m.seenAt = row.Version, now
 	}
 }
 
-// free returns when the next order may be written. An upstream that ignores
-// fencing numbers would carry out a paused sender's old order after a new one;
-// once Quiet has passed since the row was seen, the old order's sender is past
-// its deadline and any message of it has ended.
-func (m *Machine) free(now time.Time) time.Time {
-	if m.checks || m.row.Version == 0 || m.stored.Confirmed {
+// earliestWrite returns the earliest time at which the next order may be written. An upstream
+// that ignores fencing numbers would execute a paused sender's old order after a newer one. Once
+// Quiet has passed since the row was first seen, the old order's lease has expired and every
+// message with it has ended.
+func (m *Machine) earliestWrite(now time.Time) time.Time {
+	if m.checksFencing || m.row.Version == 0 || m.stored.Confirmed {
 		return now
 	}
 	return m.seenAt.Add(Quiet)
 }
 
-// write raises the fencing number and names this order in the row.
-func (m *Machine) write(now time.Time) []Out {
-	if m.wanted == "" || m.actual == m.wanted {
-		m.enter(now, idle)
+// writeOrder writes a new order to the row and raises the fencing number.
+func (m *Machine) writeOrder(now time.Time) []Out {
+	if m.wantedVersion == "" || m.actualVersion == m.wantedVersion {
+		m.setStep(now, idle)
 		return nil
 	}
-	m.enter(now, writing)
-	m.orders++
+	m.setStep(now, writing)
+	m.orderCount++
 	m.pending = Row{
-		Fence: m.stored.Fence + 1, ID: fmt.Sprintf("%s/%d", m.sender, m.orders), Value: m.wanted,
+		Fence: m.stored.Fence + 1, ID: fmt.Sprintf("%s/%d", m.sender, m.orderCount), Value: m.wantedVersion,
 	}
-	m.before = now.Add(Lease)
+	m.sendBefore = now.Add(Lease)
 	m.answered = false
-	return []Out{{Commit: m.tx(m.pending)}}
+	return []Out{{Commit: m.updateTx(m.pending)}}
 }
 
-func (m *Machine) tx(r Row) *table.Tx {
+func (m *Machine) updateTx(r Row) *table.Tx {
 	key := RowKey(m.upstream)
 	return &table.Tx{
 		Conds:  []table.Cond{{Key: key, Version: m.row.Version}},
@@ -214,52 +219,52 @@
 	}
 }
 
-// Committed takes the result of a transaction.
+// Committed processes the result of a transaction.
 func (m *Machine) Committed(now time.Time, res table.Result) []Out {
 	switch m.step {
 	case writing:
 		if res.Status != table.Committed {
-			return m.read(now)
+			return m.readRow(now)
 		}
-		m.see(now, res.Find(RowKey(m.upstream)), m.pending)
-		return m.send(now)
-	case closing:
-		m.enter(now, idle)
-	case idle, turning, emptying, reading, waiting, confirming:
-		// An answer to a step that was given up.
+		m.recordRow(now, res.Find(RowKey(m.upstream)), m.pending)
+		return m.sendOrder(now)
+	case recording:
+		m.setStep(now, idle)
+	case idle, requestingTurn, draining, reading, waitingQuiet, confirming:
+		// The result belongs to a step that was abandoned.
 	}
 	return nil
 }
 
-// send sends the order, unless its lease has ended: a sender that was paused
-// between write and send must not send what a successor has since replaced.
-func (m *Machine) send(now time.Time) []Out {
-	if !now.Before(m.before) {
-		m.enter(now, emptying)
+// sendOrder sends the order unless its lease has expired: a sender that was paused between write
+// and send must not send an order that a successor has since replaced.
+func (m *Machine) sendOrder(now time.Time) []Out {
+	if !now.Before(m.sendBefore) {
+		m.setStep(now, draining)
 		return m.Tick(now)
 	}
-	m.enter(now, confirming)
-	return []Out{{Send: &Send{Fence: m.pending.Fence, Value: m.pending.Value, Before: m.before}}}
+	m.setStep(now, confirming)
+	return []Out{{Send: &Send{Fence: m.pending.Fence, Value: m.pending.Value, Before: m.sendBefore}}}
 }
 
-// Answered tells that the upstream has answered the order with a fencing
-// number. If it refused the number, another home has sent a newer order.
+// Answered processes the upstream's response to the order with a fencing number. If the upstream
+// refused the number, another home has sent a newer order.
 func (m *Machine) Answered(now time.Time, fence int64, refused bool) {
 	if fence != m.pending.Fence {
-		return // the answer to an earlier order
+		return // response to an earlier order
 	}
 	m.answered = true
 	if m.step == confirming && refused {
-		m.enter(now, idle)
-		m.pause(now)
+		m.setStep(now, idle)
+		m.backOff(now)
 	}
 }
 
-// confirm writes down that the order took effect, so that the next one need
-// not wait.
-func (m *Machine) confirm(now time.Time) []Out {
+// recordConfirmed writes to the row that the order took effect, so that the next order need not
+// wait.
+func (m *Machine) recordConfirmed(now time.Time) []Out {
 	done := m.pending
 	done.Confirmed = true
-	m.enter(now, closing)
-	return []Out{{Commit: m.tx(done)}}
+	m.setStep(now, recording)
+	return []Out{{Commit: m.updateTx(done)}}
 }
--- a/internal/core/order/order_property_test.go
+++ b/internal/core/order/order_property_test.go
@@ -15,202 +15,200 @@
 
 const testUpstream = "engine-1"
 
-// message is an order on its way.
+// message is an order in transit.
 type message struct {
-	from  *home
-	order Send
-	dies  time.Time
+	from    *home
+	order   Send
+	expires time.Time
 }
 
-// home is one machine with what its shell has not done yet.
+// home is a machine and the actions that it requested and that are not performed yet.
 type home struct {
-	name string
-	m    *Machine
-	todo []Out
+	name  string
+	m     *Machine
+	queue []Out
 }
 
-// world is two homes that both believe to be in charge, the table and one
-// upstream, with everything that is on its way between them.
-type world struct {
-	now     time.Time
-	homes   [2]*home
-	row     table.Row
-	flying  []message
-	checks  bool
-	fence   int64
-	version string
-	taken   []Send
+// simulation has two homes that both act for one upstream, the table, the upstream and the
+// orders in transit.
+type simulation struct {
+	now           time.Time
+	homes         [2]*home
+	row           table.Row
+	inTransit     []message
+	checksFencing bool
+	fence         int64
+	version       string
+	applied       []Send
 }
 
-func newWorld(checks bool) *world {
-	w := &world{now: time.Unix(1000, 0), checks: checks, version: "v0"}
-	for n := range w.homes {
+func newSimulation(checks bool) *simulation {
+	sim := &simulation{now: time.Unix(1000, 0), checksFencing: checks, version: "v0"}
+	for n := range sim.homes {
 		name := fmt.Sprintf("home-%d", n)
-		w.homes[n] = &home{name: name, m: NewMachine(testUpstream, name, checks)}
+		sim.homes[n] = &home{name: name, m: NewMachine(testUpstream, name, checks)}
 	}
-	return w
+	return sim
 }
 
-// command is one kind of step of a random run.
+// command is a kind of step of a random run.
 type command int
 
 const (
-	advance command = iota // time passes
-	pause                  // much time passes
-	want                   // a configuration asks for another version
-	report                 // the upstream's report reaches a home
-	tick                   // a home is told that time passes
-	do                     // a home's shell does the next thing
-	doLost                 // the same, but the answer is lost
-	deliver                // an order on its way arrives
+	advance     command = iota // up to 1.1 s pass
+	longPause                  // up to 11 s pass
+	setVersion                 // a home's configuration requires another version
+	report                     // a home receives the upstream's report
+	tick                       // a home's Tick is called
+	process                    // a home's next action is performed
+	processLost                // the same, but the response is lost
+	deliver                    // an order in transit arrives
 )
 
-// mix is how often each command comes.
-var mix = []command{
-	advance, advance, advance, pause, want, report, report, report, tick, tick,
-	do, do, do, do, do, do, do, do, doLost, deliver, deliver,
+// commandMix sets the relative frequency of the commands.
+var commandMix = []command{
+	advance, advance, advance, longPause, setVersion, report, report, report, tick, tick,
+	process, process, process, process, process, process, process, process, processLost, deliver, deliver,
 }
 
-// variants is how many variants each command has.
+// variants is the number of variants of each command.
 const variants = 12
 
-func (w *world) run(cmd command, variant int) {
-	h := w.homes[variant%2]
+func (sim *simulation) step(cmd command, variant int) {
+	h := sim.homes[variant%2]
 	switch cmd {
 	case advance:
-		w.now = w.now.Add(time.Duration(variant) * 100 * time.Millisecond)
-	case pause:
-		w.now = w.now.Add(time.Duration(variant) * time.Second)
-	case want:
+		sim.now = sim.now.Add(time.Duration(variant) * 100 * time.Millisecond)
+	case longPause:
+		sim.now = sim.now.Add(time.Duration(variant) * time.Second)
+	case setVersion:
 		h.m.Want(fmt.Sprintf("v%d", variant%3))
 	case report:
-		h.todo = append(h.todo, h.m.Report(w.now, w.version, 0)...)
+		h.queue = append(h.queue, h.m.Report(sim.now, sim.version, 0)...)
 	case tick:
-		h.todo = append(h.todo, h.m.Tick(w.now)...)
-	case do:
-		w.do(h, false)
-	case doLost:
-		w.do(h, true)
+		h.queue = append(h.queue, h.m.Tick(sim.now)...)
+	case process:
+		sim.process(h, false)
+	case processLost:
+		sim.process(h, true)
 	case deliver:
-		w.deliver(variant)
+		sim.deliver(variant)
 	}
 }
 
-// do carries out the oldest thing that a home wants, however late that is.
-func (w *world) do(h *home, lost bool) {
-	if len(h.todo) == 0 {
+// process performs the oldest action that a home requested, however late that is.
+func (sim *simulation) process(h *home, lost bool) {
+	if len(h.queue) == 0 {
 		return
 	}
-	o := h.todo[0]
-	h.todo = h.todo[1:]
+	o := h.queue[0]
+	h.queue = h.queue[1:]
 	var more []Out
 	switch {
 	case o.Turn:
-		more = h.m.Turn(w.now, 0, !lost)
+		more = h.m.Turn(sim.now, 0, !lost)
 	case o.Read:
-		more = h.m.ReadBack(w.now, w.row, !lost)
+		more = h.m.ReadBack(sim.now, sim.row, !lost)
 	case o.Commit != nil:
-		res := w.commit(*o.Commit)
+		res := sim.commit(*o.Commit)
 		if lost {
 			res = table.Result{Status: table.Unknown}
 		}
-		more = h.m.Committed(w.now, res)
-	case o.Send != nil && w.now.Before(o.Send.Before):
-		w.flying = append(w.flying, message{from: h, order: *o.Send, dies: w.now.Add(MessageLife)})
+		more = h.m.Committed(sim.now, res)
+	case o.Send != nil && sim.now.Before(o.Send.Before):
+		sim.inTransit = append(sim.inTransit, message{from: h, order: *o.Send, expires: sim.now.Add(MessageLife)})
 	}
-	h.todo = append(h.todo, more...)
+	h.queue = append(h.queue, more...)
 }
 
-func (w *world) commit(tx table.Tx) table.Result {
-	if tx.Conds[0].Version != w.row.Version {
-		return table.Result{Status: table.Conflict, Rows: []table.Row{w.row}}
+func (sim *simulation) commit(tx table.Tx) table.Result {
+	if tx.Conds[0].Version != sim.row.Version {
+		return table.Result{Status: table.Conflict, Rows: []table.Row{sim.row}}
 	}
-	w.row = table.Row{Key: RowKey(testUpstream), Version: w.row.Version + 1, Value: tx.Writes[0].Value}
-	return table.Result{Status: table.Committed, Rows: []table.Row{w.row}}
+	sim.row = table.Row{Key: RowKey(testUpstream), Version: sim.row.Version + 1, Value: tx.Writes[0].Value}
+	return table.Result{Status: table.Committed, Rows: []table.Row{sim.row}}
 }
 
-// deliver lets one of the orders on their way arrive, unless its call was
-// abandoned by then.
-func (w *world) deliver(variant int) {
-	if len(w.flying) == 0 {
+// deliver delivers one of the orders in transit, unless its call has been cancelled.
+func (sim *simulation) deliver(variant int) {
+	if len(sim.inTransit) == 0 {
 		return
 	}
-	n := variant % len(w.flying)
-	msg := w.flying[n]
-	w.flying = append(w.flying[:n:n], w.flying[n+1:]...)
-	if w.now.After(msg.dies) {
+	n := variant % len(sim.inTransit)
+	msg := sim.inTransit[n]
+	sim.inTransit = append(sim.inTransit[:n:n], sim.inTransit[n+1:]...)
+	if sim.now.After(msg.expires) {
 		return
 	}
-	if w.checks && msg.order.Fence <= w.fence {
-		msg.from.m.Answered(w.now, msg.order.Fence, true)
+	if sim.checksFencing && msg.order.Fence <= sim.fence {
+		msg.from.m.Answered(sim.now, msg.order.Fence, true)
 		return
 	}
-	w.fence = max(w.fence, msg.order.Fence)
-	w.version = msg.order.Value
-	w.taken = append(w.taken, msg.order)
-	if variant%4 != 0 { // else the upstream's answer is lost
-		msg.from.m.Answered(w.now, msg.order.Fence, false)
+	sim.fence = max(sim.fence, msg.order.Fence)
+	sim.version = msg.order.Value
+	sim.applied = append(sim.applied, msg.order)
+	if variant%4 != 0 { // otherwise the upstream's response is lost
+		msg.from.m.Answered(sim.now, msg.order.Fence, false)
 	}
 }
 
-// inOrder reports whether the orders took effect by rising fencing number.
-func (w *world) inOrder() bool {
-	for n := 1; n < len(w.taken); n++ {
-		if w.taken[n].Fence <= w.taken[n-1].Fence {
+// inOrder reports whether the orders took effect by increasing fencing number.
+func (sim *simulation) inOrder() bool {
+	for n := 1; n < len(sim.applied); n++ {
+		if sim.applied[n].Fence <= sim.applied[n-1].Fence {
 			return false
 		}
 	}
 	return true
 }
 
-// Two homes give one upstream orders at once, wake late, lose answers of the
-// table and of the upstream, and their messages overtake each other. An order
-// must never take effect after a newer one, whether the upstream checks the
-// fencing number or ignores it.
+// Two homes send orders to one upstream at the same time, run late, lose responses of the table
+// and of the upstream, and their messages overtake each other. An order must never take effect
+// after a newer one, whether the upstream checks fencing numbers or ignores them.
 func TestOrderPropertyNeverOvertaken(t *testing.T) {
 	for _, checks := range []bool{true, false} {
 		params := testkit.Parameters()
 		params.MinSize, params.MaxSize = 50, 300
 		properties := gopter.NewProperties(params)
-		taken := 0
+		applied := 0
 		properties.Property(fmt.Sprintf("checks=%t", checks), prop.ForAll(
 			func(steps []int) string {
-				w := newWorld(checks)
+				sim := newSimulation(checks)
 				for _, s := range steps {
-					w.run(mix[s%len(mix)], s/len(mix))
+					sim.step(commandMix[s%len(commandMix)], s/len(commandMix))
 				}
-				taken += len(w.taken)
-				if !w.inOrder() {
-					return fmt.Sprintf("orders took effect as %+v", w.taken)
+				applied += len(sim.applied)
+				if !sim.inOrder() {
+					return fmt.Sprintf("orders took effect out of order: %+v", sim.applied)
 				}
 				return ""
 			},
-			gen.SliceOf(gen.IntRange(0, len(mix)*variants-1)),
+			gen.SliceOf(gen.IntRange(0, len(commandMix)*variants-1)),
 		))
 		properties.TestingRun(t)
-		if taken == 0 {
-			t.Errorf("checks=%t: no order took effect in any run: nothing was tested", checks)
+		if applied == 0 {
+			t.Errorf("checks=%t: no order took effect in any run, want some: nothing was tested", checks)
 		}
-		t.Logf("checks=%t: %d orders took effect", checks, taken)
+		t.Logf("checks=%t: %d orders took effect", checks, applied)
 	}
 }
 
-// Step sequences that once let an order take effect after a newer one: the row
-// was marked confirmed because another home's order had brought the version
-// about, while this home's own order was still on its way.
-var overtaken = [][]int{
+// overtakenSequences are sequences of steps that made an order take effect after a newer one:
+// the row was marked as confirmed because another home's order had brought the version about,
+// while this home's own order was still in transit.
+var overtakenSequences = [][]int{
 	{172, 47, 94, 136, 10, 25, 52, 61, 129, 110, 50, 220, 52, 115, 94, 89, 10, 115, 31, 199, 40, 103},
 	{193, 71, 31, 115, 172, 115, 31, 131, 152, 136, 199, 10, 10, 94, 40, 61},
 }
 
 func TestOrderNotOvertakenAfterForeignConfirm(t *testing.T) {
-	for n, steps := range overtaken {
-		w := newWorld(false)
+	for n, steps := range overtakenSequences {
+		sim := newSimulation(false)
 		for _, s := range steps {
-			w.run(mix[s%len(mix)], s/len(mix))
+			sim.step(commandMix[s%len(commandMix)], s/len(commandMix))
 		}
-		if !w.inOrder() {
-			t.Errorf("sequence %d: orders took effect as %+v", n, w.taken)
+		if !sim.inOrder() {
+			t.Errorf("sequence %d: orders took effect out of order: %+v", n, sim.applied)
 		}
 	}
 }
