--- a/internal/core/booking/booking.go
+++ b/internal/core/booking/booking.go
@@ -1,7 +1,6 @@
-// Package booking decides when a call that may not be repeated is dispatched.
-// The permission to dispatch is one conditional write of the row
-// (organisation, service, idempotency key); only the attempt that wrote it ever
-// dispatches, and it does so once.
+// Package booking decides whether a call that must not be repeated is dispatched. The permission
+// to dispatch is a conditional write of the row (organisation, service, idempotency key): only
+// the attempt that wrote it dispatches, and it does so once.
 package booking
 
 import (
@@ -15,21 +14,21 @@
 // Prefix starts the table key of every booking.
 const Prefix = "booking/"
 
-// Keep is how long the outcome of a key is kept after its claim. A repeat
-// that comes later runs as a new call.
+// Keep is how long the outcome of a key is stored after its claim. A repeat after that runs as a
+// new call.
 const Keep = 24 * time.Hour
 
 // Row states.
 const (
 	// Claimed means that an attempt holds the permission and may have dispatched.
 	Claimed = "claimed"
-	// Done means that the call ran and its answer is recorded.
+	// Done means that the call ran and its response is recorded.
 	Done = "done"
-	// Unknown means that the call was dispatched and no answer came.
+	// Unknown means that the call was dispatched and got no response.
 	Unknown = "unknown"
-	// Released means that nothing ran and that nobody holds the permission.
-	// The row stays, because a claim whose answer was lost may still be on
-	// its way: it requires the row to be absent, so that it can't land.
+	// Released means that nothing ran and that no attempt holds the permission. The row is not
+	// deleted, because a claim whose response was lost may still be in transit: it requires the
+	// row to be absent, so that it can no longer commit.
 	Released = "released"
 )
 
@@ -38,22 +37,22 @@
 	Attempt  string `json:"attempt"`
 	BodyHash string `json:"body_hash"`
 	State    string `json:"state"`
-	// Until is when the attempt will have ended, Expires when the row may be
-	// deleted; both in Unix milliseconds.
+	// Until is when the attempt will have ended, Expires when the row may be deleted; both are
+	// Unix milliseconds.
 	Until   int64 `json:"until"`
 	Expires int64 `json:"expires"`
-	// Status and Body are the service's answer once State is Done.
+	// Status and Body are the service's response if State is Done.
 	Status int    `json:"status,omitempty"`
 	Body   []byte `json:"body,omitempty"`
 }
 
-// RowKey returns the table key of a booking. The parts are quoted, so that no
-// choice of names or keys can make two bookings share a row.
+// RowKey returns the table key of a booking. The parts are quoted, so that two bookings never
+// share a row, whatever their names and keys contain.
 func RowKey(org, service, key string) string {
 	return fmt.Sprintf("%s%q/%q/%q", Prefix, org, service, key)
 }
 
-// NewClaim returns the record of an attempt that ends within the given time.
+// NewClaim returns the claim of an attempt that ends within the given time.
 func NewClaim(now time.Time, attempt, bodyHash string, within time.Duration) Record {
 	return Record{
 		Attempt: attempt, BodyHash: bodyHash, State: Claimed,
@@ -61,9 +60,9 @@
 	}
 }
 
-// Put returns the transaction that moves a row from the given version, 0 for
-// absent, to a record. Every change of a booking is such a compare-and-set, so
-// that a late write never overwrites anything but what its writer has seen.
+// Put returns the transaction that replaces a row of the given version, 0 if absent, by a
+// record. Every change of a booking is such a compare-and-set, so that a late write never
+// overwrites a state that its writer has not read.
 func Put(rowKey string, version int64, rec Record) table.Tx {
 	return table.Tx{
 		Conds:  []table.Cond{{Key: rowKey, Version: version}},
@@ -71,32 +70,32 @@
 	}
 }
 
-// Step is what to do after a claim's result.
+// Step is the next action of an attempt after the result of its claim.
 type Step int
 
 // Steps.
 const (
 	// Dispatch: this attempt holds the permission.
 	Dispatch Step = iota + 1
-	// Replay: the recorded answer is the answer.
+	// Replay: the caller gets the recorded response.
 	Replay
-	// AnswerUnknown: another attempt claimed the key and left no answer.
+	// AnswerUnknown: another attempt claimed the key and recorded no response.
 	AnswerUnknown
 	// Await: another attempt holds the key and may still be running.
 	Await
 	// Refuse: the key was used with a different body.
 	Refuse
-	// ClaimAgain: an earlier holder has released the key.
+	// ClaimAgain: the key is not held; claim the current version of the row.
 	ClaimAgain
-	// Fence: the answer was lost; make sure that the claim can't land later.
+	// Fence: the response was lost; ensure that the claim cannot commit later.
 	Fence
-	// NotRun: this claim is fenced off, so that nothing ran.
+	// NotRun: the claim can no longer commit, so that nothing ran.
 	NotRun
-	// Renounce: nothing is known; never dispatch, fence in the background.
+	// Renounce: the outcome is unknown; never dispatch, and fence in the background.
 	Renounce
 )
 
-// AfterClaim decides what follows the claim's result.
+// AfterClaim returns the step after the result of a claim.
 func AfterClaim(now time.Time, res table.Result, rowKey, attempt, bodyHash string) Step {
 	switch res.Status {
 	case table.Committed:
@@ -108,7 +107,8 @@
 	}
 }
 
-// AfterFence decides what follows the result of Undo after a lost answer.
+// AfterFence returns the step after the result of Undo, which was sent because the claim's
+// response was lost.
 func AfterFence(now time.Time, res table.Result, rowKey, attempt, bodyHash string) Step {
 	switch res.Status {
 	case table.Committed:
@@ -120,7 +120,7 @@
 	}
 }
 
-// AfterRow decides what a stored row means for an attempt.
+// AfterRow returns the step of an attempt that found the given row.
 func AfterRow(now time.Time, row table.Row, attempt, bodyHash string) Step {
 	if row.Version == 0 {
 		return ClaimAgain
@@ -146,10 +146,10 @@
 	}
 }
 
-// Undo returns the transaction after which the claim of an attempt that never
-// dispatched can't stand, given the row as last seen and the version that the
-// claim required. ok is false if there is nothing left to undo: the row has
-// moved on, so that the claim can't land any more.
+// Undo returns the transaction that removes the claim of an attempt that never dispatched, and
+// that prevents the claim from committing later. row is the row as last read, base the version
+// that the claim required. ok is false if nothing is left to undo: the row has changed, so that
+// the claim can no longer commit.
 func Undo(now time.Time, row table.Row, base int64, attempt, bodyHash string) (tx table.Tx, ok bool) {
 	rec, err := Decode(row.Value)
 	landed := err == nil && rec.State == Claimed && rec.Attempt == attempt
@@ -161,8 +161,8 @@
 	return Put(row.Key, row.Version, rec), true
 }
 
-// Expired returns the transaction that deletes the expired rows among rows. ok
-// is false if there are none.
+// Expired returns the transaction that deletes the expired rows among rows. ok is false if there
+// are none.
 func Expired(now time.Time, rows []table.Row) (tx table.Tx, ok bool) {
 	for _, row := range rows {
 		rec, err := Decode(row.Value)
@@ -175,7 +175,7 @@
 	return tx, len(tx.Writes) > 0
 }
 
-// Decode reads a stored record.
+// Decode decodes a stored record.
 func Decode(value []byte) (Record, error) {
 	var rec Record
 	if err := json.Unmarshal(value, &rec); err != nil {
--- a/internal/core/booking/booking_test.go
+++ b/internal/core/booking/booking_test.go
@@ -11,9 +11,8 @@
 	"mulberrylug.example/mulberrylug/internal/testkit"
 )
 
-// Callers choose their keys. No choice of a key may reach the row of another
-// organisation or service, whose answer it would get, or whose key it would use
-// up.
+// Callers choose their idempotency keys. If a key could address the row of another organisation
+// or service, a caller would get a response of theirs or occupy one of their keys.
 func TestPromise4PropertyRowKeysAreDistinct(t *testing.T) {
 	p := gopter.NewProperties(testkit.Parameters())
 	part := gen.SliceOfN(3, gen.OneConstOf("a", "/", `"`, `\\`, "")).Map(func(s []string) string { return s[0] + s[1] + s[2] })
@@ -25,6 +24,6 @@
 	}, triple, triple))
 	p.TestingRun(t)
 	if booking.RowKey("a/b", "c", "d") == booking.RowKey("a", "b/c", "d") {
-		t.Error("a slash moves a booking to another service")
+		t.Error("organisation \"a/b\", service \"c\" and organisation \"a\", service \"b/c\" share a row, want different rows")
 	}
 }
