--- a/internal/core/retry/budget.go
+++ b/internal/core/retry/budget.go
@@ -1,11 +1,11 @@
-// Package retry bounds how much work is tried again, so that a brown-out is
-// not made worse by retries: each success earns a fraction of a retry.
+// Package retry bounds the number of retries, so that retries do not amplify a partial outage:
+// each success earns a fraction of a retry.
 //
-// Over any span of time an instance makes at most
+// In any period an instance makes at most
 //
 //	Saved + Earned x successes
 //
-// retries, so that the attempts for n requests are at most n + Saved + Earned x n.
+// retries, so that n requests cause at most n + Saved + Earned x n attempts.
 package retry
 
 import (
@@ -14,118 +14,118 @@
 )
 
 const (
-	// Earned is the part of a retry that one success pays for.
+	// Earned is the fraction of a retry that one success earns.
 	Earned = 0.1
-	// Saved is the most that can be saved up, and what one starts with. It
-	// covers the requests of one entry on one engine that crashes with a full
-	// batch of 64: spread over a dozen entries, each loses five or six.
+	// Saved is the maximum and the initial number of retries in a budget. It covers the requests
+	// of one entry on an engine that crashes with a full batch of 64: spread over a dozen
+	// entries, each loses five or six.
 	Saved = 20
-	// baseBackoff and maxBackoff bound the pause before a retry.
+	// baseBackoff and maxBackoff bound the delay before a retry.
 	baseBackoff = 25 * time.Millisecond
 	maxBackoff  = 2 * time.Second
-	// maxOrgs bounds the organisations whose budget is not full; a full
-	// budget is not stored. Beyond, an organisation waits for its first retry
-	// until others are full again or idle.
+	// maxOrgs bounds the number of organisations whose budget is stored, which is the case while
+	// it is not full. Beyond it, the first retry of another organisation is refused until a
+	// stored budget is full or idle.
 	maxOrgs = 4096
-	// idle is how long after its last retry an organisation is forgotten,
-	// which fills its budget again.
-	idle = 10 * time.Minute
-	// sweepEvery is how often idle organisations are looked for, at most.
-	sweepEvery = time.Minute
+	// idleTTL is the time since the last retry after which an organisation's budget is removed
+	// and thus full again.
+	idleTTL = 10 * time.Minute
+	// sweepInterval is the minimum interval between removals of idle budgets.
+	sweepInterval = time.Minute
 )
 
-// Verdict says whether a retry may be made.
+// Verdict states whether a retry is allowed, or else which budget is used up.
 type Verdict string
 
 // Verdicts.
 const (
 	Allowed Verdict = "allowed"
-	// SpentOrg and SpentInstance name the budget that has nothing left.
+	// SpentOrg and SpentInstance name the budget that is used up.
 	SpentOrg      Verdict = "organisation"
 	SpentInstance Verdict = "instance"
 )
 
-// Budgets holds one budget for the instance and one for each organisation.
+// Budgets holds the retry budgets of the instance and of the organisations.
 type Budgets struct {
-	all  float64
-	orgs map[string]*account
-	rng  *rand.Rand
-	// swept is when idle organisations were last looked for.
-	swept time.Time
+	instance float64
+	orgs     map[string]*account
+	rng      *rand.Rand
+	// lastSweep is when idle budgets were last removed.
+	lastSweep time.Time
 }
 
 // account is an organisation's budget that is not full.
 type account struct {
-	left float64
-	used time.Time
+	remaining float64
+	lastUsed  time.Time
 }
 
-// NewBudgets returns full budgets; seed feeds the jitter.
+// NewBudgets returns full budgets; seed is the seed of the jitter.
 func NewBudgets(seed uint64) *Budgets {
-	return &Budgets{all: Saved, orgs: map[string]*account{}, rng: rand.New(rand.NewPCG(seed, seed))}
+	return &Budgets{instance: Saved, orgs: map[string]*account{}, rng: rand.New(rand.NewPCG(seed, seed))}
 }
 
-// Success pays for later retries.
+// Success adds Earned to the budgets of the instance and the organisation.
 func (b *Budgets) Success(org string) {
-	b.all = min(Saved, b.all+Earned)
+	b.instance = min(Saved, b.instance+Earned)
 	a := b.orgs[org]
 	if a == nil {
 		return
 	}
-	a.left += Earned
-	if a.left >= Saved {
+	a.remaining += Earned
+	if a.remaining >= Saved {
 		delete(b.orgs, org)
 	}
 }
 
-// Take spends one retry of the organisation and of the instance, or nothing if
-// either has none left.
+// Take spends one retry of the organisation and of the instance, or nothing if either budget is
+// used up.
 func (b *Budgets) Take(now time.Time, org string) Verdict {
-	if b.all < 1 {
+	if b.instance < 1 {
 		return SpentInstance
 	}
 	a := b.account(now, org)
-	if a == nil || a.left < 1 {
+	if a == nil || a.remaining < 1 {
 		return SpentOrg
 	}
-	a.left--
-	a.used = now
-	b.all--
+	a.remaining--
+	a.lastUsed = now
+	b.instance--
 	return Allowed
 }
 
-// account returns an organisation's budget, or nil if there is no room for it.
+// account returns an organisation's budget, or nil if maxOrgs are stored.
 func (b *Budgets) account(now time.Time, org string) *account {
 	if a := b.orgs[org]; a != nil {
 		return a
 	}
 	if len(b.orgs) >= maxOrgs {
-		b.forgetIdle(now)
+		b.removeIdle(now)
 	}
 	if len(b.orgs) >= maxOrgs {
 		return nil
 	}
-	a := &account{left: Saved, used: now}
+	a := &account{remaining: Saved, lastUsed: now}
 	b.orgs[org] = a
 	return a
 }
 
-func (b *Budgets) forgetIdle(now time.Time) {
-	if now.Sub(b.swept) < sweepEvery {
+func (b *Budgets) removeIdle(now time.Time) {
+	if now.Sub(b.lastSweep) < sweepInterval {
 		return
 	}
-	b.swept = now
+	b.lastSweep = now
 	for org, a := range b.orgs {
-		if now.Sub(a.used) > idle {
+		if now.Sub(a.lastUsed) > idleTTL {
 			delete(b.orgs, org)
 		}
 	}
 }
 
-// Len returns how many organisations' budgets are stored.
+// Len returns the number of stored budgets.
 func (b *Budgets) Len() int { return len(b.orgs) }
 
-// Backoff returns a pause before the n-th retry, with full jitter.
+// Backoff returns a random delay before the n-th retry, with full jitter.
 func (b *Budgets) Backoff(n int) time.Duration {
 	limit := min(baseBackoff<<min(n, 10), maxBackoff)
 	return time.Duration(b.rng.Int64N(int64(limit)) + 1)
--- a/internal/core/retry/budget_test.go
+++ b/internal/core/retry/budget_test.go
@@ -12,28 +12,27 @@
 	"mulberrylug.example/mulberrylug/internal/testkit"
 )
 
-// In any order of successes and failures of a few organisations, neither the
-// instance nor an organisation makes more retries than its successes have paid
-// for, beside the Saved that each starts with.
+// For any sequence of successes and failures of a few organisations, neither the instance nor an
+// organisation may make more retries than its successes have earned, plus the initial Saved.
 func TestRetryBudgetPropertyNeverOverspent(t *testing.T) {
 	props := gopter.NewProperties(testkit.Parameters())
 	props.Property("retries <= Saved + Earned x successes", prop.ForAll(
 		func(order []uint8) bool {
 			b := NewBudgets(1)
-			taken, won := map[string]int{}, map[string]int{}
+			retries, successes := map[string]int{}, map[string]int{}
 			for _, choice := range order {
 				org := fmt.Sprint(choice % 3)
 				if choice < 128 {
 					b.Success(org)
-					won[org]++
-					won["all"]++
+					successes[org]++
+					successes["all"]++
 				} else if b.Take(time.Unix(0, 0), org) == Allowed {
-					taken[org]++
-					taken["all"]++
+					retries[org]++
+					retries["all"]++
 				}
 			}
-			for who, n := range taken {
-				if float64(n) > Saved+Earned*float64(won[who])+1e-6 {
+			for owner, n := range retries {
+				if float64(n) > Saved+Earned*float64(successes[owner])+1e-6 {
 					return false
 				}
 			}
@@ -41,7 +40,7 @@
 		},
 		gen.SliceOfN(200, gen.UInt8()),
 	))
-	props.Property("pauses have full jitter up to the bound", prop.ForAll(
+	props.Property("the backoff is positive and at most maxBackoff", prop.ForAll(
 		func(n int) bool {
 			d := NewBudgets(uint64(n)).Backoff(n)
 			return d > 0 && d <= maxBackoff
@@ -51,35 +50,35 @@
 	props.TestingRun(t)
 }
 
-// One organisation's failures don't take the retries of another, and the
-// memory for organisations is bounded and given back.
+// An organisation with many failures must not use up the retries of another one. The number of
+// stored budgets is bounded, and idle or full budgets are removed.
 func TestRetryBudgetPerOrganisationAndBounded(t *testing.T) {
 	b := NewBudgets(1)
-	b.all = 1e6
+	b.instance = 1e6
 	now := time.Unix(0, 0)
 	for range Saved {
-		b.Take(now, "loud")
+		b.Take(now, "failing")
 	}
-	if v := b.Take(now, "loud"); v != SpentOrg {
-		t.Errorf("loud organisation: %s, want %s", v, SpentOrg)
+	if v := b.Take(now, "failing"); v != SpentOrg {
+		t.Errorf("organisation without retries left: verdict = %s, want %s", v, SpentOrg)
 	}
-	if v := b.Take(now, "quiet"); v != Allowed {
-		t.Errorf("quiet organisation: %s, want %s", v, Allowed)
+	if v := b.Take(now, "other"); v != Allowed {
+		t.Errorf("organisation without retries so far: verdict = %s, want %s", v, Allowed)
 	}
 	for n := range 31_000 {
 		b.Take(now, fmt.Sprint(n))
 	}
 	if b.Len() > maxOrgs {
-		t.Errorf("%d organisations stored, want at most %d", b.Len(), maxOrgs)
+		t.Errorf("stored organisations = %d, want at most %d", b.Len(), maxOrgs)
 	}
-	later := now.Add(idle + time.Second)
+	later := now.Add(idleTTL + time.Second)
 	if v := b.Take(later, "new"); v != Allowed || b.Len() != 1 {
-		t.Errorf("after the idle time: %s with %d stored, want %s with 1", v, b.Len(), Allowed)
+		t.Errorf("after the idle TTL: verdict = %s with %d stored organisations, want %s with 1", v, b.Len(), Allowed)
 	}
 	for range 20 {
 		b.Success("new")
 	}
 	if b.Len() != 0 {
-		t.Errorf("%d stored after the budget was full again, want none", b.Len())
+		t.Errorf("stored organisations = %d after the budget was full again, want 0", b.Len())
 	}
 }
