--- a/internal/core/stream/handle.go
+++ b/internal/core/stream/handle.go
@@ -13,34 +13,36 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// macSize is the length in bytes of the truncated HMAC on a handle.
+// macSize is the length of the truncated HMAC of a handle, in bytes.
 const macSize = 16
 
-// ErrHandle is returned for a handle that was altered or is malformed.
+// ErrHandle is returned for a handle that is malformed or was altered.
 var ErrHandle = errors.New("stream handle is not valid")
 
-// Handle names a running generation, so that any instance can resume it
-// without a shared table.
+// Handle identifies a running generation, so that any instance can resume it without shared
+// state.
 type Handle struct {
-	// Request is the request whose entry signed the handle. An instance that
-	// adopts the generation tells that entry to let go of it.
+	// Request is the request whose entry signed the handle. An instance that adopts the
+	// generation notifies that entry, which then releases it.
 	Request      string
 	Organisation string
 	Service      string
 	Upstream     string
-	// Boot is the run of the upstream that produces the generation.
+	// Boot is the run of the upstream that runs the generation.
 	Boot       string
 	Generation string
-	// BudgetHome holds the reservation of Reserved millionths.
-	BudgetHome  string
-	Reserved    int64
+	// BudgetHome is the instance that holds the reservation of Reserved millionths of the
+	// currency unit.
+	BudgetHome string
+	Reserved   int64
+	// Prompt is the number of prompt tokens, MaxTokens the maximum number of output tokens.
 	Prompt      int
 	MaxTokens   int
 	Fingerprint uint64
 }
 
-// Sign encodes the handle with an HMAC under the deployment's stream key. It
-// is encoded without field names, as each event of a stream carries it.
+// Sign encodes the handle with an HMAC under the deployment's stream key. Field names are
+// omitted, because each event of a stream carries the handle.
 func (h Handle) Sign(key string) (string, error) {
 	var body bytes.Buffer
 	enc := msgpack.NewEncoder(&body)
@@ -53,8 +55,7 @@
 	return base64.RawURLEncoding.EncodeToString(signed), nil
 }
 
-// Open checks and decodes a signed handle. It returns ErrHandle if the handle
-// was altered.
+// Open verifies and decodes a signed handle. It returns ErrHandle if the handle was altered.
 func Open(key, signed string) (Handle, error) {
 	var h Handle
 	raw, err := base64.RawURLEncoding.DecodeString(signed)
@@ -76,10 +77,10 @@
 	return m.Sum(nil)[:macSize]
 }
 
-// EventID joins a signed handle and a token index into an event id.
+// EventID returns the event id that combines a signed handle and a token index.
 func EventID(signed string, index int) string { return signed + "." + strconv.Itoa(index) }
 
-// ParseEventID splits an event id. It returns ErrHandle if there is no index.
+// ParseEventID splits an event id. It returns ErrHandle if the index is missing or invalid.
 func ParseEventID(id string) (signed string, index int, err error) {
 	signed, tail, ok := strings.Cut(id, ".")
 	index, err = strconv.Atoi(tail)
--- a/internal/core/stream/sequencer.go
+++ b/internal/core/stream/sequencer.go
@@ -1,58 +1,59 @@
-// Package stream delivers the tokens of one answer exactly once, in order and
-// from a single generation, and signs the handles with which a caller resumes
-// a cut stream at any instance.
+// Package stream delivers the tokens of a generation exactly once and in order, and never mixes
+// tokens of two generations. It also signs the handles with which a caller resumes an
+// interrupted stream at any instance.
 package stream
 
-// Verdict says what to do with a token that an upstream sent.
+// Verdict states how to treat a token received from an upstream.
 type Verdict int
 
 // Verdicts.
 const (
-	// Deliver hands the token to the caller.
+	// Deliver: send the token to the caller.
 	Deliver Verdict = iota
-	// Duplicate drops a token that was delivered before.
+	// Duplicate: drop a token that was already delivered.
 	Duplicate
-	// Gap means that earlier tokens are missing: the stream must be resumed
-	// from Next before anything more is delivered.
+	// Gap: earlier tokens are missing. Before any more tokens are delivered, the stream must be
+	// resumed at Next.
 	Gap
-	// Foreign drops a token of another generation.
+	// Foreign: drop a token of another generation.
 	Foreign
 )
 
-// Generation identifies one answer being produced. An engine that restarts may
-// run a request again under the id that it knows; its tokens then differ from
-// those that were delivered, so that the id alone does not identify the answer.
+// Generation identifies an answer being produced. An engine that restarts may run a request
+// again under the same id. Its tokens then differ from those already delivered, so the id alone
+// does not identify the answer.
 type Generation struct {
-	// ID is the attempt's id.
+	// ID is the id of the attempt.
 	ID string
-	// Boot is the run of the engine; empty for engines that do not name it.
+	// Boot is the run of the engine; "" for engines that do not report it.
 	Boot string
 }
 
-// Sequencer decides which tokens of which generation reach the caller. It is
-// bound to a generation by the first token that it delivers.
+// Sequencer decides which tokens reach the caller. The first token that it delivers binds it to
+// a generation.
 type Sequencer struct {
-	bound Generation
-	next  int
+	generation Generation
+	// next is the index of the next token to deliver.
+	next int
 }
 
-// Resume returns a sequencer that is bound to a generation and has delivered
-// the tokens before next.
+// Resume returns a sequencer that is bound to a generation and has delivered the tokens before
+// index next.
 func Resume(g Generation, next int) Sequencer {
-	return Sequencer{bound: g, next: next}
+	return Sequencer{generation: g, next: next}
 }
 
-// Accept judges the token at index of a generation.
+// Accept returns the verdict on the token at index of a generation.
 func (s *Sequencer) Accept(g Generation, index int) Verdict {
 	switch {
-	case s.Bound() && s.bound != g:
+	case s.Bound() && s.generation != g:
 		return Foreign
 	case index < s.next:
 		return Duplicate
 	case index > s.next:
 		return Gap
 	}
-	s.bound = g
+	s.generation = g
 	s.next++
 	return Deliver
 }
@@ -60,9 +61,8 @@
 // Next returns the index of the next token to deliver.
 func (s *Sequencer) Next() int { return s.next }
 
-// Bound reports whether a first token was delivered.
-func (s *Sequencer) Bound() bool { return s.bound.ID != "" }
+// Bound reports whether the sequencer is bound to a generation.
+func (s *Sequencer) Bound() bool { return s.generation.ID != "" }
 
-// Generation returns the generation that the sequencer is bound to, or the
-// zero value.
-func (s *Sequencer) Generation() Generation { return s.bound }
+// Generation returns the generation that the sequencer is bound to; zero if it is not bound.
+func (s *Sequencer) Generation() Generation { return s.generation }
--- a/internal/core/suspect/suspect.go
+++ b/internal/core/suspect/suspect.go
@@ -1,6 +1,6 @@
-// Package suspect finds requests that crash each upstream that runs them. When
-// an upstream crashes, every request that ran there gets a strike under the
-// fingerprint of its body; two strikes from different crashes get it refused.
+// Package suspect detects requests that crash each upstream that runs them. When an upstream
+// crashes, every request that ran on it gets a strike under the fingerprint of its body. A
+// fingerprint with two strikes from different crashes is refused.
 package suspect
 
 import (
@@ -9,75 +9,75 @@
 	"time"
 )
 
-// Verdict says how to treat a request with a fingerprint.
+// Verdict states how to treat a request with a fingerprint.
 type Verdict int
 
 // Verdicts.
 const (
-	// Clean: no strike; place it anywhere.
+	// Clean: no strike; it may be placed anywhere.
 	Clean Verdict = iota
-	// Suspected: one strike; place it away from other suspects.
+	// Suspected: one strike; it must not share an upstream with another suspect.
 	Suspected
 	// Refused: two strikes.
 	Refused
 )
 
 const (
-	// MaxStrikes is the number of crashes under a fingerprint before it is
-	// refused.
+	// MaxStrikes is the number of crashes after which a fingerprint is refused.
 	MaxStrikes = 2
-	// maxPrints bounds the fingerprints that an instance keeps; the ones that
-	// were struck longest ago go first. A crash strikes at most a batch, so
-	// that this holds the crashes of a bad day.
-	maxPrints = 4096
-	// echo is the least by which a told strike must be newer to count: a
-	// strike that instances tell each other in turn must not stay for ever.
-	echo = 5 * time.Second
+	// maxFingerprints bounds the stored fingerprints; the ones with the oldest strikes are
+	// evicted first. A crash gives strikes to at most one batch of requests, so the bound covers
+	// the crashes of a bad day.
+	maxFingerprints = 4096
+	// relayTolerance is the minimum by which a received strike must be newer to extend the TTL.
+	// Otherwise instances that repeatedly send each other the same strike would keep it for
+	// ever.
+	relayTolerance = 5 * time.Second
 )
 
-// Crash is one crash of an upstream: Boot is the run that it ended.
+// Crash identifies one crash of an upstream; Boot is the run that it ended.
 type Crash struct {
 	Upstream string
 	Boot     string
 }
 
-// Strike is a crash that a fingerprint was there for.
+// Strike records that a request with a fingerprint was running at a crash.
 type Strike struct {
 	Fingerprint uint64
 	Crash       Crash
 	At          time.Time
 }
 
-// List holds the strikes that an instance knows of.
+// List holds the strikes known to an instance.
 type List struct {
-	keep   time.Duration
-	prints map[uint64]*entry
+	ttl           time.Duration
+	byFingerprint map[uint64]*record
 }
 
-type entry struct {
-	crashes []Crash
-	last    time.Time
+// record holds the crashes of a fingerprint and the time of the last strike.
+type record struct {
+	crashes    []Crash
+	lastStrike time.Time
 }
 
-// NewList returns a list that forgets a strike after keep.
-func NewList(keep time.Duration) *List {
-	return &List{keep: keep, prints: map[uint64]*entry{}}
+// NewList returns a list that removes a strike after ttl.
+func NewList(ttl time.Duration) *List {
+	return &List{ttl: ttl, byFingerprint: map[uint64]*record{}}
 }
 
-// Strike records a strike and reports whether it was new. It is idempotent by
-// crash.
+// Strike records a strike and reports whether it was new. It is idempotent by crash.
 func (l *List) Strike(now time.Time, s Strike) bool {
-	if now.Sub(s.At) > l.keep {
+	if now.Sub(s.At) > l.ttl {
 		return false
 	}
-	e := l.prints[s.Fingerprint]
+	e := l.byFingerprint[s.Fingerprint]
 	if e == nil {
 		l.evict(now)
-		e = &entry{last: s.At}
-		l.prints[s.Fingerprint] = e
+		e = &record{lastStrike: s.At}
+		l.byFingerprint[s.Fingerprint] = e
 	}
-	if s.At.Sub(e.last) > echo {
-		e.last = s.At
+	if s.At.Sub(e.lastStrike) > relayTolerance {
+		e.lastStrike = s.At
 	}
 	if len(e.crashes) >= MaxStrikes || slices.Contains(e.crashes, s.Crash) {
 		return false
@@ -86,30 +86,30 @@
 	return true
 }
 
-// evict keeps the list within its bound. It drops an eighth at once, so that
-// the sorting is paid for by many strikes.
+// evict enforces the bound. It removes an eighth of the fingerprints at once, so that the cost
+// of sorting is shared by many strikes.
 func (l *List) evict(now time.Time) {
-	if len(l.prints) < maxPrints {
+	if len(l.byFingerprint) < maxFingerprints {
 		return
 	}
-	all := l.Recent(now, len(l.prints)*MaxStrikes)
-	kept := map[uint64]*entry{}
+	all := l.Recent(now, len(l.byFingerprint)*MaxStrikes)
+	kept := map[uint64]*record{}
 	for _, s := range all {
-		if len(kept) < maxPrints-maxPrints/8 {
-			kept[s.Fingerprint] = l.prints[s.Fingerprint]
+		if len(kept) < maxFingerprints-maxFingerprints/8 {
+			kept[s.Fingerprint] = l.byFingerprint[s.Fingerprint]
 		}
 	}
-	l.prints = kept
+	l.byFingerprint = kept
 }
 
 // Judge returns the verdict on a fingerprint.
 func (l *List) Judge(now time.Time, fingerprint uint64) Verdict {
-	e := l.prints[fingerprint]
+	e := l.byFingerprint[fingerprint]
 	switch {
 	case e == nil:
 		return Clean
-	case now.Sub(e.last) > l.keep:
-		delete(l.prints, fingerprint)
+	case now.Sub(e.lastStrike) > l.ttl:
+		delete(l.byFingerprint, fingerprint)
 		return Clean
 	case len(e.crashes) >= MaxStrikes:
 		return Refused
@@ -118,18 +118,18 @@
 	}
 }
 
-// Until returns when a refused fingerprint will be forgotten.
+// Until returns when a fingerprint expires; zero if it has no strike.
 func (l *List) Until(fingerprint uint64) time.Time {
-	if e := l.prints[fingerprint]; e != nil {
-		return e.last.Add(l.keep)
+	if e := l.byFingerprint[fingerprint]; e != nil {
+		return e.lastStrike.Add(l.ttl)
 	}
 	return time.Time{}
 }
 
-// Upstreams lists the upstreams that crashed under a fingerprint.
+// Upstreams returns the upstreams whose crashes gave a fingerprint its strikes.
 func (l *List) Upstreams(fingerprint uint64) []string {
 	var out []string
-	if e := l.prints[fingerprint]; e != nil {
+	if e := l.byFingerprint[fingerprint]; e != nil {
 		for _, c := range e.crashes {
 			out = append(out, c.Upstream)
 		}
@@ -137,13 +137,13 @@
 	return out
 }
 
-// Recent lists the strikes that still count, the newest first, at most n.
+// Recent returns at most n strikes that have not expired, newest first.
 func (l *List) Recent(now time.Time, n int) []Strike {
 	var out []Strike
-	for print, e := range l.prints {
+	for fingerprint, e := range l.byFingerprint {
 		for _, c := range e.crashes {
-			if now.Sub(e.last) <= l.keep {
-				out = append(out, Strike{Fingerprint: print, Crash: c, At: e.last})
+			if now.Sub(e.lastStrike) <= l.ttl {
+				out = append(out, Strike{Fingerprint: fingerprint, Crash: c, At: e.lastStrike})
 			}
 		}
 	}
@@ -153,5 +153,5 @@
 	return out[:min(n, len(out))]
 }
 
-// Len returns how many fingerprints are kept.
-func (l *List) Len() int { return len(l.prints) }
+// Len returns the number of stored fingerprints.
+func (l *List) Len() int { return len(l.byFingerprint) }
--- a/internal/core/suspect/suspect_test.go
+++ b/internal/core/suspect/suspect_test.go
@@ -5,38 +5,38 @@
 	"time"
 )
 
-// Strikes count by crash, lapse, and take bounded memory; a strike that
-// instances tell each other in turn does not stay for ever.
+// Strikes must count once for each crash, expire, and use bounded memory. A strike that
+// instances repeatedly send each other must not be kept for ever.
 func TestPoisonStrikes(t *testing.T) {
 	now := time.Unix(1000, 0)
 	l := NewList(10 * time.Minute)
 	crash := Crash{Upstream: "engine-1", Boot: "a"}
 	if !l.Strike(now, Strike{7, crash, now}) || l.Strike(now, Strike{7, crash, now}) {
-		t.Error("a crash must be new once")
+		t.Error("the same strike twice: want new only the first time")
 	}
 	if v := l.Judge(now, 7); v != Suspected {
-		t.Errorf("after one crash: %d, want Suspected", v)
+		t.Errorf("verdict after one crash = %d, want Suspected", v)
 	}
 	l.Strike(now, Strike{7, Crash{Upstream: "engine-1", Boot: "b"}, now})
 	if v := l.Judge(now, 7); v != Refused {
-		t.Errorf("after a second crash of the same upstream: %d, want Refused", v)
+		t.Errorf("verdict after a second crash of the same upstream = %d, want Refused", v)
 	}
 	for later := now; later.Before(now.Add(time.Hour)); later = later.Add(time.Second) {
-		l.Strike(later, Strike{7, crash, now.Add(time.Second)}) // an echo, each second
+		l.Strike(later, Strike{7, crash, now.Add(time.Second)}) // the old strike is received again each second
 	}
 	if v := l.Judge(now.Add(time.Hour), 7); v != Clean {
-		t.Errorf("after an hour of echoes: %d, want Clean", v)
+		t.Errorf("verdict after an hour of repeated old strikes = %d, want Clean", v)
 	}
-	for n := range uint64(3 * maxPrints) {
+	for n := range uint64(3 * maxFingerprints) {
 		l.Strike(now, Strike{n, crash, now.Add(time.Duration(n))})
 	}
-	if l.Len() > maxPrints {
-		t.Errorf("%d fingerprints kept, want at most %d", l.Len(), maxPrints)
+	if l.Len() > maxFingerprints {
+		t.Errorf("stored fingerprints = %d, want at most %d", l.Len(), maxFingerprints)
 	}
-	if v := l.Judge(now, 3*maxPrints-1); v != Suspected {
-		t.Error("the newest strike was evicted")
+	if v := l.Judge(now, 3*maxFingerprints-1); v != Suspected {
+		t.Error("the newest strike was evicted, want it kept")
 	}
-	if got := l.Recent(now, 5); len(got) != 5 || got[0].Fingerprint != 3*maxPrints-1 {
-		t.Errorf("Recent = %+v, want the five newest", got)
+	if got := l.Recent(now, 5); len(got) != 5 || got[0].Fingerprint != 3*maxFingerprints-1 {
+		t.Errorf("Recent(5) = %+v, want the five newest strikes", got)
 	}
 }
