--- a/internal/core/booking/booking.go
+++ b/internal/core/booking/booking.go
@@ -11,7 +11,7 @@
 	"mulberrylug.example/mulberrylug/internal/core/table"
 )
 
-// Prefix starts the table key of every booking.
+// Prefix is the table key prefix of all bookings.
 const Prefix = "booking/"
 
 // Keep is how long the outcome of a key is stored after its claim. A repeat after that runs as a
@@ -27,8 +27,8 @@
 	// Unknown means that the call was dispatched and got no response.
 	Unknown = "unknown"
 	// Released means that nothing ran and that no attempt holds the permission. The row is not
-	// deleted, because a claim whose response was lost may still be in transit: it requires the
-	// row to be absent, so that it can no longer commit.
+	// deleted: a claim whose response was lost may still be in transit, and it requires the row
+	// to be absent, so that it cannot commit while the row exists.
 	Released = "released"
 )
 
@@ -85,7 +85,8 @@
 	Await
 	// Refuse: the key was used with a different body.
 	Refuse
-	// ClaimAgain: the key is not held; claim the current version of the row.
+	// ClaimAgain: no attempt holds the key; claim it again, against the current version of the
+	// row.
 	ClaimAgain
 	// Fence: the response was lost; ensure that the claim cannot commit later.
 	Fence
--- a/internal/core/budget/budget_test.go
+++ b/internal/core/budget/budget_test.go
@@ -161,8 +161,8 @@
 	}
 }
 
-// A request that would exceed a limit must be refused before it runs, with a RetryAfter that
-// depends on the limit.
+// A request that would exceed a limit must be refused before it runs, with a RetryAfter after
+// which a retry may succeed.
 func TestBudgetRefusalsSetRetryAfter(t *testing.T) {
 	for _, c := range []struct {
 		name     string
--- a/internal/core/budget/transfers.go
+++ b/internal/core/budget/transfers.go
@@ -27,7 +27,7 @@
 	Tx  table.Tx
 }
 
-// Reread requests the organisation's row; it is passed to Home.Reread.
+// Reread requests the organisation's row; the row is passed to Home.Reread.
 type Reread struct {
 	Org string
 	ID  string
@@ -64,8 +64,9 @@
 	return Out{Reread: &Reread{Org: a.org, ID: a.pending.id, Key: rowKey(a.org, a.limits.Period)}}
 }
 
-// debitChunk debits another chunk for the first waiting request, or refuses the request. Before
-// it refuses because of an old row, it rereads the row.
+// debitChunk debits another chunk for the first waiting request, or refuses the request if the
+// limit is used up. If the cached row is older than maxRowAge, it rereads the row instead of
+// refusing.
 func (h *Home) debitChunk(now time.Time, a *account) []Out {
 	need := a.waiting[0].Amount - a.available
 	left := a.limits.Spend - a.debited()
--- a/internal/core/order/machine.go
+++ b/internal/core/order/machine.go
@@ -7,7 +7,7 @@
 	"mulberrylug.example/mulberrylug/internal/core/table"
 )
 
-// step is the current step of a machine.
+// step is a stage in the processing of an order.
 type step int
 
 const (
@@ -176,7 +176,7 @@
 	return m.Tick(now)
 }
 
-// recordRow stores the row and when its version was first seen here.
+// recordRow stores the row, and the current time if the row's version is new here.
 func (m *Machine) recordRow(now time.Time, row table.Row, stored Row) {
 	m.row, m.stored = row, stored
 	if row.Version != m.seenVersion {
--- a/internal/core/order/order.go
+++ b/internal/core/order/order.go
@@ -58,7 +58,7 @@
 	// Turn requests a turn to load from the weight store; the response is passed to
 	// Machine.Turn.
 	Turn bool
-	// Send is an order to send.
+	// Send is an order that is to be sent to the upstream.
 	Send *Send
 }
 
--- a/internal/core/retry/budget.go
+++ b/internal/core/retry/budget.go
@@ -23,9 +23,9 @@
 	// baseBackoff and maxBackoff bound the delay before a retry.
 	baseBackoff = 25 * time.Millisecond
 	maxBackoff  = 2 * time.Second
-	// maxOrgs bounds the number of organisations whose budget is stored, which is the case while
-	// it is not full. Beyond it, the first retry of another organisation is refused until a
-	// stored budget is full or idle.
+	// maxOrgs bounds the number of organisations whose budget is stored; full budgets are not
+	// stored. At the bound, the first retry of another organisation is refused until a stored
+	// budget is full or idle.
 	maxOrgs = 4096
 	// idleTTL is the time since the last retry after which an organisation's budget is removed
 	// and thus full again.
@@ -94,7 +94,8 @@
 	return Allowed
 }
 
-// account returns an organisation's budget, or nil if maxOrgs are stored.
+// account returns an organisation's budget, or nil if maxOrgs budgets are stored and none is
+// idle.
 func (b *Budgets) account(now time.Time, org string) *account {
 	if a := b.orgs[org]; a != nil {
 		return a
--- a/internal/core/stream/handle.go
+++ b/internal/core/stream/handle.go
@@ -19,8 +19,8 @@
 // ErrHandle is returned for a handle that is malformed or was altered.
 var ErrHandle = errors.New("stream handle is not valid")
 
-// Handle identifies a running generation, so that any instance can resume it without shared
-// state.
+// Handle identifies a running generation, so that any instance can resume it without a shared
+// table.
 type Handle struct {
 	// Request is the request whose entry signed the handle. An instance that adopts the
 	// generation notifies that entry, which then releases it.
