--- a/internal/hosted/answer.go
+++ b/internal/hosted/answer.go
@@ -13,26 +13,26 @@
 	"mulberrylug.example/mulberrylug/internal/core/route"
 )
 
-// bufferedAnswer is the size up to which an answer is buffered before it is passed on, so that
-// a truncated one can be retried.
-const bufferedAnswer = 64 << 10
+// maxBufferedResponse is the size in bytes up to which a response is buffered before it is
+// forwarded, so that a truncated response can be retried.
+const maxBufferedResponse = 64 << 10
 
-// errUnsigned: a success lacks the upstream's signature.
-var errUnsigned = errors.New("success without a signature")
+// errUnsigned reports a success response that lacks the upstream's signature.
+var errUnsigned = errors.New("success response lacks the upstream's signature")
 
-// held is a buffered answer.
-type held struct {
+// bufferedResponse is an upstream's response whose body was read into memory.
+type bufferedResponse struct {
 	status int
 	header http.Header
 	signed bool
 	body   []byte
 }
 
-// answer reads the head of this request's answer. A late answer to an earlier request on the
-// connection is drained.
-func (x *exchange) answer(c *conn.Conn, a *forward.Attempt) (*http.Response, Answer, error) {
+// readResponse reads the head of the response to this request. A late response to an earlier
+// request on the connection is read to its end and dropped.
+func (x *exchange) readResponse(c *conn.Conn, a *forward.Attempt) (*http.Response, Answer, error) {
 	if !a.GiveUp.IsZero() {
-		_ = c.SetReadDeadline(time.Now().Add(a.GiveUp.Sub(a.Sent))) // fails only on a closed connection, as the read then does
+		_ = c.SetReadDeadline(time.Now().Add(a.GiveUp.Sub(a.Sent))) // fails only on a closed connection, on which the read fails, too
 		defer func() { _ = c.SetReadDeadline(time.Time{}) }()
 	}
 	for range 3 {
@@ -45,63 +45,67 @@
 			return resp, ans, nil
 		}
 		x.server.metrics.Count("late_answers_total", "dropped")
-		if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, bufferedAnswer)); err != nil || resp.Close {
+		if _, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxBufferedResponse)); err != nil || resp.Close {
 			break
 		}
 	}
-	return nil, Answer{}, errNotOurs
+	return nil, Answer{}, errOtherRequest
 }
 
-// pass forwards the answer and returns the attempt's outcome.
-func (x *exchange) pass(c *conn.Conn, a *forward.Attempt, resp *http.Response, ans Answer) (forward.Outcome, error) {
+// forwardResponse forwards the response and returns the attempt's outcome.
+func (x *exchange) forwardResponse(c *conn.Conn, a *forward.Attempt, resp *http.Response, ans Answer) (forward.Outcome, error) {
 	success := resp.StatusCode >= 200 && resp.StatusCode < 300
 	if success && x.call.Route.Kind == route.Stream && ans.Signed {
-		return x.passStream(resp)
+		return x.forwardStream(resp)
 	}
-	h, err := readHeld(resp, ans)
+	h, err := bufferResponse(resp, ans)
 	switch {
 	case resp.StatusCode == http.StatusMisdirectedRequest && ans.NotRun:
 		return forward.Misdirected, err
 	case ans.NotRun:
 		return forward.Rejected, err
 	case errors.Is(err, errTooLarge) && success && ans.Signed:
-		return x.passLarge(resp, h)
+		return x.forwardLarge(resp, h)
 	case err != nil:
 		return forward.Lost, err
 	case success && !ans.Signed:
 		return forward.Lost, errUnsigned
 	case resp.StatusCode >= http.StatusInternalServerError || forward.PromisesNotRun(resp.StatusCode):
-		// An upstream that does not say otherwise may have run the request.
-		x.failure = h
+		// Unless the upstream states otherwise, it may have run the request.
+		x.upstreamError = h
 		return forward.Failed, nil
 	}
-	x.first = time.Since(x.started)
-	x.write(h)
+	x.firstByte = time.Since(x.started)
+	x.writeBuffered(h)
 	return forward.Done, nil
 }
 
-var errTooLarge = errors.New("answer is too large to be held")
+// errTooLarge reports a response larger than maxBufferedResponse.
+var errTooLarge = errors.New("response is too large to be buffered")
 
-func readHeld(resp *http.Response, ans Answer) (*held, error) {
-	h := &held{status: resp.StatusCode, header: resp.Header, signed: ans.Signed}
+// bufferResponse reads the body of a response into memory. It returns the bytes read also with an
+// error: errTooLarge after one byte more than maxBufferedResponse, or the error of the read.
+func bufferResponse(resp *http.Response, ans Answer) (*bufferedResponse, error) {
+	h := &bufferedResponse{status: resp.StatusCode, header: resp.Header, signed: ans.Signed}
 	var err error
-	h.body, err = io.ReadAll(io.LimitReader(resp.Body, bufferedAnswer+1))
-	if err == nil && len(h.body) > bufferedAnswer {
+	h.body, err = io.ReadAll(io.LimitReader(resp.Body, maxBufferedResponse+1))
+	if err == nil && len(h.body) > maxBufferedResponse {
 		err = errTooLarge
 	}
 	return h, err
 }
 
-// write forwards a buffered answer. A status that means "not run" is replaced unless the
-// upstream has stated it.
-func (x *exchange) write(h *held) {
+// writeBuffered forwards a buffered response. If the status promises that the request was not
+// run, 502 is sent instead: responses with the upstream's own statement that it did not run the
+// request are not forwarded.
+func (x *exchange) writeBuffered(h *bufferedResponse) {
 	if forward.PromisesNotRun(h.status) {
-		h = &held{status: http.StatusBadGateway, header: http.Header{}, body: nil}
+		h = &bufferedResponse{status: http.StatusBadGateway, header: http.Header{}, body: nil}
 	}
 	x.server.wire.Passed(x.w.Header(), h.header, h.signed)
-	plainType(x.w.Header())
+	suppressContentSniffing(x.w.Header())
 	x.w.Header().Set("Content-Length", strconv.Itoa(len(h.body)))
-	x.begun = true
+	x.headSent = true
 	x.w.WriteHeader(h.status)
 	if x.r.Method == http.MethodHead {
 		return
@@ -111,15 +115,15 @@
 	}
 }
 
-// passLarge forwards an answer as it arrives, after its buffered beginning.
-func (x *exchange) passLarge(resp *http.Response, h *held) (forward.Outcome, error) {
+// forwardLarge forwards the buffered beginning of a response, and then the rest as it arrives.
+func (x *exchange) forwardLarge(resp *http.Response, h *bufferedResponse) (forward.Outcome, error) {
 	x.server.wire.Passed(x.w.Header(), resp.Header, true)
-	plainType(x.w.Header())
+	suppressContentSniffing(x.w.Header())
 	if resp.ContentLength >= 0 {
 		x.w.Header().Set("Content-Length", strconv.FormatInt(resp.ContentLength, 10))
 	}
-	x.begun = true
-	x.first = time.Since(x.started)
+	x.headSent = true
+	x.firstByte = time.Since(x.started)
 	x.w.WriteHeader(resp.StatusCode)
 	if _, err := io.Copy(x.w, io.MultiReader(bytes.NewReader(h.body), resp.Body)); err != nil {
 		return forward.Cut, err
@@ -127,8 +131,8 @@
 	return forward.Done, nil
 }
 
-// plainType prevents net/http from guessing a content type.
-func plainType(h http.Header) {
+// suppressContentSniffing prevents net/http from guessing a content type.
+func suppressContentSniffing(h http.Header) {
 	if _, ok := h["Content-Type"]; !ok {
 		h["Content-Type"] = nil
 	}
--- a/internal/hosted/call.go
+++ b/internal/hosted/call.go
@@ -13,33 +13,33 @@
 )
 
 const (
-	// callTimeout bounds calls other than callers' requests. A copy takes up to 500 ms between
-	// data centres.
+	// callTimeout limits a call to an upstream other than a caller's request. Copying a
+	// generation's memory between data centres takes up to 500 ms.
 	callTimeout = 1500 * time.Millisecond
-	// probeTimeout bounds a request for an upstream's state.
+	// probeTimeout limits a request for an upstream's report of its state.
 	probeTimeout = 400 * time.Millisecond
-	// callAnswerMax bounds the answers of such calls in bytes.
-	callAnswerMax = 64 << 10
+	// maxCallResponse is the maximum size of the response body of such a call, in bytes.
+	maxCallResponse = 64 << 10
 )
 
-// errUnreadable: an answer cannot be decoded.
-var errUnreadable = errors.New("unreadable answer")
+// errUnreadable reports a response that cannot be decoded.
+var errUnreadable = errors.New("response cannot be decoded")
 
-// callAnswer is the answer to a call other than a caller's request.
-type callAnswer struct {
+// callResponse is the response to a call other than a caller's request.
+type callResponse struct {
 	status int
 	body   []byte
-	// closing is set if the upstream closes the connection afterwards.
+	// closing is set if the upstream closes the connection after this response.
 	closing bool
 }
 
-// call makes a call to an upstream other than a caller's request.
-func (s *server) call(ctx context.Context, address string, call Call) (callAnswer, error) {
+// call makes a call to an upstream, other than a caller's request, on a pooled connection.
+func (s *server) call(ctx context.Context, address string, call Call) (callResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	c, err := s.pool.Get(ctx, address)
 	if err != nil {
-		return callAnswer{}, err
+		return callResponse{}, err
 	}
 	stop := context.AfterFunc(ctx, func() { c.Close() })
 	defer stop()
@@ -50,15 +50,15 @@
 	}
 	if err := c.Write(req); err != nil {
 		c.Close()
-		return callAnswer{}, err
+		return callResponse{}, err
 	}
 	resp, err := c.ReadAnswer(call.Method)
 	if err != nil {
 		c.Close()
-		return callAnswer{}, err
+		return callResponse{}, err
 	}
-	got := callAnswer{status: resp.StatusCode, closing: resp.Close}
-	got.body, err = io.ReadAll(io.LimitReader(resp.Body, callAnswerMax))
+	got := callResponse{status: resp.StatusCode, closing: resp.Close}
+	got.body, err = io.ReadAll(io.LimitReader(resp.Body, maxCallResponse))
 	if err != nil || !c.Clean(resp) {
 		c.Close()
 		return got, err
@@ -67,8 +67,8 @@
 	return got, nil
 }
 
-// report requests an upstream's state.
-func (s *server) report(ctx context.Context, address string) (Report, error) {
+// requestReport requests an upstream's report of its state.
+func (s *server) requestReport(ctx context.Context, address string) (Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	got, err := s.call(ctx, address, s.wire.Report())
@@ -83,15 +83,16 @@
 	return r, nil
 }
 
-// askLeaving asks an upstream whether it is leaving. Its report lags by half a second and
-// more, but a leaving upstream closes its connections at once. As others occasionally close
-// one too, it takes two in a row.
-func (s *server) askLeaving(ctx context.Context, address string) (Report, error) {
-	r, err := s.report(ctx, address)
+// probeLeaving requests an upstream's report and decides whether the upstream is leaving. The
+// report lags by half a second or more, but a leaving upstream closes each connection
+// immediately. Since other upstreams occasionally close a connection, too, only two closed
+// connections in a row count.
+func (s *server) probeLeaving(ctx context.Context, address string) (Report, error) {
+	r, err := s.requestReport(ctx, address)
 	if err != nil || r.Leaving || !r.Closing {
 		return r, err
 	}
-	if r, err = s.report(ctx, address); err == nil && r.Closing {
+	if r, err = s.requestReport(ctx, address); err == nil && r.Closing {
 		r.Leaving = true
 	}
 	return r, err
--- a/internal/hosted/call_test.go
+++ b/internal/hosted/call_test.go
@@ -9,36 +9,37 @@
 	"mulberrylug.example/mulberrylug/internal/conn"
 )
 
-// plainWire knows one question, whose answer says nothing.
-type plainWire struct{ Wire }
+// fakeWire supports only requests for an upstream's report, and decodes each response to an
+// empty report.
+type fakeWire struct{ Wire }
 
-func (plainWire) Report() Call                    { return Call{Method: http.MethodGet, Target: "/state"} }
-func (plainWire) Reported([]byte) (Report, error) { return Report{}, nil }
+func (fakeWire) Report() Call                    { return Call{Method: http.MethodGet, Target: "/state"} }
+func (fakeWire) Reported([]byte) (Report, error) { return Report{}, nil }
 
-// A leaving upstream closes each connection at once, while its report lags; one that stays
-// closes a connection now and then. Taken for leaving by that, all that it runs would be
-// moved for nothing.
-func TestAnUpstreamThatClosesTwiceLeaves(t *testing.T) {
+// A leaving upstream closes each connection immediately, while its report lags. An upstream that
+// stays also closes a connection occasionally. If it were considered leaving because of that, all
+// its generations would be moved without need.
+func TestAnUpstreamThatClosesTwoConnectionsInARowIsLeaving(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		closes  []bool
 		leaving bool
 	}{
-		{"keeps its connections", []bool{false}, false},
-		{"closes one", []bool{true, false}, false},
-		{"closes all", []bool{true, true}, true},
+		{"keeps its connections open", []bool{false}, false},
+		{"closes one connection", []bool{true, false}, false},
+		{"closes all connections", []bool{true, true}, true},
 	} {
-		asked := 0
+		requests := 0
 		upstream := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-			if c.closes[min(asked, len(c.closes)-1)] {
+			if c.closes[min(requests, len(c.closes)-1)] {
 				w.Header().Set("Connection", "close")
 			}
-			asked++
+			requests++
 		}))
-		s := &server{wire: plainWire{}, pool: conn.NewPool()}
-		r, err := s.askLeaving(t.Context(), strings.TrimPrefix(upstream.URL, "http://"))
-		if err != nil || r.Leaving != c.leaving || asked != len(c.closes) {
-			t.Errorf("%s: leaving %v after %d questions, error %v", c.name, r.Leaving, asked, err)
+		s := &server{wire: fakeWire{}, pool: conn.NewPool()}
+		r, err := s.probeLeaving(t.Context(), strings.TrimPrefix(upstream.URL, "http://"))
+		if err != nil || r.Leaving != c.leaving || requests != len(c.closes) {
+			t.Errorf("upstream that %s: Leaving = %v after %d requests, error %v; want Leaving only after two closed connections in a row", c.name, r.Leaving, requests, err)
 		}
 		upstream.Close()
 	}
--- a/internal/hosted/cordon.go
+++ b/internal/hosted/cordon.go
@@ -13,7 +13,7 @@
 	"mulberrylug.example/mulberrylug/internal/core/forward"
 )
 
-// cordonGauge is the cordons' entry in the metrics.
+// cordonGauge is the value of the cordons in the metrics.
 type cordonGauge struct {
 	DataCentres []string `json:"data_centres"`
 	Version     int64    `json:"version"`
@@ -21,8 +21,8 @@
 	AgeMs int64 `json:"age_milliseconds"`
 }
 
-// cordonsNow returns the gauge of the cordoned data centres.
-func (s *server) cordonsNow() expvar.Func {
+// cordonMetric returns the metric of the cordoned data centres.
+func (s *server) cordonMetric() expvar.Func {
 	return func() any {
 		var out cordonGauge
 		s.decide(func(now time.Time, g *forward.Gate) {
@@ -33,9 +33,9 @@
 	}
 }
 
-// cordonsRead returns the cordons in an answer of the store, or nil if unchanged. Their
-// version is that of the first answer that contained them.
-func (f *follower) cordonsRead(read ConfigRead) (changed *cordon.Set) {
+// changedCordons returns the cordons in a response of the store, or nil if they are unchanged.
+// Their version is that of the first response that contained them.
+func (f *follower) changedCordons(read ConfigRead) (changed *cordon.Set) {
 	f.logUnreadable(read)
 	f.server.decide(func(_ time.Time, g *forward.Gate) {
 		next := cordon.NewSet(read.Version, read.Cordoned)
@@ -46,18 +46,18 @@
 	return changed
 }
 
-// logUnreadable logs once cordons that cannot be decoded in full. They apply all the same, as
-// their names are known.
+// logUnreadable logs the errors of cordons that cannot be decoded in full, once for the same
+// errors. Such cordons are in force nevertheless, because their data centres are known.
 func (f *follower) logUnreadable(read ConfigRead) {
 	problems := errors.Join(read.Unreadable...)
 	text := fmt.Sprint(problems)
-	if problems != nil && text != f.unreadable {
+	if problems != nil && text != f.lastCordonErrors {
 		f.log.Warn("cordon_unreadable", "version", read.Version, "error", problems)
 	}
-	f.unreadable = text
+	f.lastCordonErrors = text
 }
 
-// logCordons logs which data centres were cordoned and uncordoned.
+// logCordons logs which data centres are cordoned and which cordons were lifted.
 func (f *follower) logCordons(before, now cordon.Set, asked time.Time, source string) {
 	if !before.Known() && now.Empty() {
 		return
--- a/internal/hosted/crash.go
+++ b/internal/hosted/crash.go
@@ -10,12 +10,13 @@
 	"mulberrylug.example/mulberrylug/internal/core/suspect"
 )
 
-// crashProbeTimeout bounds the dial that distinguishes a crash from a broken connection.
+// crashProbeTimeout limits the dial that distinguishes a crashed upstream from a broken
+// connection.
 const crashProbeTimeout = 300 * time.Millisecond
 
-// suspectCrash checks whether an upstream that broke off an attempt has crashed, and if so
-// records a strike against the request at every instance: some requests crash each upstream
-// that runs them. Upstreams about to leave do not count.
+// suspectCrash checks whether an upstream whose attempt broke off has crashed. If it has, a
+// strike against the request is recorded at every instance, because some requests crash every
+// upstream that runs them. Leaving and cold upstreams are not checked.
 func (s *server) suspectCrash(c *forward.Call, a *forward.Attempt, o forward.Outcome) {
 	if o != forward.Lost && o != forward.Cut || s.isLeavingUpstream(a) || s.isCold(a) {
 		return
@@ -38,8 +39,8 @@
 	}()
 }
 
-// isCold reports whether an attempt's upstream is cold. It then crashes under too many
-// requests, which does not incriminate any of them.
+// isCold reports whether an attempt's upstream is cold. A cold upstream crashes under too many
+// requests, and then no single request is the cause.
 func (s *server) isCold(a *forward.Attempt) (cold bool) {
 	s.decide(func(now time.Time, g *forward.Gate) { cold = now.Before(g.ColdUntil(a.Upstream)) })
 	return cold
@@ -51,9 +52,10 @@
 	return leaving
 }
 
-// tellFailing reports an upstream without a usable answer to the other instances. Where a home
-// places the work, it already learns of each end.
-func (s *server) tellFailing(c *forward.Call, a *forward.Attempt, o forward.Outcome) {
+// announceFailing announces to the other instances that an upstream gave no usable response. It
+// skips calls that a pool's home has placed, since the home is notified of the end of every
+// attempt.
+func (s *server) announceFailing(c *forward.Call, a *forward.Attempt, o forward.Outcome) {
 	if o != forward.Lost || c.Pool != "" || s.isLeavingUpstream(a) {
 		return
 	}
@@ -61,15 +63,15 @@
 	s.homes.broadcast(msg.Failing{Upstream: a.Entry.ID, Born: a.Entry.Born})
 }
 
-// failing handles such a report.
-func (s *server) failing(from string, m msg.Failing) {
+// onFailing handles another instance's announcement that an upstream gave no usable response.
+func (s *server) onFailing(from string, m msg.Failing) {
 	s.metrics.Count("upstreams_failing_total", "heard")
 	s.decide(func(now time.Time, g *forward.Gate) { g.Failing(now, m.Upstream, m.Born) })
 	s.log.Info("upstream_failing", "upstream", m.Upstream, "source", from)
 }
 
-// struck handles another instance's strike.
-func (s *server) struck(m msg.Strike) {
+// onStrike records a strike that another instance has announced.
+func (s *server) onStrike(m msg.Strike) {
 	s.decide(func(now time.Time, g *forward.Gate) {
 		g.Strike(now, suspect.Strike{
 			Fingerprint: m.Fingerprint, At: now.Add(-m.Age),
--- a/internal/hosted/endpoints.go
+++ b/internal/hosted/endpoints.go
@@ -19,8 +19,9 @@
 // callersListener is the name of the callers' listener.
 const callersListener = "callers"
 
+// listener is an HTTP listener to be opened.
 type listener struct {
-	what    string
+	name    string
 	address string
 	handler http.Handler
 }
@@ -28,8 +29,8 @@
 func (i *Instance) listeners() []listener {
 	out := []listener{
 		{callersListener, i.settings.CallerAddress, i.server},
-		{"readiness", i.settings.ReadyAddress, only(i.wire.IsReady, i.answerReady)},
-		{"directory", i.settings.DirectoryAddress, only(i.wire.IsDirectory, i.answerDirectory)},
+		{"readiness", i.settings.ReadyAddress, restrictTo(i.wire.IsReady, i.handleReady)},
+		{"directory", i.settings.DirectoryAddress, restrictTo(i.wire.IsDirectory, i.handleDirectory)},
 	}
 	if i.settings.MetricsPort > 0 {
 		address := net.JoinHostPort(i.settings.IP, strconv.Itoa(i.settings.MetricsPort))
@@ -38,8 +39,8 @@
 	return out
 }
 
-// answerReady answers the platform's readiness check.
-func (i *Instance) answerReady(w http.ResponseWriter, _ *http.Request) {
+// handleReady answers the platform's readiness check.
+func (i *Instance) handleReady(w http.ResponseWriter, _ *http.Request) {
 	if !i.ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -47,8 +48,8 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// ready reports whether the instance can serve: it has a configuration and the upstreams, and
-// keys may be accepted.
+// ready reports whether the instance can serve: it is not draining, has received a
+// configuration, the cordons and a list of upstreams, and may accept keys.
 func (i *Instance) ready() (ok bool) {
 	i.server.decide(func(now time.Time, g *forward.Gate) {
 		ok = !i.server.leaving && g.Table() != nil && g.Cordons().Known() && g.Roster().Known() && g.KeysGood(now)
@@ -56,9 +57,10 @@
 	return ok
 }
 
-// answerDirectory tells a caller where to connect. Every instance serves every route, so the
-// answer depends only on the caller's location and on the regions allowed for its host.
-func (i *Instance) answerDirectory(w http.ResponseWriter, req *http.Request) {
+// handleDirectory returns the addresses of instances that a caller may connect to. Every
+// instance serves every route, so that the response depends only on the caller's location and
+// on the regions allowed for the host that it asks for.
+func (i *Instance) handleDirectory(w http.ResponseWriter, req *http.Request) {
 	near, host := i.wire.Caller(req)
 	i.server.decide(func(_ time.Time, g *forward.Gate) {
 		if g.Table() != nil {
@@ -78,6 +80,7 @@
 	}
 }
 
+// addresses returns the addresses in the directory response for a location.
 func (i *Instance) addresses(near fleet.Place) []string {
 	var out []string
 	ready, leaving, reads := i.state()
@@ -90,20 +93,20 @@
 
 // httpService serves HTTP on a listener until the context ends.
 type httpService struct {
-	what     string
+	name     string
 	listener net.Listener
 	server   *http.Server
 }
 
 // Serve implements suture.Service.
 func (h *httpService) Serve(ctx context.Context) error {
-	stop := context.AfterFunc(ctx, func() { _ = h.server.Close() }) // the process ends; nothing is left to do
+	stop := context.AfterFunc(ctx, func() { _ = h.server.Close() }) // the process ends, so an error has no consequence
 	defer stop()
 	err := h.server.Serve(h.listener)
 	if errors.Is(err, http.ErrServerClosed) {
 		return suture.ErrDoNotRestart
 	}
-	return fmt.Errorf("serve %s on %s: %w", h.what, h.listener.Addr(), err)
+	return fmt.Errorf("serve %s on %s: %w", h.name, h.listener.Addr(), err)
 }
 
-func (h *httpService) String() string { return h.what }
+func (h *httpService) String() string { return h.name }
--- a/internal/hosted/events.go
+++ b/internal/hosted/events.go
@@ -13,12 +13,12 @@
 	"mulberrylug.example/mulberrylug/internal/core/msg"
 )
 
-// maxEvent bounds an event of a stream in bytes.
-const maxEvent = 1 << 20
+// maxEventBytes is the maximum size of an event of a stream.
+const maxEventBytes = 1 << 20
 
 var errEventTooLarge = errors.New("event is too large")
 
-// eventReader splits a stream into events without changing a byte.
+// eventReader splits a stream into server-sent events without changing a byte.
 type eventReader struct {
 	r   *bufio.Reader
 	buf []byte
@@ -26,15 +26,15 @@
 
 func newEventReader(r io.Reader) *eventReader { return &eventReader{r: bufio.NewReaderSize(r, 2048)} }
 
-// next returns the next event including the empty line that ends it. It returns io.EOF at a
-// clean end and the remainder with io.ErrUnexpectedEOF within an event. The bytes are valid
-// until the next call.
+// next returns the next event including the empty line that ends it. At the end of the stream it
+// returns io.EOF, or the incomplete event with io.ErrUnexpectedEOF if the stream ends within
+// one. The returned bytes are valid until the next call.
 func (e *eventReader) next() ([]byte, error) {
 	e.buf = e.buf[:0]
 	for {
 		line, err := e.r.ReadSlice('\n')
 		e.buf = append(e.buf, line...)
-		if len(e.buf) > maxEvent {
+		if len(e.buf) > maxEventBytes {
 			return nil, errEventTooLarge
 		}
 		switch {
@@ -61,38 +61,38 @@
 	return ""
 }
 
-// passStream forwards whole events as they arrive. A partial one must not reach the caller, as
-// the stream may continue on another upstream.
-func (x *exchange) passStream(resp *http.Response) (forward.Outcome, error) {
+// forwardStream forwards complete events as they arrive. A partial event must not reach the
+// caller, because the stream may continue on another upstream.
+func (x *exchange) forwardStream(resp *http.Response) (forward.Outcome, error) {
 	events := newEventReader(resp.Body)
 	flush := http.NewResponseController(x.w)
-	x.gaps.attempt()
+	x.gaps.startAttempt()
 	for {
 		event, err := events.next()
 		if errors.Is(err, io.EOF) {
-			x.begin(resp)
+			x.sendHead(resp)
 			return forward.Done, nil
 		}
 		if err != nil {
-			return x.streamEnded(), fmt.Errorf("read stream after %d events: %w", x.call.Events, err)
+			return x.brokenStreamOutcome(), fmt.Errorf("read stream after %d events: %w", x.call.Events, err)
 		}
-		x.begin(resp)
-		if pause, ok := x.gaps.note(time.Now()); ok {
-			x.server.metrics.Observe("event_gap_milliseconds", x.call.Route.Name, pause)
+		x.sendHead(resp)
+		if gap, ok := x.gaps.record(time.Now()); ok {
+			x.server.metrics.Observe("event_gap_milliseconds", x.call.Route.Name, gap)
 		}
 		if _, err := x.w.Write(event); err != nil {
-			return forward.Cut, fmt.Errorf("pass event on: %w", err)
+			return forward.Cut, fmt.Errorf("forward event: %w", err)
 		}
 		if err := flush.Flush(); err != nil {
-			return forward.Cut, fmt.Errorf("pass event on: %w", err)
+			return forward.Cut, fmt.Errorf("forward event: %w", err)
 		}
-		x.progress(eventID(event))
+		x.recordProgress(eventID(event))
 	}
 }
 
-// progress records a forwarded event. The first one tells the pool's home that the prefill is
-// complete.
-func (x *exchange) progress(id string) {
+// recordProgress records a forwarded event. On the first event it notifies the pool's home that
+// the prefill is complete.
+func (x *exchange) recordProgress(id string) {
 	pace := x.gaps.pace()
 	first := false
 	x.server.decide(func(now time.Time, _ *forward.Gate) {
@@ -105,22 +105,23 @@
 	}
 }
 
-// streamEnded returns the outcome of a stream that ended early.
-func (x *exchange) streamEnded() forward.Outcome {
-	if x.begun {
+// brokenStreamOutcome returns the outcome of a stream that ended early: Cut if the caller has
+// already received the head of the response, otherwise Lost.
+func (x *exchange) brokenStreamOutcome() forward.Outcome {
+	if x.headSent {
 		return forward.Cut
 	}
 	return forward.Lost
 }
 
-// begin forwards the head, once.
-func (x *exchange) begin(resp *http.Response) {
-	if x.begun {
+// sendHead forwards the head of the response unless this was done before.
+func (x *exchange) sendHead(resp *http.Response) {
+	if x.headSent {
 		return
 	}
-	x.begun = true
-	x.first = time.Since(x.started)
+	x.headSent = true
+	x.firstByte = time.Since(x.started)
 	x.server.wire.Passed(x.w.Header(), resp.Header, true)
-	plainType(x.w.Header())
+	suppressContentSniffing(x.w.Header())
 	x.w.WriteHeader(resp.StatusCode)
 }
--- a/internal/hosted/exchange.go
+++ b/internal/hosted/exchange.go
@@ -13,10 +13,10 @@
 	"mulberrylug.example/mulberrylug/internal/core/msg"
 )
 
-// errNotOurs: an answer belongs to another request on the connection.
-var errNotOurs = errors.New("answer belongs to another request")
+// errOtherRequest reports a response that belongs to another request on the connection.
+var errOtherRequest = errors.New("response belongs to another request")
 
-// exchange carries one request through its attempts to its final answer.
+// exchange carries one request through its attempts to its final response.
 type exchange struct {
 	server  *server
 	w       http.ResponseWriter
@@ -25,75 +25,77 @@
 	call    *forward.Call
 	ctx     context.Context
 	started time.Time
-	first   time.Duration
-	gaps    gaps
-	// begun is set once the head of an answer was forwarded.
-	begun bool
-	// failure is an upstream's error answer, held back while a retry is decided.
-	failure *held
-	lastErr error
-	// grants receives the answers of homes; home is the one that granted the current attempt.
+	// firstByte is the time from the start until the head of the response is forwarded; 0 before.
+	firstByte time.Duration
+	gaps      gaps
+	// headSent is set once the head of a response was forwarded to the caller.
+	headSent bool
+	// upstreamError is an upstream's error response, held back until a retry is decided.
+	upstreamError *bufferedResponse
+	lastErr       error
+	// grants receives the responses of homes; home is the instance that granted the current
+	// attempt, or "".
 	grants chan msg.GrantAnswer
 	home   string
 	// upstream is the last attempt's upstream, listAge the age of the list at admission; both
 	// are logged.
 	upstream string
 	listAge  time.Duration
-	// eventTokens is the number of tokens per event.
+	// eventTokens is the number of tokens per event; 0 if the service has no engine.
 	eventTokens int
-	// pace is the current attempt's undisturbed interval between events; 0 if unknown. Guarded
-	// by the server's lock.
+	// pace is the current attempt's interval between events while no prefill runs on the same
+	// engine; 0 if unknown. Guarded by the server's lock.
 	pace time.Duration
-	// mover is the move in progress, or nil. Guarded by the server's lock.
-	mover *mover
+	// activeMove is the move in progress, or nil. Guarded by the server's lock.
+	activeMove *activeMove
 	// conn carries the current attempt; nil between attempts. Guarded by the server's lock.
 	conn *conn.Conn
 }
 
-// run makes attempts until the call has its final answer.
+// run makes attempts until the call has its final response.
 func (x *exchange) run() {
-	step := x.step(func(now time.Time, g *forward.Gate) forward.Step { return g.Start(now, x.call) })
+	step := x.decideStep(func(now time.Time, g *forward.Gate) forward.Step { return g.Start(now, x.call) })
 	for step.Send != nil || step.AskHome {
 		if step.AskHome {
 			step = x.askHome()
 			continue
 		}
-		step = x.try(step.Send)
+		step = x.tryUpstream(step.Send)
 	}
 	x.end(step)
 }
 
-// try makes one attempt and returns the next step.
-func (x *exchange) try(a *forward.Attempt) forward.Step {
+// tryUpstream makes one attempt and returns the next step.
+func (x *exchange) tryUpstream(a *forward.Attempt) forward.Step {
 	x.upstream = a.Entry.ID
 	grant := x.call.Grant()
-	outcome := x.attempt(a)
+	outcome := x.sendAttempt(a)
 	if outcome != forward.Done {
 		x.awaitMove()
 	}
-	next := x.step(func(now time.Time, g *forward.Gate) forward.Step {
+	next := x.decideStep(func(now time.Time, g *forward.Gate) forward.Step {
 		if outcome == forward.Cancelled && x.r.Context().Err() == nil {
-			return g.Expired(now, x.call, x.begun)
+			return g.Expired(now, x.call, x.headSent)
 		}
-		return g.Ended(now, x.call, outcome, x.begun)
+		return g.Ended(now, x.call, outcome, x.headSent)
 	})
 	x.logAttempt(a, outcome, next)
 	x.server.suspectCrash(x.call, a, outcome)
-	x.server.tellFailing(x.call, a, outcome)
+	x.server.announceFailing(x.call, a, outcome)
 	if next.Send == nil || next.Send.CopyAt == "" {
 		x.endGrant(grant, a, outcome)
 	}
 	return next
 }
 
-// end sends the final answer or aborts the connection.
+// end completes the response, or aborts the caller's connection.
 func (x *exchange) end(step forward.Step) {
 	switch {
 	case step.Refuse != nil:
 		x.server.refuse(x.w, x.call.Request, *step.Refuse, x.call)
 	case step.Relay:
-		x.write(x.failure)
-		x.logEnd("upstream_failure", x.failure.status)
+		x.writeBuffered(x.upstreamError)
+		x.logEnd("upstream_failure", x.upstreamError.status)
 	case step.Abort:
 		x.logEnd("cut", 0)
 		panic(http.ErrAbortHandler)
@@ -105,13 +107,14 @@
 	}
 }
 
-func (x *exchange) step(f func(time.Time, *forward.Gate) forward.Step) (step forward.Step) {
+// decideStep runs a function on the gate and returns the step that it decides.
+func (x *exchange) decideStep(f func(time.Time, *forward.Gate) forward.Step) (step forward.Step) {
 	x.server.decide(func(now time.Time, g *forward.Gate) { step = f(now, g) })
 	return step
 }
 
-// attempt sends the request to one upstream and forwards its answer.
-func (x *exchange) attempt(a *forward.Attempt) forward.Outcome {
+// sendAttempt sends the request to one upstream and forwards the response.
+func (x *exchange) sendAttempt(a *forward.Attempt) forward.Outcome {
 	s := x.server
 	c, err := s.pool.Get(x.ctx, a.Entry.Address)
 	if err != nil {
@@ -121,12 +124,12 @@
 		}
 		return forward.NotSent
 	}
-	// Closing the connection stops the upstream's work when the caller leaves or the deadline
-	// passes.
+	// When the caller disconnects or the deadline passes, closing the connection stops the
+	// upstream's work.
 	stop := context.AfterFunc(x.ctx, func() { c.Close() })
 	defer stop()
 	x.setConn(c)
-	outcome, err := x.converse(c, a)
+	outcome, err := x.roundTrip(c, a)
 	x.setConn(nil)
 	if err != nil {
 		x.lastErr = err
@@ -141,8 +144,8 @@
 	x.server.decide(func(time.Time, *forward.Gate) { x.conn = c })
 }
 
-// hangUp closes the connection of an attempt that is still in progress.
-func (x *exchange) hangUp(a *forward.Attempt) {
+// closeConn closes the connection of an attempt that is still in progress.
+func (x *exchange) closeConn(a *forward.Attempt) {
 	x.server.decide(func(time.Time, *forward.Gate) {
 		if x.conn != nil && x.call.Current() == a {
 			x.conn.Close()
@@ -150,63 +153,65 @@
 	})
 }
 
-// converse makes one exchange on a connection, which it then keeps or closes.
-func (x *exchange) converse(c *conn.Conn, a *forward.Attempt) (forward.Outcome, error) {
-	kept := false
+// roundTrip sends the request and forwards the response on a connection, which it then returns
+// to the pool or closes.
+func (x *exchange) roundTrip(c *conn.Conn, a *forward.Attempt) (forward.Outcome, error) {
+	pooled := false
 	defer func() {
-		if !kept {
+		if !pooled {
 			c.Close()
 		}
 	}()
 	sent := x.send(c, a)
-	if x.body.whole() {
+	if x.body.replayable() {
 		if err := <-sent; err != nil {
 			return forward.Lost, err
 		}
 	}
-	resp, ans, err := x.answer(c, a)
+	resp, ans, err := x.readResponse(c, a)
 	if err != nil {
 		return forward.Lost, err
 	}
-	x.observe(a, ans)
-	outcome, err := x.pass(c, a, resp, ans)
-	if !x.body.whole() {
-		// The rest of the body is read to its end, so that the caller, who
-		// is still sending, hears the answer before the connection closes.
+	x.observeLoad(a, ans)
+	outcome, err := x.forwardResponse(c, a, resp, ans)
+	if !x.body.replayable() {
+		// The rest of the body is read to its end, so that the caller, which
+		// is still sending, receives the response before the connection closes.
 		c.Close()
 		<-sent
 		return outcome, err
 	}
 	if err == nil && c.Clean(resp) && !ans.Leaving {
-		kept = true
+		pooled = true
 		x.server.pool.Put(c, conn.KeepAlive(resp.Header))
 	}
 	return outcome, err
 }
 
-// send writes the request; the channel reports when it is written. A body that is not buffered
-// is sent while the answer is awaited.
+// send writes the request and returns a channel that receives the result of the write. A body
+// that is not fully buffered is sent while the response is awaited.
 func (x *exchange) send(c *conn.Conn, a *forward.Attempt) <-chan error {
 	req := &conn.Request{
 		Method: x.r.Method, Target: x.r.RequestURI, Host: x.r.Host,
 		Header: x.server.wire.Outgoing(x.r.Header, x.call, a), Body: x.body.reader(), Length: x.body.length,
 	}
 	done := make(chan error, 1)
-	if x.body.whole() {
+	if x.body.replayable() {
 		done <- c.Write(req)
 		return done
 	}
 	go func() {
 		err := c.Write(req)
 		if err != nil {
-			_, _ = io.Copy(io.Discard, x.body.rest) // an error means that the caller left
+			_, _ = io.Copy(io.Discard, x.body.rest) // an error means that the caller has disconnected
 		}
 		done <- err
 	}()
 	return done
 }
 
-func (x *exchange) observe(a *forward.Attempt, ans Answer) {
+// observeLoad records the load and the remaining warm-up that an upstream's response states.
+func (x *exchange) observeLoad(a *forward.Attempt, ans Answer) {
 	if ans.Load == nil && ans.Cold == 0 {
 		return
 	}
@@ -242,12 +247,12 @@
 	s, took := x.server, time.Since(x.started)
 	s.metrics.Count("requests_total", outcome)
 	s.metrics.Observe("request_milliseconds", x.call.Route.Name, took)
-	if x.first > 0 {
-		s.metrics.Observe("first_byte_milliseconds", x.call.Route.Name, x.first)
+	if x.firstByte > 0 {
+		s.metrics.Observe("first_byte_milliseconds", x.call.Route.Name, x.firstByte)
 	}
 	s.log.Info("request_ended",
 		"request", x.call.ID, "outcome", outcome, "status", status, "route", x.call.Route.Name,
 		"service", x.call.Service, "upstream", x.upstream, "home", x.home, "list_age", x.listAge.Round(time.Millisecond), "organisation", x.call.Organisation, "config", x.call.ConfigVersion,
-		"sends", x.call.Sends(), "events", x.call.Events, "first", x.first.Round(time.Millisecond),
+		"sends", x.call.Sends(), "events", x.call.Events, "first", x.firstByte.Round(time.Millisecond),
 		"longest_gap", x.gaps.longest.Round(time.Millisecond), "took", took.Round(time.Millisecond))
 }
--- a/internal/hosted/fleet.go
+++ b/internal/hosted/fleet.go
@@ -14,13 +14,13 @@
 	"mulberrylug.example/mulberrylug/internal/peer"
 )
 
-// redialTimeout bounds each dial to an instance whose connection ended.
+// redialTimeout limits each dial to an instance whose connection ended.
 const redialTimeout = 300 * time.Millisecond
 
-// redialDelays are the delays before these dials.
+// redialDelays are the delays before each of these dials.
 var redialDelays = []time.Duration{0, 50 * time.Millisecond, 200 * time.Millisecond}
 
-// peers maintains the view of the other instances.
+// peers maintains this instance's view of the other instances and sends messages to them.
 type peers struct {
 	store     Store
 	transport *peer.Transport
@@ -28,40 +28,43 @@
 	log       hclog.Logger
 	// state returns whether this instance is ready, is leaving, and can read the store.
 	state func() (ready, leaving, reads bool)
-	// gone is called when an instance has died: its successors as homes must hear immediately
-	// what runs.
-	gone func()
+	// onPeerLost is called when an instance has died: the instances that succeed it as homes
+	// must be notified of the running generations immediately.
+	onPeerLost func()
 
-	// seeds are the addresses of some instances, seedAddress is this instance's own.
+	// seeds are the addresses of instances that a starting one asks for members; seedAddress is
+	// this instance's own address among them, or "".
 	seeds       []string
 	seedAddress string
-	// answers receives the answers to this instance's join requests.
-	answers chan msg.JoinAnswer
-	// consulted is closed once this instance has joined, or none answers; learned does that
-	// once.
-	consulted chan struct{}
-	learned   sync.Once
-
-	// mu guards the view and the times of the last regular heartbeats by data centre.
+	// joinReplies receives the responses to this instance's join requests.
+	joinReplies chan msg.JoinAnswer
+	// joinDone is closed once the members are known, or once neither a seed nor the store has
+	// returned them; joinOnce ensures that this happens only once.
+	joinDone chan struct{}
+	joinOnce sync.Once
+
+	// mu guards fleet, which is the view, and sentAt, which holds the time of the last regular
+	// heartbeats to each data centre.
 	mu     sync.Mutex
 	fleet  *fleet.Fleet
 	sentAt map[string]time.Time
 }
 
-// with runs a function on the view.
+// with runs a function on the view while holding the lock.
 func (f *peers) with(do func(now time.Time, v *fleet.Fleet)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	do(boottime.Now(), f.fleet)
 }
 
+// self returns this instance's own heartbeat.
 func (f *peers) self() (self msg.Heartbeat) {
 	f.with(func(_ time.Time, v *fleet.Fleet) { self = v.Self() })
 	return self
 }
 
-// heartbeatDue sends regular heartbeats to the data centres for which one is due.
-func (f *peers) heartbeatDue() {
+// sendDueHeartbeats sends regular heartbeats to the data centres for which one is due.
+func (f *peers) sendDueHeartbeats() {
 	due := map[string]bool{}
 	f.with(func(now time.Time, v *fleet.Fleet) {
 		for _, m := range v.Others() {
@@ -75,41 +78,42 @@
 		}
 	})
 	if len(due) > 0 {
-		f.heartbeatTo(func(dc string) bool { return due[dc] })
-		f.lose()
+		f.sendHeartbeatsTo(func(dc string) bool { return due[dc] })
+		f.expirePeers()
 	}
 }
 
-// heartbeat announces this instance's state to all others at once; in a large fleet relays
-// forward it to other data centres.
-func (f *peers) heartbeat() {
-	f.heartbeatTo(func(string) bool { return true })
-	f.announceDue()
+// sendHeartbeats announces this instance's state to all other instances immediately; in a large
+// fleet relays forward it to other data centres.
+func (f *peers) sendHeartbeats() {
+	f.sendHeartbeatsTo(func(string) bool { return true })
+	f.sendDueAnnouncements()
 }
 
-// heartbeatTo sends a heartbeat to the instances of some data centres.
-func (f *peers) heartbeatTo(in func(dataCentre string) bool) {
+// sendHeartbeatsTo sends a heartbeat to the instances of the selected data centres.
+func (f *peers) sendHeartbeatsTo(in func(dataCentre string) bool) {
 	ready, leaving, reads := f.state()
 	var self msg.Heartbeat
 	var others []msg.Heartbeat
-	hears := map[string]bool{}
+	alive := map[string]bool{}
 	f.with(func(now time.Time, v *fleet.Fleet) {
 		v.SetSelf(now, ready, leaving, reads)
 		self = v.Self()
 		for _, m := range v.Others() {
 			if in(m.DataCentre) && v.HeartbeatInterval(m.DataCentre) > 0 {
 				others = append(others, m.Heartbeat)
-				hears[m.Name] = v.Hears(now, m.Name)
+				alive[m.Name] = v.Hears(now, m.Name)
 			}
 		}
 	})
 	for _, o := range others {
-		self.Hears = hears[o.Name]
+		self.Hears = alive[o.Name]
 		f.send(o, self)
 	}
 }
 
-// send queues a message. Messages that do not fit are dropped; every protocol tolerates that.
+// send queues a message for an instance. A message is dropped if the queue is full; every
+// protocol tolerates that.
 func (f *peers) send(to msg.Heartbeat, m msg.Message) {
 	if err := f.transport.Send(to.Name, to.PeerAddress, m); err != nil {
 		f.metrics.Count("peer_lost_messages_total", to.Name)
@@ -137,18 +141,18 @@
 	return dataCentre
 }
 
-// heard handles a heartbeat.
-func (f *peers) heard(b msg.Heartbeat) {
+// onHeartbeat handles a heartbeat of another instance.
+func (f *peers) onHeartbeat(b msg.Heartbeat) {
 	var contact fleet.Contact
-	unheard := false
-	f.with(func(now time.Time, v *fleet.Fleet) { contact, unheard = v.Heard(now, b), v.Unheard(now, b) })
-	if unheard {
+	mustReset := false
+	f.with(func(now time.Time, v *fleet.Fleet) { contact, mustReset = v.Heard(now, b), v.Unheard(now, b) })
+	if mustReset {
 		f.log.Info("peer_link_reset", "peer", b.Name, "why", "peer_does_not_hear")
 		f.transport.Reset(b.Name)
 	}
 	switch contact {
 	case fleet.First:
-		f.metrics.Count("instances_met_total", b.DataCentre) // hundreds in a second after a start
+		f.metrics.Count("instances_met_total", b.DataCentre) // not logged: there are hundreds within a second of a start
 	case fleet.Regained:
 		f.log.Info("dependency_regained", "dependency", "instance", "peer", b.Name, "boot", b.Boot, "ready", b.Ready)
 	}
@@ -159,12 +163,13 @@
 	}
 }
 
-// linkEnded checks whether an instance whose connection ended is dead. A killed process
-// refuses a new connection, which detects it a second before its silence does. Its sockets
-// close one after the other, so that its address may still accept one at first.
+// linkEnded checks whether an instance whose connection ended is dead. A killed process refuses
+// new connections, which reveals its death a second earlier than its missing heartbeats. Since
+// its sockets are closed one after the other, its address may still accept a connection at
+// first, so the dial is repeated.
 func (f *peers) linkEnded(name string) {
-	for _, wait := range redialDelays {
-		time.Sleep(wait)
+	for _, delay := range redialDelays {
+		time.Sleep(delay)
 		var address string
 		var tried time.Time
 		f.with(func(now time.Time, v *fleet.Fleet) {
@@ -173,26 +178,27 @@
 			}
 		})
 		if address == "" {
-			return // it is known to be gone
+			return // the instance is already known to be dead, or was removed
 		}
 		if conn.Probe(address, redialTimeout) == conn.Refuses {
-			f.takeOut(tried, name)
+			f.markDead(tried, name)
 			return
 		}
 	}
 }
 
-// takeOut marks an instance that refused a connection as dead.
-func (f *peers) takeOut(tried time.Time, name string) {
-	gone := false
-	f.with(func(now time.Time, v *fleet.Fleet) { gone = v.Gone(now, tried, name) })
-	if gone {
+// markDead marks an instance as dead that refused a connection at the time tried.
+func (f *peers) markDead(tried time.Time, name string) {
+	changed := false
+	f.with(func(now time.Time, v *fleet.Fleet) { changed = v.Gone(now, tried, name) })
+	if changed {
 		f.log.Info("dependency_lost", "dependency", "instance", "peer", name, "why", "refuses_connections")
-		f.gone()
+		f.onPeerLost()
 	}
 }
 
-func (f *peers) lose() {
+// expirePeers marks instances as dead whose heartbeats are missing.
+func (f *peers) expirePeers() {
 	var lost []string
 	f.with(func(now time.Time, v *fleet.Fleet) { lost = v.Tick(now) })
 	for _, name := range lost {
@@ -200,8 +206,8 @@
 	}
 }
 
-// sources returns where this instance gets its updates from; isHome is set if it is home of a
-// pool.
+// sources returns the sources from which this instance may get updates; isHome is set if this
+// instance is home of a pool.
 func (f *peers) sources(isHome bool) (s fleet.Sources) {
 	f.with(func(now time.Time, v *fleet.Fleet) { s = v.Sources(now, isHome) })
 	return s
--- a/internal/hosted/fleet_test.go
+++ b/internal/hosted/fleet_test.go
@@ -14,52 +14,55 @@
 	"mulberrylug.example/mulberrylug/internal/peer"
 )
 
-// rows is a store that holds the rows of instances only.
-type rows struct {
+// memberStore is a store that supports only reads and writes of instances' rows. writes counts
+// the written rows.
+type memberStore struct {
 	Store
-	list  []fleet.Row
-	joins int
+	list   []fleet.Row
+	writes int
 }
 
-func (s *rows) Members(context.Context) ([]fleet.Row, error) { return s.list, nil }
+func (s *memberStore) Members(context.Context) ([]fleet.Row, error) { return s.list, nil }
 
-func (s *rows) Join(_ context.Context, self msg.Heartbeat) error {
-	s.joins++
+func (s *memberStore) Join(_ context.Context, self msg.Heartbeat) error {
+	s.writes++
 	s.list = append(s.list, fleet.Row{Heartbeat: self, Version: int64(len(s.list) + 1)})
 	return nil
 }
 
-func row(name string) fleet.Row {
+// testRow returns the row of an instance that cannot be reached.
+func testRow(name string) fleet.Row {
 	return fleet.Row{Heartbeat: msg.Heartbeat{Name: name, DataCentre: "dc", CallerAddress: name + ":80", PeerAddress: "127.0.0.1:1"}, Version: 1}
 }
 
-func peersOf(t *testing.T, store *rows) *peers {
+// newTestPeers returns the peers of an instance named "self".
+func newTestPeers(t *testing.T, store *memberStore) *peers {
 	t.Helper()
 	transport, err := peer.Listen("127.0.0.1:0", "self", func(string, msg.Message) {}, hclog.NewNullLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
-	self := row("self").Heartbeat
+	self := testRow("self").Heartbeat
 	return &peers{
-		store: store, transport: transport, metrics: metrics.NewMetrics(), log: hclog.NewNullLogger(), gone: func() {},
-		state: func() (bool, bool, bool) { return true, false, true }, fleet: fleet.New(boottime.Now(), self, nil, 0), sentAt: map[string]time.Time{}, consulted: make(chan struct{}), answers: make(chan msg.JoinAnswer, 1),
+		store: store, transport: transport, metrics: metrics.NewMetrics(), log: hclog.NewNullLogger(), onPeerLost: func() {},
+		state: func() (bool, bool, bool) { return true, false, true }, fleet: fleet.New(boottime.Now(), self, nil, 0), sentAt: map[string]time.Time{}, joinDone: make(chan struct{}), joinReplies: make(chan msg.JoinAnswer, 1),
 	}
 }
 
-// A cut between data centres lasts for minutes, and both sides forget each other, or
-// an instance is suspended for as long. When the way is open again nobody would send
-// the first heartbeat, and each side would be a fleet of its own for ever. The rows in the
-// store still name everybody.
-func TestForgottenInstancesAreLearntAgain(t *testing.T) {
-	f := peersOf(t, &rows{list: []fleet.Row{row("self"), row("other")}})
+// If a partition between data centres lasts for minutes, or an instance is suspended for that
+// long, both sides remove each other from their members. After the partition, no instance would
+// send the first heartbeat and each side would remain a separate fleet forever. The rows in the
+// store, which still name all instances, must restore the members.
+func TestRemovedMembersAreRestoredFromTheStore(t *testing.T) {
+	f := newTestPeers(t, &memberStore{list: []fleet.Row{testRow("self"), testRow("other")}})
 	if err := f.tryRegister(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	f.with(func(now time.Time, v *fleet.Fleet) {
-		v.Heard(now, row("other").Heartbeat)
+		v.Heard(now, testRow("other").Heartbeat)
 		v.Tick(now.Add(2 * fleet.ForgetAfter))
 		if v.Find("other") != nil {
-			t.Fatal("it is not forgotten: the test shows nothing")
+			t.Fatal("the instance \"other\" is still a member after ForgetAfter; the test requires that it was removed")
 		}
 	})
 	if err := f.tryRegister(t.Context()); err != nil {
@@ -67,25 +70,26 @@
 	}
 	f.with(func(_ time.Time, v *fleet.Fleet) {
 		if v.Find("other") == nil {
-			t.Error("it is not learnt again")
+			t.Error("the instance \"other\" is not a member after its row was read again")
 		}
 	})
 }
 
-// All instances lose power and start at once. Their rows are as they were; if each
-// wrote its own again, the store's writes to that table would take it seconds, and
-// those that are tried again in vain would hold all others up.
+// After a power failure all instances start at the same time, and their rows are unchanged. If
+// every instance wrote its row again, the writes to the table would take the store seconds, and
+// repeated attempts of failed writes would delay all others. A row must be written only if it is
+// missing or differs.
 func TestARowIsWrittenOnlyIfItIsMissing(t *testing.T) {
-	store := &rows{list: []fleet.Row{row("self")}}
-	if err := peersOf(t, store).tryRegister(t.Context()); err != nil || store.joins != 0 {
-		t.Errorf("error %v, %d writes though the row is there", err, store.joins)
+	store := &memberStore{list: []fleet.Row{testRow("self")}}
+	if err := newTestPeers(t, store).tryRegister(t.Context()); err != nil || store.writes != 0 {
+		t.Errorf("tryRegister with an up-to-date row: error %v, %d writes, want no error and no write", err, store.writes)
 	}
-	moved := row("self")
+	moved := testRow("self")
 	moved.CallerAddress = "elsewhere:80"
-	for _, list := range [][]fleet.Row{nil, {moved}, {row("other")}} {
-		store := &rows{list: list}
-		if err := peersOf(t, store).tryRegister(t.Context()); err != nil || store.joins != 1 {
-			t.Errorf("error %v, %d writes, want one", err, store.joins)
+	for _, list := range [][]fleet.Row{nil, {moved}, {testRow("other")}} {
+		store := &memberStore{list: list}
+		if err := newTestPeers(t, store).tryRegister(t.Context()); err != nil || store.writes != 1 {
+			t.Errorf("tryRegister without an up-to-date row: error %v, %d writes, want no error and 1 write", err, store.writes)
 		}
 	}
 }
--- a/internal/hosted/follow.go
+++ b/internal/hosted/follow.go
@@ -19,139 +19,148 @@
 )
 
 const (
-	// configInterval is the longest interval between reads of the configuration, and so the
-	// delay until a new one is in force. Operators are promised two seconds.
+	// configInterval is the maximum interval between reads of the configuration, and so the
+	// maximum delay until a reader receives a new one. Operators are promised two seconds.
 	configInterval = 600 * time.Millisecond
-	// confirmShare divides the validity of keys after a confirmation into intervals between
-	// reads. Instances behind a reader add a hold of the same length, so that three failed
-	// reads in a row are tolerated.
-	confirmShare = 6
-	// listWait bounds a long poll for changes of the list, as the connection may go silent
-	// meanwhile: leaving upstreams must get no work after two seconds.
-	listWait = time.Second
+	// readsPerValidity is the number of reads of the configuration within the time for which
+	// keys are accepted after a confirmation. For the instances that poll the reader, a hold of
+	// the same length as the read interval is added, so that three failed reads in a row are
+	// tolerated.
+	readsPerValidity = 6
+	// listPollTimeout limits a long poll for changes of the list, because its connection may
+	// stop delivering data: leaving upstreams must get no work after two seconds.
+	listPollTimeout = time.Second
 	// listInterval is the minimum interval between polls of the list.
 	listInterval = 100 * time.Millisecond
-	// staleBackoff is the delay after an answer that confirms too little. It keeps hundreds of
-	// instances that ask each other from overloading their machines, and is short against the
-	// validity of keys.
+	// staleBackoff is the delay after a response that confirms too old a state. It keeps
+	// hundreds of instances that poll each other from overloading their machines, and is short
+	// compared with the validity of keys.
 	staleBackoff = 150 * time.Millisecond
 	// retryBackoff is the delay after a failed call to the store.
 	retryBackoff = 150 * time.Millisecond
-	// sourcesInterval is the interval at which sources are recomputed. One that does not
-	// answer is skipped immediately.
+	// sourcesInterval is the interval at which the candidate sources are recomputed. A source
+	// that does not respond is skipped immediately, before the next computation.
 	sourcesInterval = 200 * time.Millisecond
-	// listPerEntry extends the interval for each entry of the list: every entry is renewed
-	// about once a second.
+	// listPerEntry extends listInterval for each entry of the list, because every entry is
+	// renewed, and thereby changes, about once a second.
 	listPerEntry = 200 * time.Microsecond
-	// maxChangeLines bounds the log lines about upstreams that joined, and that left, per
-	// answer.
-	maxChangeLines = 16
-	// sourceCheckInterval is the interval between checks for a better update source.
+	// maxChangeLogLines is the maximum number of log lines about upstreams that joined, and of
+	// those about upstreams that left, per response.
+	maxChangeLogLines = 16
+	// sourceCheckInterval is the interval at which a task that does not serve the current update
+	// source checks whether the source has changed.
 	sourceCheckInterval = 100 * time.Millisecond
 )
 
-// follower keeps the gate's configuration and list of upstreams current.
+// follower keeps the gate's configuration, cordons and list of upstreams current.
 type follower struct {
 	store   Store
 	server  *server
 	metrics *metrics.Metrics
 	log     hclog.Logger
-	// left is called when upstreams begin to leave.
-	left func()
+	// onLeaving is called when upstreams begin to leave.
+	onLeaving func()
 	// isHome reports whether this instance is home of a pool.
 	isHome func() bool
-	// adopted is called with each update that was put in force.
-	adopted func(update)
+	// onAdopted is called with each update that was put in force.
+	onAdopted func(update)
 	// regions maps each data centre to its region.
 	regions map[string]string
 	peers   *peers
 	relay   *relay
-	// wait is the interval between reads of the configuration.
-	wait time.Duration
-	// divides is unset if large services stay whole.
-	divides bool
+	// readInterval is the interval between reads of the configuration.
+	readInterval time.Duration
+	// divideServices is unset if large services are not divided into groups.
+	divideServices bool
 
-	// mu guards the fields up to last.
+	// mu guards the fields up to lastSource.
 	mu    sync.Mutex
 	watch *watch.Watch
-	// up is set while the store answers.
-	up bool
+	// storeUp is set while the store responds.
+	storeUp bool
 	// sources are the candidates for updates as of sourcesAt.
 	sources   fleet.Sources
 	sourcesAt time.Time
-	// last is the source asked last.
-	last string
+	// lastSource is the source that was chosen last.
+	lastSource string
 
-	// configAt and listAt are the latest versions seen.
-	configAt int64
-	listAt   int64
-	// unreadable is the last log message about undecodable cordons.
-	unreadable string
+	// configVersion and listVersion are the latest versions of the store in responses with the
+	// configuration and the list. If listVersion is 0, the full list is read next.
+	configVersion int64
+	listVersion   int64
+	// lastCordonErrors is the text last logged about cordons that cannot be decoded.
+	lastCordonErrors string
 }
 
-// holdFor returns the interval between reads and the hold of other instances' long polls,
-// given the validity of keys after a confirmation; 0 is unlimited.
-func holdFor(keys time.Duration) time.Duration {
+// readIntervalFor returns the interval between reads of the configuration, which also limits the
+// hold of other instances' long polls. keys is the time for which keys are accepted after a
+// confirmation; 0 means forever.
+func readIntervalFor(keys time.Duration) time.Duration {
 	if keys == 0 {
 		return configInterval
 	}
-	return min(configInterval, keys/confirmShare)
+	return min(configInterval, keys/readsPerValidity)
 }
 
-// followConfig follows the configuration until the context ends. It polls the row: a feed of
-// changes can stall, and its silence must not confirm that keys are still valid.
+// followConfig keeps the configuration current until the context ends. It polls the row in the
+// store instead of a feed of changes: a feed can stall, and its silence must not confirm that
+// keys are still valid.
 func (f *follower) followConfig(ctx context.Context) error {
-	return f.whileReading(ctx, func() {
+	return f.whileStoreIsSource(ctx, func() {
 		asked := boottime.Now()
 		read, err := f.store.Config(ctx)
 		if err != nil {
 			f.sourceFailed(watch.Store, err.Error())
-			f.failed(ctx, "configuration", err)
-			pause(ctx, retryBackoff)
+			f.storeFailed(ctx, "configuration", err)
+			sleep(ctx, retryBackoff)
 			return
 		}
-		f.takeConfig(asked, read)
-		pause(ctx, f.wait)
+		f.applyConfig(asked, read)
+		sleep(ctx, f.readInterval)
 	})
 }
 
-// whileReading repeats a step while the store is this instance's source, until the context
+// whileStoreIsSource repeats a step while the store is this instance's source, until the context
 // ends.
-func (f *follower) whileReading(ctx context.Context, step func()) error {
-	f.peers.awaitLearned(ctx)
+func (f *follower) whileStoreIsSource(ctx context.Context, step func()) error {
+	f.peers.awaitJoined(ctx)
 	for ctx.Err() == nil {
 		if f.source() == watch.Store {
 			step()
 		} else {
-			pause(ctx, sourceCheckInterval)
+			sleep(ctx, sourceCheckInterval)
 		}
 	}
 	return ctx.Err()
 }
 
-func (f *follower) takeConfig(asked time.Time, read ConfigRead) {
+// applyConfig applies a response of the store to a read sent at asked. It ignores a response
+// older than the known configuration or cordons.
+func (f *follower) applyConfig(asked time.Time, read ConfigRead) {
 	var cordonsAt int64
 	f.server.decide(func(_ time.Time, g *forward.Gate) { cordonsAt = g.Cordons().Version })
-	if read.Version < max(f.configAt, cordonsAt) {
+	if read.Version < max(f.configVersion, cordonsAt) {
 		f.metrics.Count("stale_answers_total", "configuration")
-		f.log.Warn("configuration_answer_stale", "version", read.Version, "known", max(f.configAt, cordonsAt))
+		f.log.Warn("configuration_answer_stale", "version", read.Version, "known", max(f.configVersion, cordonsAt))
 		return
 	}
-	f.configAt = read.Version
+	f.configVersion = read.Version
 	f.sourceAnswered(watch.Store, 0)
-	f.adopt(asked, update{config: read.Config, cordons: f.cordonsRead(read)}, "store")
+	f.adopt(asked, update{config: read.Config, cordons: f.changedCordons(read)}, "store")
 }
 
 // update is a set of changes from a source; nil fields are unchanged.
 type update struct {
 	config *route.Config
-	// packed is the transfer form of config, nil if it was read from the store.
+	// packed is config in the form sent between instances; nil if config was read from the
+	// store.
 	packed  msg.PackedConfig
 	cordons *cordon.Set
 }
 
-// adopt applies an update and confirms the current state as of the question. Configuration and
-// cordons change in one step, so that no request is admitted under one without the other.
+// adopt applies an update and confirms the current state as of the time at which the update was
+// requested. Configuration and cordons change in one step, so that no request is admitted under
+// one without the other.
 func (f *follower) adopt(asked time.Time, u update, source string) {
 	adopted, cordoned := false, false
 	c := u.config
@@ -188,31 +197,31 @@
 	case !cordoned:
 		u.cordons = nil
 	}
-	f.adopted(u)
+	f.onAdopted(u)
 }
 
-// followList follows the list of upstreams until the context ends.
+// followList keeps the list of upstreams current until the context ends.
 func (f *follower) followList(ctx context.Context) error {
-	return f.whileReading(ctx, func() {
+	return f.whileStoreIsSource(ctx, func() {
 		began := time.Now()
-		whole := f.listAt == 0 || !f.knowsAll()
-		if err := f.readList(ctx, whole); err != nil {
-			f.listAt = 0
-			if whole {
-				f.failed(ctx, "list", err)
-				pause(ctx, retryBackoff)
+		full := f.listVersion == 0 || !f.listIsComplete()
+		if err := f.readList(ctx, full); err != nil {
+			f.listVersion = 0
+			if full {
+				f.storeFailed(ctx, "list", err)
+				sleep(ctx, retryBackoff)
 			} else {
 				f.metrics.Count("store_failures_total", "list")
 			}
 			return
 		}
-		pause(ctx, f.listInterval()-time.Since(began))
+		sleep(ctx, f.listInterval()-time.Since(began))
 	})
 }
 
-// knowsAll reports whether every upstream is known. Instances that asked others know only what
-// they use.
-func (f *follower) knowsAll() (all bool) {
+// listIsComplete reports whether every upstream is known. An instance that has polled other
+// instances may know only the upstreams that it uses.
+func (f *follower) listIsComplete() (all bool) {
 	f.server.decide(func(_ time.Time, g *forward.Gate) { all = g.Roster().Whole() })
 	return all
 }
@@ -225,84 +234,87 @@
 	return d
 }
 
-// readList reads the whole list, or its changes. A feed that fails does not mean that the
-// store is down: the whole list is read instead.
-func (f *follower) readList(ctx context.Context, whole bool) error {
+// readList reads the full list, or its changes. A failed read of changes does not mean that the
+// store is down; the full list is read next.
+func (f *follower) readList(ctx context.Context, full bool) error {
 	asked := boottime.Now()
 	var read ListRead
 	var err error
-	if whole {
+	if full {
 		read, err = f.store.List(ctx)
 	} else {
-		read, err = f.store.ListSince(ctx, f.listAt, listWait)
+		read, err = f.store.ListSince(ctx, f.listVersion, listPollTimeout)
 	}
 	if err != nil {
 		return err
 	}
-	f.takeList(asked, read, whole)
+	f.applyList(asked, read, full)
 	return nil
 }
 
-func (f *follower) takeList(asked time.Time, read ListRead, whole bool) {
+// applyList applies a response of the store to a read sent at asked; full is set if the response
+// holds the full list.
+func (f *follower) applyList(asked time.Time, read ListRead, full bool) {
 	for _, err := range read.Unreadable {
 		f.metrics.Count("list_entries_total", "unreadable")
 		f.log.Warn("upstream_entry_unreadable", "version", read.Version, "error", err)
 	}
 	divided := false
-	f.change("list", func(now time.Time, g *forward.Gate) (left []*roster.Upstream) {
+	f.changeRoster("list", func(now time.Time, g *forward.Gate) (left []*roster.Upstream) {
 		r := g.Roster()
 		r.StoreUp(now)
 		r.Confirm(asked)
 		switch {
-		case whole:
+		case full:
 			left, _ = r.Replace(now, read.Changes, read.Version)
 		case r.Whole():
 			left = r.Update(now, read.Changes, read.Version)
 		default:
-			return nil // groups were forgotten while the question was open
+			return nil // groups were dropped while the request was in progress
 		}
-		if divided = f.divides && r.Divide(now); divided {
+		if divided = f.divideServices && r.Divide(now); divided {
 			layout, version := r.Layout()
 			f.log.Info("services_divided", "layout", layout, "version", version, "listed", r.Len())
 		}
 		return left
 	})
 	if divided {
-		f.server.announce() // the homes of the new pools know nothing of what runs
+		f.server.announce() // the homes of the new pools do not know the running generations
 	}
-	if f.setUp(true) {
+	if f.setStoreUp(true) {
 		f.log.Info("dependency_regained", "dependency", "store", "version", read.Version)
 	}
-	f.listAt = max(f.listAt, read.Version)
+	f.listVersion = max(f.listVersion, read.Version)
 	f.relay.tick()
 }
 
-// change applies changes of the list, logs them and notifies.
-func (f *follower) change(source string, do func(now time.Time, g *forward.Gate) []*roster.Upstream) {
+// changeRoster applies changes of the list, logs them and calls onLeaving if upstreams began to
+// leave or were removed.
+func (f *follower) changeRoster(source string, do func(now time.Time, g *forward.Gate) []*roster.Upstream) {
 	var left, joined []roster.Upstream
 	listed := 0
 	f.server.decide(func(now time.Time, g *forward.Gate) {
-		left = copies(do(now, g))
-		joined, listed = copies(g.Roster().Joined()), g.Roster().Len()
+		left = copyUpstreams(do(now, g))
+		joined, listed = copyUpstreams(g.Roster().Joined()), g.Roster().Len()
 	})
-	for _, u := range joined[:min(len(joined), maxChangeLines)] {
+	for _, u := range joined[:min(len(joined), maxChangeLogLines)] {
 		f.log.Info("upstream_joined", "upstream", u.ID, "service", u.Service, "address", u.Address, "data_centre", u.DataCentre,
 			"born", u.Born, "leaving", u.Leaving, "source", source, "version", u.Version, "listed", listed)
 	}
-	for _, u := range left[:min(len(left), maxChangeLines)] {
+	for _, u := range left[:min(len(left), maxChangeLogLines)] {
 		f.log.Info("upstream_leaving", "upstream", u.ID, "service", u.Service, "address", u.Address,
 			"gone", u.Gone, "source", source, "version", u.Version)
 	}
-	if more := max(len(joined), len(left)) - maxChangeLines; more > 0 {
+	if more := max(len(joined), len(left)) - maxChangeLogLines; more > 0 {
 		f.log.Info("upstreams_changed", "joined", len(joined), "left", len(left), "source", source, "listed", listed)
 	}
 	if len(left) > 0 {
-		f.left()
+		f.onLeaving()
 	}
 }
 
-// copies returns copies of upstreams that later changes of the list do not affect.
-func copies(list []*roster.Upstream) []roster.Upstream {
+// copyUpstreams returns copies of upstreams that later changes of the list do not affect.
+func copyUpstreams(list []*roster.Upstream) []roster.Upstream {
 	out := make([]roster.Upstream, 0, len(list))
 	for _, u := range list {
 		out = append(out, *u)
@@ -310,24 +322,25 @@
 	return out
 }
 
-func (f *follower) failed(ctx context.Context, what string, err error) {
+// storeFailed records a failed read of the store.
+func (f *follower) storeFailed(ctx context.Context, step string, err error) {
 	if ctx.Err() != nil {
 		return
 	}
-	f.metrics.Count("store_failures_total", what)
+	f.metrics.Count("store_failures_total", step)
 	f.server.decide(func(_ time.Time, g *forward.Gate) { g.Roster().StoreDown() })
-	if f.setUp(false) {
-		f.log.Warn("dependency_lost", "dependency", "store", "step", what, "error", err)
+	if f.setStoreUp(false) {
+		f.log.Warn("dependency_lost", "dependency", "store", "step", step, "error", err)
 	}
 }
 
-// tick drops lapsed entries.
+// tick drops expired entries.
 func (f *follower) tick() {
-	f.change("lapse", func(now time.Time, g *forward.Gate) []*roster.Upstream { return g.Roster().Tick(now) })
+	f.changeRoster("lapse", func(now time.Time, g *forward.Gate) []*roster.Upstream { return g.Roster().Tick(now) })
 }
 
-// pause sleeps until the context ends.
-func pause(ctx context.Context, d time.Duration) {
+// sleep waits for a duration or until the context ends.
+func sleep(ctx context.Context, d time.Duration) {
 	if d <= 0 {
 		return
 	}
--- a/internal/hosted/gaps.go
+++ b/internal/hosted/gaps.go
@@ -6,48 +6,51 @@
 )
 
 const (
-	// paceWindow is the number of intervals from which a pace is estimated, paceMin the least
-	// number.
-	paceWindow = 16
-	paceMin    = 8
+	// paceWindow is the number of latest intervals from which a pace is estimated,
+	// minPaceSamples the minimum number.
+	paceWindow     = 16
+	minPaceSamples = 8
 )
 
-// gaps measures the intervals between a stream's events when they are forwarded, as the caller
-// sees them apart from its own link.
+// gaps measures the intervals between the events of a stream when they are forwarded. The caller
+// observes the same intervals, plus the delays of its own network link.
 type gaps struct {
 	last    time.Time
 	longest time.Duration
-	// recent holds the latest intervals of the current attempt's upstream; noted counts them.
+	// recent holds the latest intervals of the current attempt; count is the number of all its
+	// intervals.
 	recent [paceWindow]time.Duration
-	noted  int
-	// resumed is set until the first event of an attempt: the interval before it belongs to
-	// the move.
-	resumed bool
+	count  int
+	// resuming is set until the first event of an attempt. The interval before that event is
+	// caused by the change of the upstream and is no sample of its pace.
+	resuming bool
 }
 
-// attempt starts another attempt of the same stream.
-func (g *gaps) attempt() { g.noted, g.resumed = 0, true }
+// startAttempt discards the samples of the previous attempt of the stream.
+func (g *gaps) startAttempt() { g.count, g.resuming = 0, true }
 
-// note records an event and returns the interval before it; ok is false for the first.
-func (g *gaps) note(now time.Time) (pause time.Duration, ok bool) {
+// record records an event and returns the interval since the previous one; ok is false for the
+// first event of the stream.
+func (g *gaps) record(now time.Time) (gap time.Duration, ok bool) {
 	ok = !g.last.IsZero()
 	if ok {
-		pause = now.Sub(g.last)
-		g.longest = max(g.longest, pause)
+		gap = now.Sub(g.last)
+		g.longest = max(g.longest, gap)
 	}
-	if ok && !g.resumed {
-		g.recent[g.noted%paceWindow] = pause
-		g.noted++
+	if ok && !g.resuming {
+		g.recent[g.count%paceWindow] = gap
+		g.count++
 	}
-	g.last, g.resumed = now, false
-	return pause, ok
+	g.last, g.resuming = now, false
+	return gap, ok
 }
 
-// pace returns the interval between events without prefill beside them, or 0 with too few
-// events. Prefill lengthens intervals and never shortens one, so it takes the lower quartile.
+// pace returns the interval between events while the upstream computes no other prompt, or 0
+// with too few samples. Prefill of other prompts lengthens some intervals and shortens none, so
+// the lower quartile is used.
 func (g *gaps) pace() time.Duration {
-	n := min(g.noted, paceWindow)
-	if n < paceMin {
+	n := min(g.count, paceWindow)
+	if n < minPaceSamples {
 		return 0
 	}
 	sorted := g.recent
--- a/internal/hosted/gaps_test.go
+++ b/internal/hosted/gaps_test.go
@@ -5,19 +5,21 @@
 	"time"
 )
 
+// The intervals between events must be measured from the first event on, as there is no interval
+// before it, and the longest interval must be kept.
 func TestGapsBetweenEvents(t *testing.T) {
 	var g gaps
 	at := time.Unix(1000, 0)
-	if _, ok := g.note(at); ok {
-		t.Error("a gap before the first event")
+	if _, ok := g.record(at); ok {
+		t.Error("record returned an interval for the first event, want none")
 	}
-	for _, pause := range []time.Duration{40, 190, 30} {
-		at = at.Add(pause * time.Millisecond)
-		if got, ok := g.note(at); !ok || got != pause*time.Millisecond {
-			t.Errorf("gap %v, want %v", got, pause*time.Millisecond)
+	for _, gap := range []time.Duration{40, 190, 30} {
+		at = at.Add(gap * time.Millisecond)
+		if got, ok := g.record(at); !ok || got != gap*time.Millisecond {
+			t.Errorf("interval since the previous event = %v, want %v", got, gap*time.Millisecond)
 		}
 	}
 	if g.longest != 190*time.Millisecond {
-		t.Errorf("longest gap %v, want 190 ms", g.longest)
+		t.Errorf("longest interval = %v, want 190 ms", g.longest)
 	}
 }
--- a/internal/hosted/hold.go
+++ b/internal/hosted/hold.go
@@ -8,23 +8,25 @@
 )
 
 const (
-	// maxHeldBody is the size up to which a body is buffered, so that it can be sent again
-	// elsewhere. The longest prompts take 34 KB.
-	maxHeldBody = 64 << 10
-	// heldShare is the fraction of the machine's memory for buffered bodies.
-	heldShare = 0.15
-	// minHeldTotal is its minimum, for machines whose memory is unknown.
-	minHeldTotal = 4 << 20
+	// maxBufferedBody is the size in bytes up to which a body is buffered, so that it can be
+	// sent to another upstream in a retry. The longest prompts take 34 KB.
+	maxBufferedBody = 64 << 10
+	// bodyMemoryShare is the fraction of the machine's memory for buffered bodies.
+	bodyMemoryShare = 0.15
+	// minBodyMemory is the minimum memory for buffered bodies in bytes, for machines whose
+	// memory size is unknown.
+	minBodyMemory = 4 << 20
 )
 
-// holder bounds the memory for bodies of requests in progress.
-type holder struct {
+// bodyBuffers limits the memory for buffered bodies of requests in progress. limit and inUse are
+// in bytes.
+type bodyBuffers struct {
 	limit int64
-	held  atomic.Int64
+	inUse atomic.Int64
 }
 
-func newHolder(memory int64) *holder {
-	return &holder{limit: max(int64(heldShare*float64(memory)), minHeldTotal)}
+func newBodyBuffers(memory int64) *bodyBuffers {
+	return &bodyBuffers{limit: max(int64(bodyMemoryShare*float64(memory)), minBodyMemory)}
 }
 
 // body is the body of a caller's request.
@@ -33,16 +35,19 @@
 	data []byte
 	// rest is the unread remainder, or nil.
 	rest io.Reader
-	// length is the declared length; -1 for chunked bodies.
-	length  int64
+	// length is the declared length in bytes; -1 for chunked bodies.
+	length int64
+	// present is unset if the request has no body.
 	present bool
+	// release returns the memory of the body.
 	release func()
 }
 
-// whole reports whether the body can be sent again.
-func (b *body) whole() bool { return b.rest == nil }
+// replayable reports whether the body is fully buffered, so that it can be sent again.
+func (b *body) replayable() bool { return b.rest == nil }
 
-// reader returns the body from its beginning; only once if it is not whole.
+// reader returns the body from its beginning. It can be called only once if the body is not
+// replayable.
 func (b *body) reader() io.Reader {
 	switch {
 	case !b.present:
@@ -54,21 +59,21 @@
 	}
 }
 
-// hold buffers a small body, and the beginning of a large one. ok is false if there is no
-// memory.
-func (h *holder) hold(r *http.Request) (b *body, ok bool, err error) {
+// buffer reads a small body, or the beginning of a large one, into memory. ok is false if the
+// limit would be exceeded.
+func (h *bodyBuffers) buffer(r *http.Request) (b *body, ok bool, err error) {
 	if r.ContentLength == 0 {
 		return &body{release: func() {}}, true, nil
 	}
-	size := int64(maxHeldBody)
+	size := int64(maxBufferedBody)
 	if r.ContentLength > 0 && r.ContentLength < size {
 		size = r.ContentLength
 	}
-	if h.held.Add(size) > h.limit {
-		h.held.Add(-size)
+	if h.inUse.Add(size) > h.limit {
+		h.inUse.Add(-size)
 		return nil, false, nil
 	}
-	b = &body{present: true, length: r.ContentLength, release: func() { h.held.Add(-size) }}
+	b = &body{present: true, length: r.ContentLength, release: func() { h.inUse.Add(-size) }}
 	b.data, err = io.ReadAll(io.LimitReader(r.Body, size))
 	if err != nil {
 		b.release()
--- a/internal/hosted/home.go
+++ b/internal/hosted/home.go
@@ -19,8 +19,9 @@
 	"mulberrylug.example/mulberrylug/internal/metrics"
 )
 
-// homes runs the homes of pools for which this instance is asked. It serves whether or not it
-// considers itself the home: two homes at once overcommit slightly and break no promise.
+// homes runs the homes of the pools for which this instance receives messages. It creates a home
+// whether or not this instance considers itself the home of the pool: two homes of a pool at the
+// same time overcommit slightly and break no promise.
 type homes struct {
 	server  *server
 	metrics *metrics.Metrics
@@ -29,40 +30,41 @@
 	send    func(to string, m msg.Message)
 	// dataCentreOf returns an instance's data centre, or "" if it is unknown.
 	dataCentreOf func(instance string) string
-	// begun is called when a home starts.
-	begun func()
+	// onBegin is called when a home was created.
+	onBegin func()
 	// without lists disabled mechanisms.
 	without mechanism.Set
 	ways    mechanism.Ways
-	// local delivers messages to this instance itself.
-	local func(from string, m msg.Message)
+	// deliverLocal delivers messages to this instance itself.
+	deliverLocal func(from string, m msg.Message)
 
-	mu    sync.Mutex
-	pools map[string]*pool.Home
-	used  map[string]time.Time
+	// mu guards the homes by pool and the time of the last use of each.
+	mu     sync.Mutex
+	pools  map[string]*pool.Home
+	usedAt map[string]time.Time
 }
 
 const (
-	// homeIdle is how long an unused home is kept.
-	homeIdle = 10 * time.Second
-	// syncInterval is the interval at which homes compare their ledger with the list and give
-	// orders.
+	// homeIdleTimeout is the time after which an unused home is dropped.
+	homeIdleTimeout = 10 * time.Second
+	// syncInterval is the interval at which homes reconcile their ledgers with the list of
+	// upstreams and issue orders.
 	syncInterval = 100 * time.Millisecond
 )
 
-// on runs a function on a pool's home, creating it if needed.
-func (h *homes) on(name string, f func(now time.Time, p *pool.Home)) {
+// withHome runs a function on a pool's home, which it creates if needed.
+func (h *homes) withHome(name string, f func(now time.Time, p *pool.Home)) {
 	now := boottime.Now()
-	l := h.listed(name)
+	l := h.view(name)
 	if l.service == nil || l.service.Engine == nil {
-		return // not known here yet: the entry chooses by itself
+		return // the service is not known here yet; the entry chooses an upstream itself
 	}
 	began := false
 	h.mu.Lock()
 	p := h.pools[name]
-	if p == nil && !l.current {
+	if p == nil && !l.inLayout {
 		h.mu.Unlock()
-		return // the service was divided anew, as the entry will know soon, too
+		return // the service now has another layout, which the entry will receive soon
 	}
 	if p == nil {
 		p = pool.NewHome(name, *l.service.Engine, h.without, h.ways)
@@ -71,20 +73,20 @@
 		p.Sync(now, l.Listing)
 		h.log.Info("home_began", "pool", name, "upstreams", len(l.Upstreams))
 	}
-	h.used[name] = now
+	h.usedAt[name] = now
 	f(now, p)
-	done := h.collect(name, p)
+	done := h.takeOutput(name, p)
 	h.mu.Unlock()
 	h.deliver(done)
 	if began {
-		h.begun() // it may know too few of the pool's upstreams
+		h.onBegin() // this instance may not know all of the pool's upstreams yet
 	}
 }
 
 // groups lists the groups of upstreams that the homes use.
 func (h *homes) groups() []roster.Group {
 	var out []roster.Group
-	for _, name := range h.names() {
+	for _, name := range h.poolNames() {
 		if g := roster.ParseGroup(name); g.Of > 0 {
 			out = append(out, g)
 		}
@@ -92,37 +94,38 @@
 	return out
 }
 
-// collected is a home's output.
-type collected struct {
-	pool   string
-	out    []pool.Out
-	notes  []pool.Note
-	probes []pool.Probe
+// homeOutput is the output of a pool's home.
+type homeOutput struct {
+	pool     string
+	messages []pool.Out
+	notes    []pool.Note
+	probes   []pool.Probe
 }
 
-func (h *homes) collect(name string, p *pool.Home) collected {
-	return collected{pool: name, out: p.Take(), notes: p.Notes(), probes: p.Probes()}
+// takeOutput removes the pending output of a home and returns it.
+func (h *homes) takeOutput(name string, p *pool.Home) homeOutput {
+	return homeOutput{pool: name, messages: p.Take(), notes: p.Notes(), probes: p.Probes()}
 }
 
-// listing is this instance's knowledge of a pool.
-type listing struct {
-	// service is nil if the configuration lacks it.
+// poolView is the state of a pool as known to this instance.
+type poolView struct {
+	// service is nil if it is not in the configuration.
 	service *route.Service
-	// Listing holds copies of the upstreams, which may change concurrently.
+	// Listing holds copies of the upstreams, because the originals may change concurrently.
 	pool.Listing
-	// current is unset once the service is divided into other pools.
-	current bool
+	// inLayout is unset if the service is now divided into other pools.
+	inLayout bool
 }
 
-// listed returns this instance's knowledge of a pool.
-func (h *homes) listed(name string) (l listing) {
+// view returns the state of a pool as known to this instance.
+func (h *homes) view(name string) (l poolView) {
 	group := roster.ParseGroup(name)
 	h.server.decide(func(_ time.Time, g *forward.Gate) {
 		if g.Table() == nil {
 			return
 		}
 		layout, _ := g.Roster().Layout()
-		l.current = layout.Has(group)
+		l.inLayout = layout.Has(group)
 		l.service, l.Answered, l.Cordons = g.Table().Service(group.Service), g.Roster().Confirmed(), g.Cordons()
 		if g.Confirmed().After(l.Answered) {
 			l.Answered = g.Confirmed()
@@ -139,7 +142,8 @@
 	return l
 }
 
-func (h *homes) deliver(c collected) {
+// deliver sends the messages of a home, logs its notes and starts its probes.
+func (h *homes) deliver(c homeOutput) {
 	for _, q := range c.probes {
 		go h.probe(c.pool, q)
 	}
@@ -147,37 +151,38 @@
 		h.metrics.Count("home_decisions_total", n.Event)
 		h.log.Info(n.Event, n.Pairs...)
 	}
-	for _, o := range c.out {
+	for _, o := range c.messages {
 		if o.To == h.self {
-			h.local(h.self, o.Msg)
+			h.deliverLocal(h.self, o.Msg)
 		} else {
 			h.send(o.To, o.Msg)
 		}
 	}
 }
 
-// probe asks an upstream for its state and tells the home if it is leaving.
+// probe requests an upstream's state and notifies the home if the upstream is leaving or cannot
+// be reached.
 func (h *homes) probe(name string, l pool.Probe) {
 	h.metrics.Count("upstream_questions_total", name)
-	r, err := h.server.askLeaving(context.Background(), l.Address)
+	r, err := h.server.probeLeaving(context.Background(), l.Address)
 	switch {
 	case errors.Is(err, errUnreadable):
 		h.log.Warn("upstream_report_unreadable", "upstream", l.ID, "pool", name, "error", err)
 		return
 	case err != nil:
 		h.log.Info("upstream_silent", "upstream", l.ID, "pool", name, "error", err)
-		h.on(name, func(now time.Time, p *pool.Home) { p.Unreachable(now, l.ID) })
+		h.withHome(name, func(now time.Time, p *pool.Home) { p.Unreachable(now, l.ID) })
 		return
 	}
 	if r.Leaving || r.Known {
-		h.on(name, func(now time.Time, p *pool.Home) { p.Leaves(now, l.ID, r.LeavesIn, r.Known) })
+		h.withHome(name, func(now time.Time, p *pool.Home) { p.Leaves(now, l.ID, r.LeavesIn, r.Known) })
 	}
 }
 
 // sync passes the current list to every home.
 func (h *homes) sync() {
-	for _, name := range h.names() {
-		l := h.listed(name)
+	for _, name := range h.poolNames() {
+		l := h.view(name)
 		h.mu.Lock()
 		p := h.pools[name]
 		if p == nil {
@@ -185,12 +190,12 @@
 			continue
 		}
 		now := boottime.Now()
-		if l.current { // else its upstreams have not gone: other pools have them
+		if l.inLayout { // otherwise its upstreams are not removed but belong to other pools
 			p.Sync(now, l.Listing)
 		}
 		p.Tick(now)
-		done := h.collect(name, p)
-		if now.Sub(h.used[name]) > homeIdle {
+		done := h.takeOutput(name, p)
+		if now.Sub(h.usedAt[name]) > homeIdleTimeout {
 			delete(h.pools, name)
 		}
 		h.mu.Unlock()
@@ -198,7 +203,8 @@
 	}
 }
 
-func (h *homes) names() []string {
+// poolNames lists the pools that have a home here, in order.
+func (h *homes) poolNames() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	names := make([]string, 0, len(h.pools))
@@ -209,20 +215,20 @@
 	return names
 }
 
-// take handles a message for a home and returns false for any other.
-func (h *homes) take(from string, m msg.Message) bool {
+// handle processes a message for a home and returns false for any other message.
+func (h *homes) handle(from string, m msg.Message) bool {
 	entry := pool.Entry{Name: from, DataCentre: h.dataCentreOf(from)}
 	switch m := m.(type) {
 	case msg.GrantAsk:
-		h.on(m.Pool, func(now time.Time, p *pool.Home) { p.Ask(now, entry, m) })
+		h.withHome(m.Pool, func(now time.Time, p *pool.Home) { p.Ask(now, entry, m) })
 	case msg.GrantEnd:
-		h.on(m.Pool, func(now time.Time, p *pool.Home) { p.End(now, m) })
+		h.withHome(m.Pool, func(now time.Time, p *pool.Home) { p.End(now, m) })
 	case msg.Announce:
-		h.on(m.Pool, func(now time.Time, p *pool.Home) { p.Announce(now, entry, m) })
+		h.withHome(m.Pool, func(now time.Time, p *pool.Home) { p.Announce(now, entry, m) })
 	case msg.Begun:
-		h.on(m.Pool, func(now time.Time, p *pool.Home) { p.Begun(now, m) })
+		h.withHome(m.Pool, func(now time.Time, p *pool.Home) { p.Begun(now, m) })
 	case msg.Moved:
-		h.on(m.Pool, func(now time.Time, p *pool.Home) { p.Moved(now, m) })
+		h.withHome(m.Pool, func(now time.Time, p *pool.Home) { p.Moved(now, m) })
 	default:
 		return false
 	}
--- a/internal/hosted/instance.go
+++ b/internal/hosted/instance.go
@@ -34,27 +34,29 @@
 	// heapShare is the fraction of the machine's memory set as the soft limit of the heap. The
 	// rest is for stacks, socket buffers and the runtime.
 	heapShare = 0.6
-	// keyMargin is subtracted from the bound on revocation for the time between the acceptance
-	// of a key and the start of its request at an upstream.
-	keyMargin = 800 * time.Millisecond
-	// headerTimeout and headerBytes bound the head of a request before a configuration is
-	// known; its own limits are narrower.
-	headerTimeout = 10 * time.Second
-	headerBytes   = 64 << 10
-	// idleTimeout closes callers' idle connections. It is far above the reuse that
-	// configurations allow, so that no request crosses a close.
+	// revocationMargin is subtracted from the time within which a revocation must take effect. It
+	// covers the time between the acceptance of a key and the start of the request at an
+	// upstream.
+	revocationMargin = 800 * time.Millisecond
+	// headerTimeout and maxHeaderBytes limit the head of a request before a configuration, with
+	// its narrower limits, is known.
+	headerTimeout  = 10 * time.Second
+	maxHeaderBytes = 64 << 10
+	// idleTimeout is the time after which callers' idle connections are closed. It is far above
+	// the time for which configurations allow a connection to be reused, so that no request is
+	// sent on a connection that is being closed.
 	idleTimeout = 3 * time.Minute
 	// sweepInterval is the interval between checks of idle upstream connections, tickInterval
-	// that between checks for lapsed entries.
+	// that between checks for due heartbeats and expired entries.
 	sweepInterval = time.Second
 	tickInterval  = 100 * time.Millisecond
-	// entryTTL is the lifetime of a directory answer. Callers lose up to a second on a dead
+	// entryTTL is the lifetime of a directory response. Callers lose up to that time on a dead
 	// instance.
 	entryTTL = time.Second
-	// drainMargin is the part of the grace period left for the last bytes.
+	// drainMargin is the part of the grace period that is left for sending the last bytes.
 	drainMargin = 500 * time.Millisecond
 	// lingerTTLs is the number of directory lifetimes for which a leaving instance accepts
-	// requests: some callers keep an answer three times as long.
+	// requests: some callers use a directory response for three times its lifetime.
 	lingerTTLs = 3
 )
 
@@ -68,9 +70,10 @@
 	follower *follower
 	peers    *peers
 	relay    *relay
-	asker    *asker
+	poller   *syncPoller
 	homes    *homes
-	drained  chan struct{}
+	// drained is closed when draining is complete.
+	drained chan struct{}
 }
 
 // New prepares an instance. Serve runs it.
@@ -83,51 +86,52 @@
 	gate := forward.New(o)
 	conns.Dialled = func() { m.Count("upstream_connections_total", "dialled") }
 	srv := &server{
-		wire: wire, pool: conns, holder: newHolder(s.MemoryBytes), metrics: m, log: log,
+		wire: wire, pool: conns, bodies: newBodyBuffers(s.MemoryBytes), metrics: m, log: log,
 		gate: gate, running: map[string]*exchange{},
 	}
-	m.Set("cordons", srv.cordonsNow())
+	m.Set("cordons", srv.cordonMetric())
 	i := &Instance{
 		settings: s, wire: wire, log: log, metrics: m, server: srv,
 		drained: make(chan struct{}),
 	}
 	i.peers = &peers{
-		store: store, metrics: m, log: log, state: i.state, gone: srv.announce, sentAt: map[string]time.Time{},
-		seeds: s.Seeds, seedAddress: s.SeedAddress, answers: make(chan msg.JoinAnswer, 16), consulted: make(chan struct{}),
-		fleet: fleet.New(boottime.Now(), i.heartbeat(), s.Regions, s.Without),
+		store: store, metrics: m, log: log, state: i.state, onPeerLost: srv.announce, sentAt: map[string]time.Time{},
+		seeds: s.Seeds, seedAddress: s.SeedAddress, joinReplies: make(chan msg.JoinAnswer, 16), joinDone: make(chan struct{}),
+		fleet: fleet.New(boottime.Now(), i.ownHeartbeat(), s.Regions, s.Without),
 	}
 	i.relay = &relay{
-		server: srv, send: i.peers.sendTo, hold: min(watch.PeerHold, holdFor(keys)),
-		relays: func() bool { return !i.peers.hasJoined() || i.follower.relays() }, waiting: map[string]waitingAsk{},
+		server: srv, send: i.peers.sendTo, hold: min(watch.PeerHold, readIntervalFor(keys)),
+		mayBeSource: func() bool { return !i.peers.hasJoined() || i.follower.isSource() }, held: map[string]heldPoll{},
 	}
 	i.follower = &follower{
-		store: store, server: srv, metrics: m, log: log, left: func() { i.homes.sync() }, isHome: func() bool { return len(i.homes.names()) > 0 },
-		adopted: i.adopted, peers: i.peers, relay: i.relay, watch: watch.New(keys), wait: holdFor(keys),
-		divides: !s.Without.Has(mechanism.Parts), regions: s.Regions,
+		store: store, server: srv, metrics: m, log: log, onLeaving: func() { i.homes.sync() }, isHome: func() bool { return len(i.homes.poolNames()) > 0 },
+		onAdopted: i.onAdopted, peers: i.peers, relay: i.relay, watch: watch.New(keys), readInterval: readIntervalFor(keys),
+		divideServices: !s.Without.Has(mechanism.Parts), regions: s.Regions,
 	}
 	i.homes = &homes{
-		server: srv, metrics: m, log: log, self: s.Name, send: i.peers.sendTo, local: i.onPeer, dataCentreOf: i.peers.dataCentreOf, without: s.Without, ways: s.Ways,
-		pools: map[string]*pool.Home{}, used: map[string]time.Time{},
+		server: srv, metrics: m, log: log, self: s.Name, send: i.peers.sendTo, deliverLocal: i.onPeer, dataCentreOf: i.peers.dataCentreOf, without: s.Without, ways: s.Ways,
+		pools: map[string]*pool.Home{}, usedAt: map[string]time.Time{},
 	}
-	srv.homes = homeLink{name: i.homeOf, send: i.sendAny, silent: i.homeSilent, broadcast: i.broadcast}
-	i.asker = &asker{follower: i.follower, answers: make(chan syncAnswer, 16), wake: make(chan struct{}, 1), uses: i.uses}
-	i.homes.begun = i.asker.wakeUp
+	srv.homes = homeLink{homeOf: i.homeOf, send: i.sendAny, reportSilent: i.suspectHome, broadcast: i.broadcast}
+	i.poller = &syncPoller{follower: i.follower, replies: make(chan syncReply, 16), wake: make(chan struct{}, 1), neededGroups: i.neededGroups}
+	i.homes.onBegin = i.poller.wakeUp
 	return i
 }
 
-// options converts the settings for the gate.
+// options converts the settings to options of the gate.
 func options(s Settings) forward.Options {
 	o := forward.Options{
 		Name: s.Name, DataCentre: s.DataCentre, Regions: s.Regions, RetryRatio: s.RetryRatio, RetrySlack: s.RetrySlack, RetryWindow: s.RetryWindow,
 		Without: s.Without, ConfigGoodFor: s.ApplyWithin,
 	}
 	if s.StrictRevocation {
-		o.KeysGoodFor = max(s.RevokeWithin-keyMargin, time.Millisecond)
+		o.KeysGoodFor = max(s.RevokeWithin-revocationMargin, time.Millisecond)
 	}
 	return o
 }
 
-// Reload applies changed bounds. Addresses and names need a restart, which is logged.
+// Reload applies changed settings. Changes of addresses and of the name need a restart, which
+// is logged.
 func (i *Instance) Reload(s Settings) {
 	old := i.current()
 	s.MetricsPort, s.Without, s.Ways = old.MetricsPort, old.Without, old.Ways
@@ -151,8 +155,8 @@
 	return s
 }
 
-// heartbeat returns this instance's heartbeat.
-func (i *Instance) heartbeat() msg.Heartbeat {
+// ownHeartbeat returns this instance's heartbeat.
+func (i *Instance) ownHeartbeat() msg.Heartbeat {
 	return msg.Heartbeat{
 		Name: i.settings.Name, DataCentre: i.settings.DataCentre, CallerAddress: i.settings.CallerAddress,
 		PeerAddress: net.JoinHostPort(i.settings.IP, strconv.Itoa(i.settings.PeerPort)),
@@ -160,26 +164,27 @@
 	}
 }
 
-// state returns this instance's announced state.
+// state returns the state of this instance that its heartbeats announce.
 func (i *Instance) state() (ready, leaving, reads bool) {
-	return i.ready(), i.server.isLeaving(), i.follower.reads()
+	return i.ready(), i.server.isLeaving(), i.follower.readsStore()
 }
 
-// adopted passes an update that is in force on to dependent instances and to the homes.
-func (i *Instance) adopted(u update) {
+// onAdopted passes an update that is now in force on to the instances that poll this one, and to
+// the homes.
+func (i *Instance) onAdopted(u update) {
 	if u.config != nil {
 		i.server.decide(func(time.Time, *forward.Gate) { i.relay.config = &sharedConfig{config: u.config, packed: u.packed} })
 	}
 	i.relay.tick()
 	if u.cordons != nil {
 		i.homes.sync()
-		i.asker.wakeUp() // it may use other parts of services now
+		i.poller.wakeUp() // this instance may need other groups of services now
 	}
 }
 
-// uses returns the groups of divided services that this instance needs: for its own balancing
-// and as a home.
-func (i *Instance) uses(gate *forward.Gate) []roster.Group {
+// neededGroups returns the groups of divided services that this instance needs, to choose
+// upstreams itself and as a home.
+func (i *Instance) neededGroups(gate *forward.Gate) []roster.Group {
 	out := i.homes.groups()
 	for _, g := range gate.OwnGroups() {
 		if !slices.Contains(out, g) {
@@ -218,7 +223,7 @@
 	ended := tree.ServeBackground(ctx)
 	select {
 	case <-i.drained:
-		i.log.Info("stopped", "name", i.settings.Name, "open_requests", i.server.open())
+		i.log.Info("stopped", "name", i.settings.Name, "open_requests", i.server.openRequests())
 		return nil
 	case err := <-ended:
 		if errors.Is(err, context.Canceled) {
@@ -233,21 +238,21 @@
 	for _, l := range i.listeners() {
 		ln, err := conn.ListenConfig().Listen(ctx, "tcp", l.address)
 		if err != nil {
-			return fmt.Errorf("listen for %s on %s: %w", l.what, l.address, err)
+			return fmt.Errorf("listen for %s on %s: %w", l.name, l.address, err)
 		}
-		if l.what == callersListener {
+		if l.name == callersListener {
 			ln = limitConnections(ln, i.settings.MaxDescriptors)
 		}
-		tree.Add(&httpService{what: l.what, listener: ln, server: &http.Server{
-			Handler: l.handler, ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: headerBytes, IdleTimeout: idleTimeout,
+		tree.Add(&httpService{name: l.name, listener: ln, server: &http.Server{
+			Handler: l.handler, ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes, IdleTimeout: idleTimeout,
 		}})
 	}
 	return nil
 }
 
-// addPeers opens the listeners for other instances and adds the transport.
+// addPeers opens the listeners for other instances and adds the transport for messages.
 func (i *Instance) addPeers(tree *suture.Supervisor) error {
-	peers, err := peer.Listen(i.heartbeat().PeerAddress, i.settings.Name, i.onPeer, i.log.Named("peer"))
+	peers, err := peer.Listen(i.ownHeartbeat().PeerAddress, i.settings.Name, i.onPeer, i.log.Named("peer"))
 	if err != nil {
 		return err
 	}
@@ -264,8 +269,8 @@
 	return nil
 }
 
-// countInstances updates the number of instances that share the retry budget and the load on
-// cold upstreams, and whether another one could serve.
+// countInstances updates the gate's list of instances, the number of instances that share the
+// retry budget and the load on cold upstreams, and whether another instance is ready.
 func (i *Instance) countInstances() {
 	n, alone := 1, false
 	var peers []forward.Peer
@@ -284,7 +289,8 @@
 	})
 }
 
-// countSent counts sent bytes by kind of message and whether they leave the data centre.
+// countSent counts sent bytes by kind of message, and separately those sent to other data
+// centres.
 func (i *Instance) countSent(to string, kind msg.Kind, bytes int) {
 	group := "peer_sent_bytes_total"
 	if i.peers.dataCentreOf(to) != i.settings.DataCentre {
@@ -293,21 +299,21 @@
 	i.metrics.Add(group, kind.String(), int64(bytes))
 }
 
-// tasks lists the periodic tasks.
+// tasks lists the background tasks.
 func (i *Instance) tasks() []task.Task {
 	return []task.Task{
 		{Name: "join", Run: i.peers.join},
 		{Name: "sweep", Run: i.peers.sweep},
-		{Name: "asker", Run: i.asker.run},
+		{Name: "asker", Run: i.poller.run},
 		{Name: "configuration", Run: i.follower.followConfig},
 		{Name: "list", Run: i.follower.followList},
 		task.Every("heartbeats", tickInterval, func(context.Context) {
-			i.peers.heartbeatDue()
-			i.peers.announceDue()
+			i.peers.sendDueHeartbeats()
+			i.peers.sendDueAnnouncements()
 		}),
 		task.Every("homes", syncInterval, func(context.Context) { i.homes.sync() }),
-		task.Every("announcements", announceTick, func(context.Context) { i.server.announceDue() }),
-		task.Every("silent streams", silenceTick, i.server.askAboutSilent),
+		task.Every("announcements", announceCheckInterval, func(context.Context) { i.server.sendDueAnnouncements() }),
+		task.Every("silent streams", silenceCheckInterval, i.server.checkSilentStreams),
 		task.Every("idle connections", sweepInterval, func(context.Context) { i.server.pool.Sweep() }),
 		task.Every("ticks", tickInterval, func(context.Context) {
 			i.follower.tick()
--- a/internal/hosted/join.go
+++ b/internal/hosted/join.go
@@ -12,18 +12,20 @@
 )
 
 const (
-	// joinTick is the interval of steps while joining.
-	joinTick = 10 * time.Millisecond
-	// memberTick is that interval after joining.
-	memberTick = 500 * time.Millisecond
-	// introducers is the number of instances from the store's rows that are asked for members:
-	// rows of dead ones remain for a while.
-	introducers = 6
-	// seedName prefixes the address of a seed whose name is unknown.
+	// joinStepInterval is the interval between steps while joining.
+	joinStepInterval = 10 * time.Millisecond
+	// memberCheckInterval is the interval between checks of the membership after joining.
+	memberCheckInterval = 500 * time.Millisecond
+	// maxIntroducers is the maximum number of instances from the store's rows that are asked for
+	// members. It is more than one because rows of dead instances remain for a while.
+	maxIntroducers = 6
+	// seedName is the prefix of the names of seeds whose real names are unknown; the address
+	// follows.
 	seedName = "seed "
 )
 
-// join makes this instance a member of the fleet and keeps it one.
+// join makes this instance a member of the fleet and maintains its membership until the context
+// ends.
 func (f *peers) join(ctx context.Context) error {
 	j := fleet.NewJoin(boottime.Now(), len(f.otherSeeds()) > 0)
 	for ctx.Err() == nil {
@@ -34,54 +36,54 @@
 			f.askSeeds()
 		case fleet.JoinByStore:
 			f.joinByStore(ctx)
-			return f.stay(ctx)
+			return f.maintainMembership(ctx)
 		case fleet.JoinDone:
-			f.joined("seeds")
-			return f.stay(ctx)
+			f.markJoined("seeds")
+			return f.maintainMembership(ctx)
 		case fleet.JoinWait:
 		}
-		f.awaitAnswer(ctx, j)
+		f.awaitReply(ctx, j)
 	}
 	return ctx.Err()
 }
 
-// awaitAnswer waits briefly for a seed's answer.
-func (f *peers) awaitAnswer(ctx context.Context, j *fleet.Join) {
-	t := time.NewTimer(joinTick)
+// awaitReply waits for a seed's response, at most until the next step is due.
+func (f *peers) awaitReply(ctx context.Context, j *fleet.Join) {
+	t := time.NewTimer(joinStepInterval)
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
 	case <-t.C:
-	case a := <-f.answers:
+	case a := <-f.joinReplies:
 		f.with(func(_ time.Time, v *fleet.Fleet) { j.Answered(a, v.Size()) })
 	}
 }
 
-// joined records that the members are known.
-func (f *peers) joined(by string) {
-	f.learned.Do(func() {
+// markJoined records that the members are known, as far as the given source could return them.
+func (f *peers) markJoined(by string) {
+	f.joinOnce.Do(func() {
 		known := 0
 		f.with(func(_ time.Time, v *fleet.Fleet) { known = v.Size() })
 		f.log.Info("joined", "by", by, "instances", known)
-		close(f.consulted)
+		close(f.joinDone)
 	})
 }
 
-// hasJoined reports whether joined was called.
+// hasJoined reports whether markJoined was called.
 func (f *peers) hasJoined() bool {
 	select {
-	case <-f.consulted:
+	case <-f.joinDone:
 		return true
 	default:
 		return false
 	}
 }
 
-// awaitLearned waits until the members are known, which decide who reads the store.
-func (f *peers) awaitLearned(ctx context.Context) {
+// awaitJoined waits until the members are known: they determine which instance reads the store.
+func (f *peers) awaitJoined(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-f.consulted:
+	case <-f.joinDone:
 	}
 }
 
@@ -90,8 +92,8 @@
 	return slices.DeleteFunc(slices.Clone(f.seeds), func(a string) bool { return a == f.seedAddress })
 }
 
-// askSeeds asks the seeds over new connections: an earlier dial to a machine without power
-// would hang for longer than its start takes.
+// askSeeds asks all other seeds for their members over new connections: an earlier dial to a
+// machine without power would hang for longer than the machine takes to start.
 func (f *peers) askSeeds() {
 	for _, address := range f.otherSeeds() {
 		f.transport.Reset(seedName + address)
@@ -99,11 +101,13 @@
 	}
 }
 
+// askSeed asks one seed for its members.
 func (f *peers) askSeed(address string) {
 	ask := f.joinAsk()
 	f.send(msg.Heartbeat{Name: seedName + address, PeerAddress: address}, ask)
 }
 
+// joinAsk returns the request for another instance's members.
 func (f *peers) joinAsk() (ask msg.JoinAsk) {
 	ready, leaving, reads := f.state()
 	f.with(func(now time.Time, v *fleet.Fleet) {
@@ -115,8 +119,8 @@
 
 // onJoinAsk answers a request for members.
 func (f *peers) onJoinAsk(m msg.JoinAsk) {
-	m.Sender.Hears = true // it does not say whether it does
-	f.heard(m.Sender)
+	m.Sender.Hears = true // a join request does not state whether our heartbeats arrive
+	f.onHeartbeat(m.Sender)
 	ready := f.hasJoined()
 	var answer msg.JoinAnswer
 	f.with(func(_ time.Time, v *fleet.Fleet) { answer = v.JoinAnswer(m, ready) })
@@ -126,19 +130,20 @@
 // onJoinAnswer handles a list of members.
 func (f *peers) onJoinAnswer(from string, m msg.JoinAnswer) {
 	f.with(func(now time.Time, v *fleet.Fleet) { v.Told(now, m.Size) })
-	f.learn("instance "+from, m.Instances, (*fleet.Fleet).Introduce)
+	f.addMembers("instance "+from, m.Instances, (*fleet.Fleet).Introduce)
 	select {
-	case f.answers <- m:
-	default: // this instance has joined, or has enough of them to read
+	case f.joinReplies <- m:
+	default: // the queue is full: this instance has joined, or has responses left to process
 	}
 }
 
-// learn adds known members and asks new ones for a heartbeat.
-func (f *peers) learn(source string, known []msg.Heartbeat, take func(*fleet.Fleet, time.Time, msg.Heartbeat) bool) {
+// addMembers adds the members that a source knows, using the given method of Fleet, and asks new
+// members for a heartbeat.
+func (f *peers) addMembers(source string, known []msg.Heartbeat, add func(*fleet.Fleet, time.Time, msg.Heartbeat) bool) {
 	var fresh []msg.Heartbeat
 	f.with(func(now time.Time, v *fleet.Fleet) {
 		for _, b := range known {
-			if take(v, now, b) {
+			if add(v, now, b) {
 				fresh = append(fresh, b)
 			}
 		}
@@ -163,14 +168,14 @@
 	return ok
 }
 
-// stay maintains the membership. It periodically compares members with another instance, which
+// maintainMembership periodically compares the list of members with another instance, which
 // heals a partition after both sides have expired each other. Relays also keep a row in the
-// store and read the others'.
-func (f *peers) stay(ctx context.Context) error {
+// store and read the rows of others.
+func (f *peers) maintainMembership(ctx context.Context) error {
 	syncs, nextSync := 0, boottime.Now().Add(fleet.SyncAfter(0))
-	var rows rowKeeper
+	var rows rowSchedule
 	for ctx.Err() == nil {
-		pause(ctx, memberTick)
+		sleep(ctx, memberCheckInterval)
 		now := boottime.Now()
 		if !now.Before(nextSync) {
 			f.syncMembers()
@@ -184,8 +189,9 @@
 	return ctx.Err()
 }
 
-// syncMembers asks another instance for its members: one of its peers, or one of the seeds.
-// Relays ask seeds, to find relays of data centres that their own has lost.
+// syncMembers asks another instance for its members: one with which heartbeats are exchanged, or
+// a seed. Relays ask only seeds, to find the relays of data centres with which their own data
+// centre has lost contact.
 func (f *peers) syncMembers() {
 	var live []string
 	f.with(func(now time.Time, v *fleet.Fleet) {
--- a/internal/hosted/limit.go
+++ b/internal/hosted/limit.go
@@ -9,53 +9,56 @@
 )
 
 const (
-	// filesKept is the number of descriptors reserved for files.
-	filesKept = 200
+	// reservedDescriptors is the number of file descriptors that are not used for connections.
+	reservedDescriptors = 200
 	// callerShare is the fraction of the remaining descriptors for callers' connections. Each
-	// request in progress takes another one for its upstream.
+	// request in progress takes another descriptor for the connection to its upstream.
 	callerShare = 0.5
 )
 
-// limitListener bounds the number of open connections. Further ones wait in the kernel's
-// backlog: without descriptors the process could reach neither upstreams nor the store.
+// limitListener limits the number of open connections. Further connections wait in the kernel's
+// backlog: without free descriptors, the process could reach neither upstreams nor the store.
 type limitListener struct {
 	net.Listener
-	places chan struct{}
+	slots chan struct{}
 }
 
+// limitConnections wraps a listener in a limitListener, given the maximum number of open
+// descriptors. If that is unknown or too small, it returns the listener unchanged.
 func limitConnections(l net.Listener, descriptors int) net.Listener {
-	if descriptors <= filesKept {
+	if descriptors <= reservedDescriptors {
 		return l
 	}
-	return &limitListener{Listener: l, places: make(chan struct{}, max(int(callerShare*float64(descriptors-filesKept)), 1))}
+	return &limitListener{Listener: l, slots: make(chan struct{}, max(int(callerShare*float64(descriptors-reservedDescriptors)), 1))}
 }
 
 // Accept implements net.Listener.
 func (l *limitListener) Accept() (net.Conn, error) {
-	l.places <- struct{}{}
+	l.slots <- struct{}{}
 	c, err := l.Listener.Accept()
 	if err != nil {
-		<-l.places
+		<-l.slots
 		return nil, err
 	}
-	return &limitedConn{Conn: c, free: func() { <-l.places }}, nil
+	return &limitedConn{Conn: c, release: func() { <-l.slots }}, nil
 }
 
-// limitedConn releases its place on Close.
+// limitedConn releases its slot when it is closed.
 type limitedConn struct {
 	net.Conn
-	once sync.Once
-	free func()
+	once    sync.Once
+	release func()
 }
 
 // Close implements net.Conn.
 func (c *limitedConn) Close() error {
 	err := c.Conn.Close()
-	c.once.Do(c.free)
+	c.once.Do(c.release)
 	return err
 }
 
-// checkDescriptors logs a warning if the process may open fewer descriptors than configured.
+// checkDescriptors logs a warning if the process may open fewer descriptors than the settings
+// state.
 func checkDescriptors(want int, log hclog.Logger) {
 	var limit syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit); err != nil {
--- a/internal/hosted/move.go
+++ b/internal/hosted/move.go
@@ -13,20 +13,20 @@
 )
 
 const (
-	// lastTimeout bounds the wait for the end of a move once the source has stopped. After it,
-	// the first copy is used.
-	lastTimeout = 700 * time.Millisecond
+	// finalCopyTimeout limits the second copy of a move, for which the generation is stopped at
+	// the source. After it, the first copy is used.
+	finalCopyTimeout = 700 * time.Millisecond
 )
 
-// mover makes one move of a running generation.
-type mover struct {
+// activeMove is a move of a running generation in progress.
+type activeMove struct {
 	order msg.MoveOrder
-	// done is closed at the end.
+	// done is closed when the move has ended.
 	done chan struct{}
 }
 
-// orderMove starts a move ordered by the pool's home.
-func (s *server) orderMove(from string, m msg.MoveOrder) {
+// onMoveOrder starts a move that the pool's home has ordered, and sends its outcome to the home.
+func (s *server) onMoveOrder(from string, m msg.MoveOrder) {
 	reply := func(o msg.MoveOutcome) {
 		s.homes.send(from, msg.Moved{Pool: m.Pool, Attempt: m.Attempt, Number: m.Number, Outcome: o})
 	}
@@ -41,28 +41,28 @@
 		return
 	}
 	s.decide(func(now time.Time, g *forward.Gate) { g.Leaves(now, source) })
-	go func() { reply(x.runMove(mv, source, x.move)) }()
+	go func() { reply(x.runMove(mv, source, x.copyThenStop)) }()
 }
 
-// beginMove registers a move. It returns no source if another one is in progress or the run is
-// not at the order's source.
-func (x *exchange) beginMove(m msg.MoveOrder) (mv *mover, source *forward.Attempt) {
-	mv = &mover{order: m, done: make(chan struct{})}
+// beginMove registers a move. It returns no source if another move is in progress, if the
+// generation does not run at the order's source, or if the request's body cannot be sent again.
+func (x *exchange) beginMove(m msg.MoveOrder) (mv *activeMove, source *forward.Attempt) {
+	mv = &activeMove{order: m, done: make(chan struct{})}
 	x.server.decide(func(time.Time, *forward.Gate) {
-		if a := x.call.Current(); x.mover == nil && a != nil && a.Entry.ID == m.From && x.body.whole() {
+		if a := x.call.Current(); x.activeMove == nil && a != nil && a.Entry.ID == m.From && x.body.replayable() {
 			source = a
-			x.mover = mv
+			x.activeMove = mv
 		}
 	})
 	return mv, source
 }
 
-// runMove runs a registered move by the given steps.
-func (x *exchange) runMove(mv *mover, source *forward.Attempt, steps func(*mover, *forward.Attempt) (msg.MoveOutcome, error)) msg.MoveOutcome {
+// runMove runs the given steps of a registered move and records the outcome.
+func (x *exchange) runMove(mv *activeMove, source *forward.Attempt, steps func(*activeMove, *forward.Attempt) (msg.MoveOutcome, error)) msg.MoveOutcome {
 	s := x.server
 	outcome, err := steps(mv, source)
 	events := 0
-	s.decide(func(time.Time, *forward.Gate) { x.mover, events = nil, x.call.Events })
+	s.decide(func(time.Time, *forward.Gate) { x.activeMove, events = nil, x.call.Events })
 	close(mv.done)
 	s.metrics.Count("moves_total", string(outcome))
 	s.log.Info("move", "request", x.call.ID, "from", mv.order.From, "to", mv.order.To, "number", mv.order.Number,
@@ -70,10 +70,11 @@
 	return outcome
 }
 
-// move copies the run's memory while it continues, then stops it and copies the remainder, so
-// that the caller waits for the short second copy only. It waits for the answer even if the
-// run ends meanwhile: only the answer names the copy, which must be freed.
-func (x *exchange) move(mv *mover, source *forward.Attempt) (msg.MoveOutcome, error) {
+// copyThenStop copies the generation's memory while the generation continues, then stops it and
+// copies the remainder, so that the caller waits only for the short second copy. It waits for
+// the response to the first copy even if the generation ends meanwhile: only this response names
+// the copy, which must be freed.
+func (x *exchange) copyThenStop(mv *activeMove, source *forward.Attempt) (msg.MoveOutcome, error) {
 	first, err := x.server.copyRun(context.WithoutCancel(x.ctx), source.Entry.Address, x.call.ID, mv.order.ToAddress, false)
 	if x.ctx.Err() != nil && err == nil {
 		x.server.dropCopy(source.Entry.Address, first.Handle)
@@ -89,19 +90,20 @@
 	return x.stopAndCopy(mv, source, first.Handle)
 }
 
-// errCordoned: the destination of a move was cordoned meanwhile.
-var errCordoned = errors.New("the destination is cordoned")
+// errCordoned reports that the destination of a move was cordoned during the move.
+var errCordoned = errors.New("the destination of the move was cordoned")
 
-// mayMove reports whether a run may still continue at a move's destination.
+// mayMove reports whether a generation may still continue at a move's destination.
 func (x *exchange) mayMove(o msg.MoveOrder) (may bool) {
 	x.server.decide(func(_ time.Time, g *forward.Gate) { may = g.MayMove(x.call, o.ToDataCentre) })
 	return may
 }
 
-// stopAndCopy stops the run, copies what an earlier copy lacks and redirects the call there.
-func (x *exchange) stopAndCopy(mv *mover, source *forward.Attempt, earlier string) (msg.MoveOutcome, error) {
+// stopAndCopy stops the generation, copies the part of its memory that an earlier copy lacks, and
+// redirects the call to the copy. earlier is the handle of the earlier copy, or "".
+func (x *exchange) stopAndCopy(mv *activeMove, source *forward.Attempt, earlier string) (msg.MoveOutcome, error) {
 	s := x.server
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(x.ctx), lastTimeout)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(x.ctx), finalCopyTimeout)
 	defer cancel()
 	last, err := s.copyRun(ctx, source.Entry.Address, x.call.ID, mv.order.ToAddress, true)
 	handle := cmp.Or(last.Handle, earlier)
@@ -114,14 +116,15 @@
 		return msg.MoveNoRun, err
 	}
 	if handle == "" {
-		return last.Outcome, err // nothing to go on from
+		return last.Outcome, err // there is no copy to continue from
 	}
 	x.redirect(mv, source, handle, last.Outcome)
 	return last.Outcome, err
 }
 
-// redirect makes the call continue from the copy.
-func (x *exchange) redirect(mv *mover, source *forward.Attempt, handle string, o msg.MoveOutcome) {
+// redirect makes the call continue from the copy: at the destination, with the source as the
+// fallback, or at the source if the destination had no room.
+func (x *exchange) redirect(mv *activeMove, source *forward.Attempt, handle string, o msg.MoveOutcome) {
 	s := x.server
 	s.decide(func(_ time.Time, g *forward.Gate) {
 		to := g.Roster().Find(mv.order.To)
@@ -138,7 +141,8 @@
 	})
 }
 
-// dropCopy frees a copy whose run has ended. If that fails, the copy expires.
+// dropCopy frees a copy of a generation that has ended. If that fails, the copy is left to
+// expire.
 func (s *server) dropCopy(source, handle string) {
 	if handle == "" {
 		return
@@ -148,7 +152,7 @@
 	}
 }
 
-// copyRun makes one copy.
+// copyRun copies a generation's memory once; with last, the generation is stopped first.
 func (s *server) copyRun(ctx context.Context, source, id, to string, last bool) (Copy, error) {
 	call, err := s.wire.Move(id, to, last)
 	if err != nil {
@@ -156,16 +160,16 @@
 	}
 	got, err := s.call(ctx, source, call)
 	if err != nil {
-		return Copy{Outcome: msg.MoveFailed}, fmt.Errorf("copy run to %s: %w", to, err)
+		return Copy{Outcome: msg.MoveFailed}, fmt.Errorf("copy generation to %s: %w", to, err)
 	}
 	return s.wire.Moved(got.status, got.body), nil
 }
 
 // awaitMove waits for the end of a move in progress, which may be the reason why the stream
-// stopped.
+// ended.
 func (x *exchange) awaitMove() {
-	var mv *mover
-	x.server.decide(func(time.Time, *forward.Gate) { mv = x.mover })
+	var mv *activeMove
+	x.server.decide(func(time.Time, *forward.Gate) { mv = x.activeMove })
 	if mv == nil {
 		return
 	}
--- a/internal/hosted/peers.go
+++ b/internal/hosted/peers.go
@@ -8,14 +8,16 @@
 	"mulberrylug.example/mulberrylug/internal/core/roster"
 )
 
-// homeOf returns the current home of a pool, in the pool's data centre if that has instances.
+// homeOf returns the current home of a pool, in the pool's data centre if an instance is alive
+// there.
 func (i *Instance) homeOf(name string) (home string) {
 	dataCentre := roster.ParseGroup(name).DataCentre
 	i.peers.with(func(now time.Time, v *fleet.Fleet) { home = v.Home(now, "pool/"+name, dataCentre) })
 	return home
 }
 
-func (i *Instance) homeSilent(name string) {
+// suspectHome excludes an instance that did not respond from being home for a few seconds.
+func (i *Instance) suspectHome(name string) {
 	i.peers.with(func(now time.Time, v *fleet.Fleet) { v.Suspect(now, name) })
 }
 
@@ -39,20 +41,20 @@
 
 // onPeer handles a message from another instance.
 func (i *Instance) onPeer(from string, m msg.Message) {
-	if i.homes.take(from, m) {
+	if i.homes.handle(from, m) {
 		return
 	}
 	switch m := m.(type) {
 	case msg.GrantAnswer:
-		i.server.granted(m)
+		i.server.onGrantAnswer(m)
 	case msg.Strike:
-		i.server.struck(m)
+		i.server.onStrike(m)
 	case msg.Failing:
-		i.server.failing(from, m)
+		i.server.onFailing(from, m)
 	case msg.MoveOrder:
-		i.server.orderMove(from, m)
+		i.server.onMoveOrder(from, m)
 	case msg.Heartbeat:
-		i.peers.heard(m)
+		i.peers.onHeartbeat(m)
 	case msg.Presences:
 		i.peers.onPresences(from, m)
 	case msg.PresenceAsk:
@@ -62,11 +64,11 @@
 	case msg.JoinAnswer:
 		i.peers.onJoinAnswer(from, m)
 	case msg.SyncAsk:
-		i.relay.ask(from, m)
+		i.relay.handlePoll(from, m)
 	case msg.SyncAnswer:
 		select {
-		case i.asker.answers <- syncAnswer{from: from, SyncAnswer: m}:
-		default: // nobody waits for it any more
+		case i.poller.replies <- syncReply{from: from, SyncAnswer: m}:
+		default: // the queue is full, as the requester no longer waits for this response
 		}
 	default:
 		i.log.Warn("peer_message_unknown", "peer", from, "kind", m.Kind())
--- a/internal/hosted/place.go
+++ b/internal/hosted/place.go
@@ -14,93 +14,94 @@
 
 // homeLink connects an entry with the homes of pools.
 type homeLink struct {
-	// name returns the current home of a pool.
-	name func(pool string) string
+	// homeOf returns the current home of a pool.
+	homeOf func(pool string) string
 	// send delivers a message to an instance, including this one.
 	send func(to string, m msg.Message)
-	// silent records a home that did not answer.
-	silent func(name string)
+	// reportSilent records that an instance did not respond as a home.
+	reportSilent func(name string)
 	// broadcast sends a message to all other live instances.
 	broadcast func(m msg.Message)
 }
 
-// question is an undecided ask at a home.
-type question struct {
+// grantRequest is a request for a grant that a home has not decided yet.
+type grantRequest struct {
 	ask  msg.GrantAsk
 	home string
-	// began and asked are the times of the first and last ask: a grant is valid from the ask
-	// that may have led to it.
-	began, asked time.Time
+	// firstSentAt and lastSentAt are the times at which the request was first and last sent. The
+	// validity of a grant counts from the transmission that may have led to it.
+	firstSentAt, lastSentAt time.Time
 }
 
-// askHome asks the home of the call's pool and returns the next step.
+// askHome requests a grant from the home of the call's pool and returns the next step.
 func (x *exchange) askHome() forward.Step {
 	s := x.server
 	now := boottime.Now()
-	q := &question{home: s.homes.name(x.call.Pool), began: now, asked: now}
+	q := &grantRequest{home: s.homes.homeOf(x.call.Pool), firstSentAt: now, lastSentAt: now}
 	s.decide(func(now time.Time, g *forward.Gate) { q.ask = g.Ask(now, x.call) })
 	s.homes.send(q.home, q.ask)
-	silence, again := time.NewTimer(forward.HomeTimeout), time.NewTimer(time.Hour)
-	defer silence.Stop()
-	defer again.Stop()
+	timeout, repeat := time.NewTimer(forward.HomeTimeout), time.NewTimer(time.Hour)
+	defer timeout.Stop()
+	defer repeat.Stop()
 	for {
 		select {
 		case <-x.ctx.Done():
 			s.homes.send(q.home, msg.GrantEnd{Pool: x.call.Pool, Attempt: q.ask.Ask.Attempt, Cut: true})
-			return x.stopped()
-		case <-silence.C:
-			return x.homeSilent(q.home)
-		case <-again.C:
-			q.asked = boottime.Now()
+			return x.stopStep()
+		case <-timeout.C:
+			return x.onHomeSilent(q.home)
+		case <-repeat.C:
+			q.lastSentAt = boottime.Now()
 			s.homes.send(q.home, q.ask)
 		case a := <-x.grants:
 			if a.Decision.Attempt != q.ask.Ask.Attempt {
-				continue // late
+				continue // late response about another attempt
 			}
 			if a.Decision.Kind != placement.Queued {
-				return x.decided(q, a)
+				return x.onDecision(q, a)
 			}
 			// The home is alive and will decide later.
-			silence.Reset(forward.AskInterval + forward.HomeTimeout)
-			again.Reset(forward.AskInterval)
+			timeout.Reset(forward.AskInterval + forward.HomeTimeout)
+			repeat.Reset(forward.AskInterval)
 		}
 	}
 }
 
-// decided handles the home's decision.
-func (x *exchange) decided(q *question, a msg.GrantAnswer) forward.Step {
+// onDecision processes the home's decision, a grant or a refusal, and returns the next step.
+func (x *exchange) onDecision(q *grantRequest, a msg.GrantAnswer) forward.Step {
 	s := x.server
 	if a.Decision.Kind == placement.Refused {
-		return x.step(func(_ time.Time, g *forward.Gate) forward.Step {
+		return x.decideStep(func(_ time.Time, g *forward.Gate) forward.Step {
 			return g.HomeRefused(x.call, a.Decision.Reason, a.Decision.RetryAfter)
 		})
 	}
 	x.home = q.home
-	waited := boottime.Now().Sub(q.began)
+	waited := boottime.Now().Sub(q.firstSentAt)
 	s.metrics.Observe("placement_milliseconds", x.call.Service, waited)
 	s.log.Info("placed", "request", x.call.ID, "home", q.home, "pool", x.call.Pool, "upstream", a.Decision.Upstream,
 		"prompt", q.ask.Ask.Prompt, "hint", q.ask.Ask.Expected, "waited", waited.Round(time.Millisecond))
-	return x.step(func(now time.Time, g *forward.Gate) forward.Step { return g.Granted(now, q.asked, x.call, a) })
+	return x.decideStep(func(now time.Time, g *forward.Gate) forward.Step { return g.Granted(now, q.lastSentAt, x.call, a) })
 }
 
-// homeSilent falls back to a local choice and makes the next request ask another home.
-func (x *exchange) homeSilent(home string) forward.Step {
+// onHomeSilent falls back to an upstream chosen by this instance, and makes the next requests use
+// another home.
+func (x *exchange) onHomeSilent(home string) forward.Step {
 	s := x.server
-	s.homes.silent(home)
+	s.homes.reportSilent(home)
 	s.metrics.Count("homes_silent_total", x.call.Service)
 	s.log.Info("home_silent", "request", x.call.ID, "home", home, "pool", x.call.Pool)
-	return x.step(func(now time.Time, g *forward.Gate) forward.Step { return g.HomeSilent(now, x.call) })
+	return x.decideStep(func(now time.Time, g *forward.Gate) forward.Step { return g.HomeSilent(now, x.call) })
 }
 
-// stopped returns the step of a call whose caller left or whose deadline passed.
-func (x *exchange) stopped() forward.Step {
+// stopStep returns the step of a call whose caller has disconnected or whose deadline has passed.
+func (x *exchange) stopStep() forward.Step {
 	if x.r.Context().Err() != nil {
 		return forward.Step{End: true}
 	}
-	return x.step(func(now time.Time, g *forward.Gate) forward.Step { return g.Expired(now, x.call, x.begun) })
+	return x.decideStep(func(now time.Time, g *forward.Gate) forward.Step { return g.Expired(now, x.call, x.headSent) })
 }
 
-// endGrant tells the home that an attempt has ended.
+// endGrant notifies the home that an attempt has ended.
 func (x *exchange) endGrant(attempt string, a *forward.Attempt, o forward.Outcome) {
 	if !x.call.Route.Generation || x.home == "" {
 		return
@@ -114,35 +115,35 @@
 	s.homes.send(x.home, end)
 	s.decide(func(_ time.Time, g *forward.Gate) { end.Pool = g.PoolOf(a) })
 	if end.Pool != x.call.Pool {
-		s.homes.send(s.homes.name(end.Pool), end) // the service was divided anew meanwhile
+		s.homes.send(s.homes.homeOf(end.Pool), end) // the upstream belongs to another pool since the layout changed
 	}
 }
 
-// tokens estimates the output so far.
+// tokens estimates the number of tokens produced so far.
 func (x *exchange) tokens() int { return x.call.Events * x.eventTokens }
 
-// announceDue announces the running generations to the homes when due; new homes must hear
-// immediately.
-func (s *server) announceDue() {
+// sendDueAnnouncements announces the running generations to the homes when an announcement is due
+// or when the home of a pool has changed: new homes must be notified immediately.
+func (s *server) sendDueAnnouncements() {
 	due := false
-	told := map[string]string{}
+	notified := map[string]string{}
 	s.decide(func(now time.Time, _ *forward.Gate) {
-		due = now.Sub(s.announced) >= pool.AnnouncePause(len(s.running))
-		maps.Copy(told, s.announcedTo)
+		due = now.Sub(s.announcedAt) >= pool.AnnouncePause(len(s.running))
+		maps.Copy(notified, s.announcedTo)
 	})
-	for name, home := range told {
-		due = due || s.homes.name(name) != home
+	for name, home := range notified {
+		due = due || s.homes.homeOf(name) != home
 	}
 	if due {
 		s.announce()
 	}
 }
 
-// announce announces the running generations to the homes.
+// announce announces the running generations to the homes of their pools.
 func (s *server) announce() {
 	running := map[string][]msg.RunningAttempt{}
 	s.decide(func(now time.Time, g *forward.Gate) {
-		s.announced = now
+		s.announcedAt = now
 		for _, x := range s.running {
 			a := x.call.Current()
 			if a == nil || x.call.Pool == "" {
@@ -156,27 +157,27 @@
 			})
 		}
 	})
-	told := map[string]string{}
+	notified := map[string]string{}
 	for name, list := range running {
-		told[name] = s.homes.name(name)
-		s.homes.send(told[name], msg.Announce{Pool: name, Running: list})
+		notified[name] = s.homes.homeOf(name)
+		s.homes.send(notified[name], msg.Announce{Pool: name, Running: list})
 	}
-	s.decide(func(time.Time, *forward.Gate) { s.announcedTo = told })
+	s.decide(func(time.Time, *forward.Gate) { s.announcedTo = notified })
 }
 
-// granted passes a home's answer to the waiting request.
-func (s *server) granted(m msg.GrantAnswer) {
+// onGrantAnswer passes a home's response to the waiting request.
+func (s *server) onGrantAnswer(m msg.GrantAnswer) {
 	x := s.find(requestOf(m.Decision.Attempt))
 	if x == nil {
-		return // ended meanwhile; its end was told
+		return // the request has ended, and the home was notified of that
 	}
 	select {
 	case x.grants <- m:
-	default: // nobody waits for it any more
+	default: // the queue is full, as the request no longer waits for a response
 	}
 }
 
-// requestOf returns the request id of an attempt's name.
+// requestOf returns the request id that an attempt's id begins with.
 func requestOf(attempt string) string {
 	if k := strings.LastIndexByte(attempt, '/'); k >= 0 {
 		return attempt[:k]
@@ -184,11 +185,12 @@
 	return attempt
 }
 
+// find returns the request in progress with an id, or nil.
 func (s *server) find(id string) *exchange {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.running[id]
 }
 
-// announceTick is the interval between checks for due announcements.
-const announceTick = pool.AnnounceInterval / 2
+// announceCheckInterval is the interval between checks for due announcements.
+const announceCheckInterval = pool.AnnounceInterval / 2
--- a/internal/hosted/ports.go
+++ b/internal/hosted/ports.go
@@ -13,27 +13,27 @@
 	"mulberrylug.example/mulberrylug/internal/core/route"
 )
 
-// ErrHistoryGone: the store no longer holds the requested changes, and the whole state must be
-// read.
-var ErrHistoryGone = errors.New("history is no longer held")
+// ErrHistoryGone reports that the store no longer holds the requested changes, so that the full
+// state must be read.
+var ErrHistoryGone = errors.New("the store no longer holds the requested changes")
 
-// ConfigRead is an answer about the configuration.
+// ConfigRead is a response of the store with the configuration and the cordons.
 type ConfigRead struct {
-	// Version is the store's version that the answer reflects.
+	// Version is the version of the store that the response reflects.
 	Version int64
-	// Config is nil if the answer holds none.
+	// Config is nil if the response holds none.
 	Config *route.Config
 	// Cordoned lists the cordoned data centres.
 	Cordoned []string
-	// Unreadable tells which cordons could not be read in full.
+	// Unreadable holds an error for each cordon that could not be decoded in full.
 	Unreadable []error
 }
 
-// ListRead is an answer about the list of upstreams.
+// ListRead is a response of the store with the list of upstreams, or with changes of it.
 type ListRead struct {
 	Version int64
 	Changes []roster.Change
-	// Unreadable tells why entries among the changes can't be used.
+	// Unreadable holds an error for each entry among the changes that cannot be used.
 	Unreadable []error
 }
 
@@ -44,25 +44,25 @@
 	List(ctx context.Context) (ListRead, error)
 	ListSince(ctx context.Context, after int64, wait time.Duration) (ListRead, error)
 	// Join registers an instance, Members lists the registered ones, Remove deletes rows that
-	// were not written since.
+	// have not been written since they were read.
 	Join(ctx context.Context, self msg.Heartbeat) error
 	Members(ctx context.Context) ([]fleet.Row, error)
 	Remove(ctx context.Context, rows []fleet.Row) error
 }
 
-// Answer is the decoded head of an upstream's answer.
+// Answer is the decoded head of an upstream's response.
 type Answer struct {
-	// Ours is false for an answer to another request.
+	// Ours is false for a response to another request.
 	Ours bool
 	// NotRun is set if the upstream states that it did not run the request.
 	NotRun bool
-	// Signed is set if the answer carries the upstream's signature.
+	// Signed is set if the response carries the upstream's signature.
 	Signed bool
-	// Leaving is set if the upstream closes the connection after the answer.
+	// Leaving is set if the upstream closes the connection after the response.
 	Leaving bool
-	// Load is nil if unknown.
+	// Load is the upstream's load; nil if unknown.
 	Load *forward.Report
-	// Cold is the remaining warm-up; 0 if unknown.
+	// Cold is the remaining time of the upstream's warm-up; 0 if unknown.
 	Cold time.Duration
 }
 
@@ -73,57 +73,59 @@
 	Body   []byte
 }
 
-// Copy is an upstream's answer to a move.
+// Copy is an upstream's response to a request to copy a generation's memory.
 type Copy struct {
 	// Handle names the copy.
 	Handle string
-	// Events is the number of events that the run had produced.
+	// Events is the number of events that the generation had produced.
 	Events  int
 	Outcome msg.MoveOutcome
 }
 
-// Report is an upstream's state, some hundred milliseconds old.
+// Report is an upstream's state as of some hundred milliseconds ago.
 type Report struct {
 	Leaving bool
 	// Closing is set if the upstream closes the connection of the report.
 	Closing bool
-	// LeavesIn is the time until it ends, if Known.
+	// LeavesIn is the time until a leaving upstream ends, if Known is set.
 	LeavesIn time.Duration
 	Known    bool
-	// Waiting counts the requests held but not running.
+	// Waiting is the number of requests that the upstream has accepted but does not run yet.
 	Waiting int
-	// Events counts the produced events by request; nil if unknown.
+	// Events is the number of events produced by request id; nil if unknown.
 	Events map[string]int
 }
 
-// Wire translates between the platform's HTTP and the core's types.
+// Wire translates between the platform's HTTP messages and the types of the core packages.
 type Wire interface {
-	// IsReady and IsDirectory report which endpoint a request is for.
+	// IsReady and IsDirectory report whether a request is for the respective endpoint.
 	IsReady(r *http.Request) bool
 	IsDirectory(r *http.Request) bool
-	// Caller returns a directory request's location and the host it asks for.
+	// Caller returns the location of the sender of a directory request, and the host that the
+	// request asks for.
 	Caller(r *http.Request) (near fleet.Place, host string)
-	// Addresses writes a directory answer.
-	Addresses(w http.ResponseWriter, addresses []string, keep time.Duration) error
+	// Addresses writes a directory response with the lifetime ttl.
+	Addresses(w http.ResponseWriter, addresses []string, ttl time.Duration) error
 	// Request decodes a caller's request without its body.
 	Request(r *http.Request) forward.Request
-	// Outgoing returns an attempt's headers, derived from the caller's.
+	// Outgoing returns the headers of an attempt, derived from the caller's.
 	Outgoing(caller http.Header, c *forward.Call, a *forward.Attempt) http.Header
-	// Answer decodes the head of an answer.
+	// Answer decodes the head of a response.
 	Answer(resp *http.Response, requestID string) Answer
-	// Passed copies the headers of an answer that concern the caller, without the signature
-	// unless the status is the upstream's.
+	// Passed copies the headers of a response that are meant for the caller. The signature is
+	// copied only if signed is set, which it never is for a status that is not the upstream's.
 	Passed(to, from http.Header, signed bool)
-	// Move copies a run's memory to another upstream; with last, the run stops first. Moved
-	// decodes the answer, DropCopy frees a copy and CopyAt names one to the upstream that
+	// Move returns the call that copies a generation's memory to another upstream; with last,
+	// the generation is stopped first. Moved decodes the response, DropCopy returns the call
+	// that frees a copy, and CopyAt returns the value that names a copy to the upstream that
 	// continues from it.
 	Move(id, to string, last bool) (Call, error)
 	Moved(status int, body []byte) Copy
 	DropCopy(handle string) Call
 	CopyAt(address, handle string) string
-	// Report requests an upstream's state, Reported decodes the answer.
+	// Report returns the call that requests an upstream's state, Reported decodes the response.
 	Report() Call
 	Reported(body []byte) (Report, error)
-	// Refuse writes a refusal of this system.
+	// Refuse writes the response for a request that this system refuses.
 	Refuse(w http.ResponseWriter, requestID string, r forward.Refusal) error
 }
--- a/internal/hosted/presence.go
+++ b/internal/hosted/presence.go
@@ -7,9 +7,9 @@
 	"mulberrylug.example/mulberrylug/internal/core/msg"
 )
 
-// announceDue announces members to other data centres if this instance is a relay and it is
-// due.
-func (f *peers) announceDue() {
+// sendDueAnnouncements sends the presences of data centres to other instances, if this instance
+// is a relay and announcements are due.
+func (f *peers) sendDueAnnouncements() {
 	var due []fleet.Announcement
 	f.with(func(now time.Time, v *fleet.Fleet) { due = v.Announcements(now) })
 	for _, a := range due {
@@ -19,7 +19,8 @@
 	}
 }
 
-// onPresences handles the members of other data centres.
+// onPresences handles announced presences of other data centres, and requests those that refer
+// to a list of members that is not known here.
 func (f *peers) onPresences(from string, m msg.Presences) {
 	var unknown []string
 	f.with(func(now time.Time, v *fleet.Fleet) {
@@ -34,7 +35,7 @@
 	}
 }
 
-// onPresenceAsk sends an instance the members that it lacks.
+// onPresenceAsk sends an instance the full presences that it requests.
 func (f *peers) onPresenceAsk(from string, m msg.PresenceAsk) {
 	var list []msg.Presence
 	f.with(func(now time.Time, v *fleet.Fleet) { list = v.Presences(now, m.Sources) })
--- a/internal/hosted/relay.go
+++ b/internal/hosted/relay.go
@@ -13,21 +13,23 @@
 	"mulberrylug.example/mulberrylug/internal/core/watch"
 )
 
-// homeHold is the hold of a home's long polls. It bounds the age of its knowledge and so the
-// delay until it notices an outage.
+// homeHold is the maximum time for which the long polls of a home are held. It limits the age of
+// the home's state, and so the delay until the home detects an outage.
 const homeHold = 150 * time.Millisecond
 
-// relay answers instances that do not read the store.
+// relay answers the polls of instances that do not read the store.
 type relay struct {
 	server *server
 	send   func(to string, m msg.Message)
-	// hold is how long a poll waits for an update.
+	// hold is the maximum time for which a poll is held while there is no update.
 	hold time.Duration
-	// relays reports whether others use this instance as a source, or that is still unknown.
-	relays func() bool
+	// mayBeSource reports whether other instances use this one as a source, or whether that is
+	// unknown because the members are not known yet.
+	mayBeSource func() bool
 
-	mu      sync.Mutex
-	waiting map[string]waitingAsk
+	// mu guards the held polls, which are by requester.
+	mu   sync.Mutex
+	held map[string]heldPoll
 	// config is the configuration in force. Guarded by the server's lock.
 	config *sharedConfig
 }
@@ -35,15 +37,16 @@
 // sharedConfig is a configuration with its transfer form, which all requesters share.
 type sharedConfig struct {
 	config *route.Config
-	// packed is as received, or packed on the first request if it was read from the store.
+	// packed is the transfer form: as received, or packed for the first requester if the
+	// configuration was read from the store.
 	packed msg.PackedConfig
-	pack   sync.Once
+	once   sync.Once
 	err    error
 }
 
-// transfer returns the transfer form.
-func (s *sharedConfig) transfer() (msg.PackedConfig, error) {
-	s.pack.Do(func() {
+// packOnce returns the transfer form, which the first call creates if needed.
+func (s *sharedConfig) packOnce() (msg.PackedConfig, error) {
+	s.once.Do(func() {
 		if s.packed == nil {
 			s.packed, s.err = msg.PackConfig(s.config)
 		}
@@ -51,18 +54,20 @@
 	return s.packed, s.err
 }
 
-type waitingAsk struct {
+// heldPoll is a poll that is answered once there is an update, or at a time at the latest.
+type heldPoll struct {
 	ask   msg.SyncAsk
 	until time.Time
 }
 
-// ask handles a poll, which is answered immediately if there is an update.
-func (r *relay) ask(from string, m msg.SyncAsk) {
-	if answer, updated := r.answer(m); updated {
+// handlePoll answers a poll immediately if there is an update, or if it must not be held.
+// Otherwise it holds the poll.
+func (r *relay) handlePoll(from string, m msg.SyncAsk) {
+	if answer, updated := r.reply(m); updated {
 		r.send(from, answer)
 		return
 	}
-	if !r.mayUpdate() {
+	if !r.mayHold() {
 		r.send(from, msg.SyncAnswer{Number: m.Number, ConfigAge: -1})
 		return
 	}
@@ -72,40 +77,40 @@
 	if m.Hold > 0 {
 		hold = min(hold, m.Hold)
 	}
-	r.waiting[from] = waitingAsk{ask: m, until: time.Now().Add(hold)}
+	r.held[from] = heldPoll{ask: m, until: time.Now().Add(hold)}
 }
 
-// mayUpdate reports whether a long poll is worth holding: without a configuration there is
-// nothing to compare.
-func (r *relay) mayUpdate() (ok bool) {
+// mayHold reports whether a poll may be held. An instance without a configuration, which has
+// nothing to compare with the requester's versions, holds polls only if it may be a source.
+func (r *relay) mayHold() (ok bool) {
 	r.server.decide(func(_ time.Time, g *forward.Gate) { ok = g.Table() != nil })
-	return ok || r.relays()
+	return ok || r.mayBeSource()
 }
 
-// tick answers polls that have an update or have been held for long enough.
+// tick answers held polls for which there is an update or whose time has passed.
 func (r *relay) tick() {
 	r.mu.Lock()
-	waiting := make(map[string]waitingAsk, len(r.waiting))
-	for name, w := range r.waiting {
+	waiting := make(map[string]heldPoll, len(r.held))
+	for name, w := range r.held {
 		waiting[name] = w
 	}
 	r.mu.Unlock()
 	for name, w := range waiting {
-		answer, updated := r.answer(w.ask)
+		answer, updated := r.reply(w.ask)
 		if !updated && time.Now().Before(w.until) {
 			continue
 		}
 		r.mu.Lock()
-		if r.waiting[name].ask.Number == w.ask.Number {
-			delete(r.waiting, name)
+		if r.held[name].ask.Number == w.ask.Number {
+			delete(r.held, name)
 		}
 		r.mu.Unlock()
 		r.send(name, answer)
 	}
 }
 
-// answer returns what is newer than the requester's versions and whether anything is.
-func (r *relay) answer(m msg.SyncAsk) (a msg.SyncAnswer, updated bool) {
+// reply returns the updates since the requester's versions and reports whether there are any.
+func (r *relay) reply(m msg.SyncAsk) (a msg.SyncAnswer, updated bool) {
 	a = msg.SyncAnswer{Number: m.Number, ConfigAge: -1}
 	var newer *sharedConfig
 	r.server.decide(func(now time.Time, g *forward.Gate) {
@@ -114,7 +119,7 @@
 		}
 		if version := g.Table().Version; version > m.Config {
 			if r.config == nil || r.config.config.Version != version {
-				return // just adopted: it must not confirm another version
+				return // just adopted, without a transfer form yet: the reply must not confirm the requester's version
 			}
 			newer, updated = r.config, true
 		}
@@ -134,62 +139,65 @@
 		return a, updated
 	}
 	var err error
-	if a.Config, err = newer.transfer(); err != nil {
+	if a.Config, err = newer.packOnce(); err != nil {
 		r.server.log.Error("configuration_not_packed", "version", newer.config.Version, "error", err)
-		// Without the configuration the answer must not confirm the requester's older one.
+		// Without the configuration, the reply must not confirm the requester's older one.
 		return msg.SyncAnswer{Number: m.Number, ConfigAge: -1}, true
 	}
 	return a, true
 }
 
-// asker polls other instances while this one does not read the store.
-type asker struct {
+// syncPoller polls another instance for updates while this one does not read the store.
+type syncPoller struct {
 	follower *follower
-	answers  chan syncAnswer
-	// uses returns the groups of divided services that this instance needs.
-	uses func(*forward.Gate) []roster.Group
+	replies  chan syncReply
+	// neededGroups returns the groups of divided services that this instance needs.
+	neededGroups func(*forward.Gate) []roster.Group
 	// wake interrupts a poll when another group is needed.
-	wake   chan struct{}
-	number int64
+	wake chan struct{}
+	// lastNumber is the number of the latest poll, by which its reply is recognised.
+	lastNumber int64
 }
 
-type syncAnswer struct {
+// syncReply is a reply to a poll and the instance that sent it.
+type syncReply struct {
 	from string
 	msg.SyncAnswer
 }
 
 // run polls until the context ends.
-func (a *asker) run(ctx context.Context) error {
-	a.follower.peers.awaitLearned(ctx)
+func (a *syncPoller) run(ctx context.Context) error {
+	a.follower.peers.awaitJoined(ctx)
 	for ctx.Err() == nil {
 		source := a.follower.source()
 		if source == watch.Store {
-			pause(ctx, sourceCheckInterval)
+			sleep(ctx, sourceCheckInterval)
 			continue
 		}
-		a.ask(ctx, source)
+		a.poll(ctx, source)
 	}
 	return ctx.Err()
 }
 
-// wakeUp makes the next poll start immediately.
-func (a *asker) wakeUp() {
+// wakeUp interrupts the current poll, so that the next one starts immediately.
+func (a *syncPoller) wakeUp() {
 	select {
 	case a.wake <- struct{}{}:
-	default: // it is woken already
+	default: // a wake-up is already pending
 	}
 }
 
-// ask polls one instance and applies its answer, which confirms the state as of the question.
-func (a *asker) ask(ctx context.Context, source string) {
-	a.number++
-	all := a.follower.relays()
-	q := msg.SyncAsk{Number: a.number}
+// poll polls one instance and applies its reply, which confirms the state as of the time at which
+// the poll was sent.
+func (a *syncPoller) poll(ctx context.Context, source string) {
+	a.lastNumber++
+	all := a.follower.isSource()
+	q := msg.SyncAsk{Number: a.lastNumber}
 	if a.follower.isHome() {
 		q.Hold = homeHold
 	}
 	a.follower.server.decide(func(_ time.Time, g *forward.Gate) {
-		q.List = g.Roster().Ask(a.uses(g), all)
+		q.List = g.Roster().Ask(a.neededGroups(g), all)
 		q.Cordons = g.Cordons().Version
 		if g.Table() != nil {
 			q.Config = g.Table().Version
@@ -208,22 +216,24 @@
 		case <-timeout.C:
 			a.follower.sourceFailed(source, "no answer")
 			return
-		case got := <-a.answers:
+		case got := <-a.replies:
 			if got.from != source || got.Number != q.Number {
-				continue // late
+				continue // late reply to an earlier poll
 			}
-			a.take(ctx, source, asked, got.SyncAnswer, all)
+			a.apply(ctx, source, asked, got.SyncAnswer, all)
 			return
 		}
 	}
 }
 
-func (a *asker) take(ctx context.Context, source string, asked time.Time, m msg.SyncAnswer, all bool) {
+// apply applies a source's reply to a poll sent at asked; all is set if the full list was
+// requested.
+func (a *syncPoller) apply(ctx context.Context, source string, asked time.Time, m msg.SyncAnswer, all bool) {
 	f := a.follower
 	if !f.sourceAnswered(source, m.ConfigAge) {
-		// During an outage everyone's knowledge is old. Any other instance may be asked, with
-		// a backoff.
-		defer pause(ctx, staleBackoff)
+		// During an outage the state of every instance is old. Other instances may be polled,
+		// with a backoff.
+		defer sleep(ctx, staleBackoff)
 	}
 	if m.ConfigAge < 0 {
 		return
@@ -243,15 +253,16 @@
 	}
 	f.server.decide(func(_ time.Time, g *forward.Gate) { g.Roster().Confirm(asked.Add(-m.ListAge)) })
 	if m.List != nil {
-		a.takeList(source, *m.List, all)
+		a.applyList(source, *m.List, all)
 	}
 }
 
-// takeList applies another instance's list.
-func (a *asker) takeList(source string, share roster.Share, all bool) {
+// applyList applies a list received from another instance, and drops the groups that are not
+// needed here unless all are needed.
+func (a *syncPoller) applyList(source string, share roster.Share, all bool) {
 	f := a.follower
 	var before, after int64
-	f.change(source, func(now time.Time, g *forward.Gate) []*roster.Upstream {
+	f.changeRoster(source, func(now time.Time, g *forward.Gate) []*roster.Upstream {
 		r := g.Roster()
 		_, before = r.Layout()
 		left := r.Adopt(now, share)
@@ -260,12 +271,12 @@
 			return left
 		}
 		known := r.Len()
-		if use := a.uses(g); r.Keep(use) {
+		if use := a.neededGroups(g); r.Keep(use) {
 			f.log.Info("groups_kept", "groups", len(use), "upstreams_before", known, "upstreams", r.Len(), "division", after)
 		}
 		return left
 	})
 	if before != after {
-		f.server.announce() // the homes of the new pools know nothing of what runs
+		f.server.announce() // the homes of the new pools do not know the running generations
 	}
 }
--- a/internal/hosted/relay_test.go
+++ b/internal/hosted/relay_test.go
@@ -14,42 +14,45 @@
 	"mulberrylug.example/mulberrylug/internal/core/route"
 )
 
-func relayWith(inForce int64) *relay {
+// newTestRelay returns a relay with a configuration of the given version in force, but without a
+// transfer form of it.
+func newTestRelay(inForce int64) *relay {
 	g := forward.New(forward.Options{Name: "entry-1", DataCentre: "dc-a"})
 	g.Adopt(route.NewTable(route.Config{Version: inForce}))
 	g.SetCordons(boottime.Now(), cordon.NewSet(1, nil))
 	g.Confirm(boottime.Now())
 	return &relay{
 		server: &server{gate: g, log: hclog.NewNullLogger()}, hold: time.Second,
-		relays: func() bool { return true }, waiting: map[string]waitingAsk{},
+		mayBeSource: func() bool { return true }, held: map[string]heldPoll{},
 	}
 }
 
-// A version is in force and not yet ready to be passed on. An answer at that moment must not
-// confirm the version that the requester has.
-func TestAnAnswerBetweenTwoVersionsConfirmsNothing(t *testing.T) {
-	r := relayWith(4)
+// A new configuration is in force shortly before its transfer form is available. A reply at that
+// time must not confirm the older version that the requester has.
+func TestAReplyBeforeTheTransferFormIsAvailableConfirmsNothing(t *testing.T) {
+	r := newTestRelay(4)
 	for name, c := range map[string]*sharedConfig{"none": nil, "older": {config: &route.Config{Version: 3}}} {
 		r.config = c
-		if a, _ := r.answer(msg.SyncAsk{Number: 1, Config: 3}); a.ConfigAge >= 0 || a.Config != nil {
-			t.Errorf("%s: answer %+v confirms a version that is out of force", name, a)
+		if a, _ := r.reply(msg.SyncAsk{Number: 1, Config: 3}); a.ConfigAge >= 0 || a.Config != nil {
+			t.Errorf("transfer form %s: reply %+v, want neither a confirmation nor a configuration", name, a)
 		}
 	}
 	r.config = &sharedConfig{config: &route.Config{Version: 4}}
-	a, updated := r.answer(msg.SyncAsk{Number: 2, Config: 3})
+	a, updated := r.reply(msg.SyncAsk{Number: 2, Config: 3})
 	if !updated || a.ConfigAge < 0 {
-		t.Fatalf("answer %+v, updated %v", a, updated)
+		t.Fatalf("reply to a requester with version 3 = %+v, updated = %v; want a confirmation and an update", a, updated)
 	}
 	if c, err := a.Config.Unpack(); err != nil || c.Version != 4 {
-		t.Errorf("%+v, %v", c, err)
+		t.Errorf("configuration in the reply = %+v, error %v; want version 4", c, err)
 	}
-	if a, updated := r.answer(msg.SyncAsk{Number: 3, Config: 4, Cordons: 1}); updated || a.ConfigAge < 0 || a.Config != nil {
-		t.Errorf("answer %+v to one that has the version", a)
+	if a, updated := r.reply(msg.SyncAsk{Number: 3, Config: 4, Cordons: 1}); updated || a.ConfigAge < 0 || a.Config != nil {
+		t.Errorf("reply to a requester with version 4 = %+v, want a confirmation and no update", a)
 	}
 }
 
-// A small machine that packs a large configuration again for each of forty receivers answers
-// nobody for seconds: all share one form, and one that was received is passed on as it is.
+// A small machine that packed a large configuration for each of forty receivers would not respond
+// for seconds. All receivers must share one packed form, and a configuration that was received
+// must be passed on in the form received.
 func TestAConfigurationIsPackedOnce(t *testing.T) {
 	c := &route.Config{Version: 4}
 	for k := range 500 {
@@ -60,15 +63,15 @@
 		t.Fatal(err)
 	}
 	for name, shared := range map[string]*sharedConfig{"read from the store": {config: c}, "received": {config: c, packed: received}} {
-		r := relayWith(4)
+		r := newTestRelay(4)
 		r.config = shared
-		first, _ := r.answer(msg.SyncAsk{Number: 1})
-		second, _ := r.answer(msg.SyncAsk{Number: 2})
+		first, _ := r.reply(msg.SyncAsk{Number: 1})
+		second, _ := r.reply(msg.SyncAsk{Number: 2})
 		if len(first.Config) == 0 || &first.Config[0] != &second.Config[0] {
-			t.Errorf("%s: two receivers get two forms", name)
+			t.Errorf("configuration %s: two receivers got different packed forms or an empty one, want one shared form", name)
 		}
 		if name == "received" && &first.Config[0] != &received[0] {
-			t.Errorf("%s: it was packed again", name)
+			t.Errorf("configuration %s: it was packed again, want the received form", name)
 		}
 	}
 }
--- a/internal/hosted/rows.go
+++ b/internal/hosted/rows.go
@@ -11,60 +11,62 @@
 )
 
 const (
-	// joinBackoff is the mean delay after the first failed access to the instances' rows. It
-	// doubles up to joinDoubles times and is randomized, so that instances that start together
-	// do not retry together.
-	joinBackoff = 500 * time.Millisecond
-	joinDoubles = 3
-	// rowsInterval is the interval between reads of the rows, rowsAlone the mean delay for an
-	// instance without peers.
-	rowsInterval = 2 * time.Minute
-	rowsAlone    = 8 * time.Second
+	// joinBackoff is the mean delay after the first failed access to the instances' rows in the
+	// store. It doubles up to maxJoinDoublings times and is randomised, so that instances that
+	// start at the same time do not retry at the same time.
+	joinBackoff      = 500 * time.Millisecond
+	maxJoinDoublings = 3
+	// rowsInterval is the interval between reads of the rows by a relay, rowsDelayAlone the mean
+	// time without live peers after which any instance reads them.
+	rowsInterval   = 2 * time.Minute
+	rowsDelayAlone = 8 * time.Second
 )
 
-// joinByStore learns the members from the store, as no seed answered.
+// joinByStore reads the members from the store, since no seed has responded, and retries until
+// that succeeds.
 func (f *peers) joinByStore(ctx context.Context) {
 	for tries := 0; ctx.Err() == nil; tries++ {
 		err := f.tryRegister(ctx)
-		f.joined("store") // whether it answered or not: nobody else tells
+		f.markJoined("store") // also after an error, because there is no other source of the members
 		if err == nil {
 			return
 		}
 		f.metrics.Count("store_failures_total", "join")
 		f.log.Warn("join_failed", "step", "join", "try", tries+1, "error", err)
-		wait := joinBackoff << min(tries, joinDoubles)
-		pause(ctx, wait/2+rand.N(wait))
+		backoff := joinBackoff << min(tries, maxJoinDoublings)
+		sleep(ctx, backoff/2+rand.N(backoff))
 	}
 }
 
-// rowKeeper schedules reads of the rows and writes of this instance's own.
-type rowKeeper struct {
-	// read is the time of the last access, alone the time since which no peer was heard.
-	read  time.Time
-	alone time.Time
-	// wait is the time without peers after which the rows are read.
-	wait time.Duration
+// rowSchedule schedules reads of the instances' rows and writes of this instance's own row.
+type rowSchedule struct {
+	// lastRead is the time of the last access, alone the time since which no peer was heard.
+	lastRead   time.Time
+	aloneSince time.Time
+	// aloneTimeout is the time without live peers after which the rows are read.
+	aloneTimeout time.Duration
 }
 
-// due reports whether an access is due.
-func (k *rowKeeper) due(now time.Time, f *peers) bool {
-	alone, must := false, false
+// due reports whether an access to the rows is due, and records it if so.
+func (k *rowSchedule) due(now time.Time, f *peers) bool {
+	alone, mustRegister := false, false
 	s := f.sources(false)
-	f.with(func(now time.Time, v *fleet.Fleet) { alone, must = len(v.Live()) == 0, v.MustRegister(now, s) })
+	f.with(func(now time.Time, v *fleet.Fleet) { alone, mustRegister = len(v.Live()) == 0, v.MustRegister(now, s) })
 	if !alone {
-		k.alone = time.Time{}
-	} else if k.alone.IsZero() {
-		k.alone, k.wait = now, rowsAlone/2+rand.N(rowsAlone)
+		k.aloneSince = time.Time{}
+	} else if k.aloneSince.IsZero() {
+		k.aloneSince, k.aloneTimeout = now, rowsDelayAlone/2+rand.N(rowsDelayAlone)
 	}
-	lonely := alone && now.Sub(k.alone) >= k.wait
-	if !lonely && (!must || !k.read.IsZero() && now.Sub(k.read) < rowsInterval) {
+	timedOut := alone && now.Sub(k.aloneSince) >= k.aloneTimeout
+	if !timedOut && (!mustRegister || !k.lastRead.IsZero() && now.Sub(k.lastRead) < rowsInterval) {
 		return false
 	}
-	k.read, k.alone = now, time.Time{}
+	k.lastRead, k.aloneSince = now, time.Time{}
 	return true
 }
 
-// register writes the own row if it is missing and learns from the others.
+// register writes this instance's row if it is missing, adds the instances in the other rows, and
+// logs a failure.
 func (f *peers) register(ctx context.Context) {
 	if err := f.tryRegister(ctx); err != nil && ctx.Err() == nil {
 		f.metrics.Count("store_failures_total", "register")
@@ -72,14 +74,15 @@
 	}
 }
 
-// tryRegister reads the rows, and writes and reads again if the own one is missing, so that of
-// two concurrent instances at least one sees the other.
+// tryRegister reads the rows and adds the instances in them. If this instance's row is missing,
+// it writes the row and reads again, so that of two instances that register concurrently at
+// least one sees the other.
 func (f *peers) tryRegister(ctx context.Context) error {
 	known, err := f.store.Members(ctx)
 	if err != nil {
 		return err
 	}
-	f.learnRows(known)
+	f.addRows(known)
 	self := f.self()
 	if slices.ContainsFunc(known, func(r fleet.Row) bool { return sameRow(r.Heartbeat, self) }) {
 		return nil
@@ -90,36 +93,37 @@
 	if known, err = f.store.Members(ctx); err != nil {
 		return err
 	}
-	f.learnRows(known)
+	f.addRows(known)
 	return nil
 }
 
-// learnRows adds the instances in the rows and asks some of them for members.
-func (f *peers) learnRows(rows []fleet.Row) {
+// addRows adds the instances in the rows and asks some of them for their members.
+func (f *peers) addRows(rows []fleet.Row) {
 	list := make([]msg.Heartbeat, 0, len(rows))
 	for _, r := range rows {
 		list = append(list, r.Heartbeat)
 	}
-	f.learn("store", list, (*fleet.Fleet).Learn)
+	f.addMembers("store", list, (*fleet.Fleet).Learn)
 	ask := f.joinAsk()
 	rand.Shuffle(len(list), func(a, b int) { list[a], list[b] = list[b], list[a] })
-	for _, b := range list[:min(len(list), introducers)] {
+	for _, b := range list[:min(len(list), maxIntroducers)] {
 		if b.Name != ask.Sender.Name {
 			f.send(b, ask)
 		}
 	}
 }
 
-// sameRow reports whether a row matches what the instance would write.
+// sameRow reports whether a row equals the row that the instance itself would write.
 func sameRow(row, self msg.Heartbeat) bool {
 	return row.Name == self.Name && row.DataCentre == self.DataCentre &&
 		row.CallerAddress == self.CallerAddress && row.PeerAddress == self.PeerAddress
 }
 
-// sweep periodically removes the rows of dead instances. The first reader does it for all.
+// sweep periodically removes the rows of dead instances. Only the first reader of the store does
+// this, for all instances.
 func (f *peers) sweep(ctx context.Context) error {
 	var s fleet.Sweep
-	for pause(ctx, fleet.SweepInterval); ctx.Err() == nil; pause(ctx, fleet.SweepInterval) {
+	for sleep(ctx, fleet.SweepInterval); ctx.Err() == nil; sleep(ctx, fleet.SweepInterval) {
 		if err := f.sweepOnce(ctx, &s); err != nil {
 			f.metrics.Count("store_failures_total", "sweep")
 			f.log.Warn("sweep_failed", "error", err)
--- a/internal/hosted/server.go
+++ b/internal/hosted/server.go
@@ -16,11 +16,11 @@
 	"mulberrylug.example/mulberrylug/internal/metrics"
 )
 
-// server carries callers' requests to their final answers.
+// server handles callers' requests.
 type server struct {
 	wire    Wire
 	pool    *conn.Pool
-	holder  *holder
+	bodies  *bodyBuffers
 	metrics *metrics.Metrics
 	log     hclog.Logger
 	homes   homeLink
@@ -28,17 +28,17 @@
 	// mu serializes access to the gate.
 	mu   sync.Mutex
 	gate *forward.Gate
-	// leaving is set while draining: answers close their connections, so that callers go
-	// elsewhere.
+	// leaving is set while draining: responses close their connections, so that callers connect
+	// to other instances.
 	leaving bool
-	// running holds the requests in progress by id; announced and announcedTo are the time and
-	// the homes of the last announcement.
+	// running holds the requests in progress by id. announcedAt is the time of the last
+	// announcement, announcedTo holds the instance to which it was sent by pool.
 	running     map[string]*exchange
-	announced   time.Time
+	announcedAt time.Time
 	announcedTo map[string]string
 }
 
-// decide runs a function on the gate.
+// decide runs a function on the gate while holding the lock.
 func (s *server) decide(f func(now time.Time, g *forward.Gate)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -48,14 +48,14 @@
 // ServeHTTP implements http.Handler for callers.
 func (s *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	req := s.wire.Request(r)
-	if r.ContentLength < 0 || r.ContentLength > maxHeldBody {
-		// An upstream may answer before it has read a long body; without
-		// this the server would stop reading the rest once it answers.
+	if r.ContentLength < 0 || r.ContentLength > maxBufferedBody {
+		// An upstream may respond before it has read a long body. Without full duplex, the
+		// HTTP server would stop reading the body once the response is being written.
 		if err := http.NewResponseController(w).EnableFullDuplex(); err != nil {
 			s.log.Debug("full_duplex_unavailable", "request", req.ID, "error", err)
 		}
 	}
-	body, ok, err := s.holder.hold(r)
+	body, ok, err := s.bodies.buffer(r)
 	if err != nil {
 		s.log.Info("request_ended", "request", req.ID, "outcome", "body_not_received", "error", err)
 		s.metrics.Count("requests_total", "body_not_received")
@@ -66,11 +66,12 @@
 		return
 	}
 	defer body.release()
-	req.Replayable, req.Length = body.whole(), r.ContentLength
+	req.Replayable, req.Length = body.replayable(), r.ContentLength
 	req.Print ^= xxhash.Sum64(body.data)
 	s.handle(w, r, req, body)
 }
 
+// handle admits a request and carries it to its final response.
 func (s *server) handle(w http.ResponseWriter, r *http.Request, req forward.Request, b *body) {
 	var call *forward.Call
 	var refusal *forward.Refusal
@@ -118,14 +119,15 @@
 	}
 }
 
-// open returns the number of requests in progress.
-func (s *server) open() int {
+// openRequests returns the number of requests in progress.
+func (s *server) openRequests() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.running)
 }
 
-// refuse answers with a refusal and logs its inputs.
+// refuse sends a refusal and logs the state on which it is based; c is nil if the request was not
+// admitted.
 func (s *server) refuse(w http.ResponseWriter, req forward.Request, refusal forward.Refusal, c *forward.Call) {
 	s.metrics.Count("refusals_total", string(refusal.Reason))
 	pairs := []any{
@@ -149,8 +151,8 @@
 	}
 }
 
-// only restricts a handler to one kind of request.
-func only(matches func(*http.Request) bool, answer http.HandlerFunc) http.Handler {
+// restrictTo restricts a handler to matching requests; others get status 404.
+func restrictTo(matches func(*http.Request) bool, answer http.HandlerFunc) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !matches(r) {
 			http.Error(w, "not found", http.StatusNotFound)
--- a/internal/hosted/settings.go
+++ b/internal/hosted/settings.go
@@ -1,7 +1,7 @@
-// Package hosted runs an instance on a hosting platform. It serves opaque requests, follows
-// configuration and upstreams in the platform's store and tells callers which instances to
-// use. Decisions are made by the packages under core; this package holds sockets and timers.
-// The platform's wire is behind the interfaces in ports.go.
+// Package hosted runs an instance on a hosting platform. It serves opaque requests, keeps the
+// configuration and the list of upstreams from the platform's store current, and directs callers
+// to instances. The packages under core make the decisions; this package holds the sockets and
+// timers. The interfaces in ports.go hide the platform's protocol.
 package hosted
 
 import (
@@ -24,8 +24,9 @@
 	CallerAddress    string
 	ReadyAddress     string
 	DirectoryAddress string
-	// PeerPort is the port for other instances, SeedAddress an additional listener named as a
-	// seed ("" for none), Seeds some instances that a starting one asks for members.
+	// PeerPort is the port for other instances. Seeds are addresses of instances that a starting
+	// one asks for members. SeedAddress is an additional listener for those that use this
+	// instance as a seed; "" for none.
 	PeerPort     int
 	SeedAddress  string
 	Seeds        []string
@@ -33,31 +34,31 @@
 	// MetricsPort serves metrics; 0 disables it.
 	MetricsPort int
 	MemoryBytes int64
-	// Class is the number of times that the machine's link in Mbit/s can be halved; 0 if
-	// unknown.
+	// Class is the number of bits of the bandwidth of the machine's link in Mbit/s, that is, how
+	// often it can be halved; 0 if unknown.
 	Class uint8
 	// MaxDescriptors is the limit on open descriptors.
 	MaxDescriptors int
-	// DrainWithin bounds the time until a leaving upstream gets no more work.
+	// DrainWithin is the maximum time until a leaving upstream gets no more work.
 	DrainWithin time.Duration
 	// Grace is the time between the signal to stop and the kill.
 	Grace time.Duration
-	// ApplyWithin bounds the time until a configuration is in force.
+	// ApplyWithin is the maximum time until a new configuration is in force.
 	ApplyWithin time.Duration
 	// StrictRevocation demands that a revoked key works nowhere after RevokeWithin, including
 	// on isolated instances.
 	StrictRevocation bool
 	RevokeWithin     time.Duration
-	// RetryRatio, RetrySlack and RetryWindow bound the retries of all instances together.
+	// RetryRatio, RetrySlack and RetryWindow limit the retries of all instances together.
 	RetryRatio  float64
 	RetrySlack  float64
 	RetryWindow time.Duration
 	// Without lists disabled mechanisms.
 	Without mechanism.Set
-	// Ways selects between alternative ways of deciding.
+	// Ways selects among alternative implementations of mechanisms.
 	Ways mechanism.Ways
-	// MaxEntries is the maximum number of addresses in a directory answer.
+	// MaxEntries is the maximum number of addresses in a directory response.
 	MaxEntries int
-	// MaxEntryTTL is the maximum lifetime of a directory answer.
+	// MaxEntryTTL is the maximum lifetime of a directory response.
 	MaxEntryTTL time.Duration
 }
--- a/internal/hosted/silence.go
+++ b/internal/hosted/silence.go
@@ -8,53 +8,53 @@
 	"mulberrylug.example/mulberrylug/internal/core/msg"
 )
 
-// silenceTick is the interval between checks for silent streams.
-const silenceTick = 100 * time.Millisecond
+// silenceCheckInterval is the interval between checks for silent streams.
+const silenceCheckInterval = 100 * time.Millisecond
 
-// silentRun is an attempt whose stream is silent.
-type silentRun struct {
+// silentAttempt is an attempt whose stream delivers no events.
+type silentAttempt struct {
 	x *exchange
 	a *forward.Attempt
 }
 
-// askAboutSilent asks upstreams about streams that have been silent for long. A middlebox may
-// have lost the connection while it stays open at both ends; a new connection distinguishes
-// that from a slow engine.
-func (s *server) askAboutSilent(ctx context.Context) {
-	due := map[string][]silentRun{}
+// checkSilentStreams requests reports from upstreams whose streams have been silent for too long.
+// A middlebox may have lost the state of a connection that stays open at both ends. A request on
+// a new connection distinguishes that from a slow engine.
+func (s *server) checkSilentStreams(ctx context.Context) {
+	due := map[string][]silentAttempt{}
 	s.decide(func(now time.Time, g *forward.Gate) {
 		for _, x := range s.running {
-			if x.mover == nil && g.QuestionDue(now, x.call) {
+			if x.activeMove == nil && g.QuestionDue(now, x.call) {
 				a := x.call.Current()
-				due[a.Entry.Address] = append(due[a.Entry.Address], silentRun{x: x, a: a})
+				due[a.Entry.Address] = append(due[a.Entry.Address], silentAttempt{x: x, a: a})
 			}
 		}
 	})
 	for address, runs := range due {
-		go s.askAbout(ctx, address, runs)
+		go s.checkUpstream(ctx, address, runs)
 	}
 }
 
-// askAbout asks one upstream about all its silent streams.
-func (s *server) askAbout(ctx context.Context, address string, runs []silentRun) {
+// checkUpstream requests one upstream's report and checks all its silent streams against it.
+func (s *server) checkUpstream(ctx context.Context, address string, runs []silentAttempt) {
 	var asked time.Time
 	s.decide(func(now time.Time, _ *forward.Gate) { asked = now })
 	s.metrics.Count("upstream_questions_total", "silent_stream")
-	report, err := s.report(ctx, address)
+	report, err := s.requestReport(ctx, address)
 	if err != nil {
 		s.log.Info("silent_upstream_unreachable", "address", address, "streams", len(runs), "error", err)
 		return
 	}
 	if report.Events == nil {
-		return // it does not tell what it runs
+		return // the upstream does not report its generations
 	}
 	for _, r := range runs {
-		s.judgeSilent(r, asked, report)
+		s.handleSilent(r, asked, report)
 	}
 }
 
-// judgeSilent acts on an upstream's report of a silent stream.
-func (s *server) judgeSilent(r silentRun, asked time.Time, report Report) {
+// handleSilent compares a silent stream with its upstream's report and acts on the finding.
+func (s *server) handleSilent(r silentAttempt, asked time.Time, report Report) {
 	events, listed := report.Events[r.x.call.ID]
 	var finding forward.Finding
 	var passed int
@@ -67,15 +67,16 @@
 		"listed", listed, "made", events, "passed_on", passed, "waiting_there", report.Waiting)
 	switch finding {
 	case forward.FindingLinkSilent:
-		r.x.rescue(r.a)
+		r.x.resumeElsewhere(r.a)
 	case forward.FindingGone:
-		r.x.hangUp(r.a)
+		r.x.closeConn(r.a)
 	}
 }
 
-// rescue continues a run whose connection has fallen silent elsewhere. It is stopped over a
-// new connection, so that it never runs twice, and resumed from its copy.
-func (x *exchange) rescue(a *forward.Attempt) {
+// resumeElsewhere continues a generation, whose connection has fallen silent, on another
+// upstream. The generation is stopped over a new connection, so that it never runs twice, and
+// resumed from its copy.
+func (x *exchange) resumeElsewhere(a *forward.Attempt) {
 	order := msg.MoveOrder{Pool: x.call.Pool, Attempt: x.call.ID, From: a.Entry.ID}
 	x.server.decide(func(now time.Time, g *forward.Gate) {
 		if u := g.Refuge(now, x.call); u != nil {
@@ -89,9 +90,9 @@
 	if source == nil {
 		return
 	}
-	x.runMove(mv, source, func(mv *mover, source *forward.Attempt) (msg.MoveOutcome, error) {
+	x.runMove(mv, source, func(mv *activeMove, source *forward.Attempt) (msg.MoveOutcome, error) {
 		outcome, err := x.stopAndCopy(mv, source, "")
-		x.hangUp(source) // its end does not arrive either
+		x.closeConn(source) // the end of the stream does not arrive on this connection either
 		return outcome, err
 	})
 }
--- a/internal/hosted/source.go
+++ b/internal/hosted/source.go
@@ -7,16 +7,16 @@
 	"mulberrylug.example/mulberrylug/internal/core/watch"
 )
 
-// setUp records whether the store answers and returns whether that changed.
-func (f *follower) setUp(up bool) bool {
+// setStoreUp records whether the store responds and reports whether that has changed.
+func (f *follower) setStoreUp(up bool) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	changed := f.up != up
-	f.up = up
+	changed := f.storeUp != up
+	f.storeUp = up
 	return changed
 }
 
-// source returns the current update source: the store, or an instance by name.
+// source returns the current update source: watch.Store, or the name of an instance.
 func (f *follower) source() string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -26,20 +26,21 @@
 		f.sourcesAt = now
 	}
 	source := f.watch.Source(now, f.sources.Choice)
-	if source != f.last {
-		f.log.Info("source_changed", "from", sourceName(f.last), "to", sourceName(source), "reads", f.sources.Reads, "relays", f.sources.Relays)
-		f.last = source
+	if source != f.lastSource {
+		f.log.Info("source_changed", "from", sourceName(f.lastSource), "to", sourceName(source), "reads", f.sources.Reads, "relays", f.sources.Relays)
+		f.lastSource = source
 	}
 	return source
 }
 
-// relays reports whether other instances use this one as a source.
-func (f *follower) relays() bool {
+// isSource reports whether other instances use this one as their update source.
+func (f *follower) isSource() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.sources.Relays
 }
 
+// sourceName returns the name of a source in logs and metrics.
 func sourceName(source string) string {
 	if source == watch.Store {
 		return "store"
@@ -47,6 +48,7 @@
 	return source
 }
 
+// sourceFailed records that a source did not respond or that its response was unusable.
 func (f *follower) sourceFailed(source, why string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -54,19 +56,20 @@
 	f.log.Info("source_failed", "source", sourceName(source), "why", why)
 	f.watch.Failed(boottime.Now(), source)
 	if source == watch.Store {
-		go f.peers.heartbeat() // the others must choose another reader soon
+		go f.peers.sendHeartbeats() // the other instances must choose another reader soon
 	}
 }
 
-// reads reports whether the store answered last time or may be asked again.
-func (f *follower) reads() bool {
+// readsStore reports whether the store may be read: the last read has not failed, or the backoff
+// after the failure is over.
+func (f *follower) readsStore() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return !f.watch.Bad(boottime.Now(), watch.Store)
 }
 
-// sourceAnswered records the age of what a source confirms and reports whether it is fresh
-// enough.
+// sourceAnswered records the age of the state that a source confirms and reports whether the
+// state is recent enough.
 func (f *follower) sourceAnswered(source string, age time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
