--- a/internal/hosted/call.go
+++ b/internal/hosted/call.go
@@ -37,7 +37,7 @@
 func (s *server) call(ctx context.Context, address string, call Call) (callResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	c, err := s.pool.Get(ctx, address)
+	c, err := s.conns.Get(ctx, address)
 	if err != nil {
 		return callResponse{}, err
 	}
@@ -63,7 +63,7 @@
 		c.Close()
 		return got, err
 	}
-	s.pool.Put(c, conn.KeepAlive(resp.Header))
+	s.conns.Put(c, conn.KeepAlive(resp.Header))
 	return got, nil
 }
 
--- a/internal/hosted/call_test.go
+++ b/internal/hosted/call_test.go
@@ -36,7 +36,7 @@
 			}
 			requests++
 		}))
-		s := &server{wire: fakeWire{}, pool: conn.NewPool()}
+		s := &server{wire: fakeWire{}, conns: conn.NewPool()}
 		r, err := s.probeLeaving(t.Context(), strings.TrimPrefix(upstream.URL, "http://"))
 		if err != nil || r.Leaving != c.leaving || requests != len(c.closes) {
 			t.Errorf("upstream that %s: Leaving = %v after %d requests, error %v; want Leaving only after two closed connections in a row", c.name, r.Leaving, requests, err)
--- a/internal/hosted/drain.go
+++ b/internal/hosted/drain.go
@@ -25,7 +25,7 @@
 	for {
 		time.Sleep(50 * time.Millisecond)
 		since := time.Since(began)
-		lingered := since > lingerTTLs*entryTTL+time.Second
+		lingered := since > lingerTTLs*directoryTTL+time.Second
 		if lingered && i.server.openRequests() == 0 || since > i.current().Grace-drainMargin {
 			close(i.drained)
 			return
--- a/internal/hosted/endpoints.go
+++ b/internal/hosted/endpoints.go
@@ -26,6 +26,7 @@
 	handler http.Handler
 }
 
+// listeners returns the HTTP listeners of the instance.
 func (i *Instance) listeners() []listener {
 	out := []listener{
 		{callersListener, i.settings.CallerAddress, i.server},
@@ -75,7 +76,7 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	if err := i.wire.Addresses(w, addresses, entryTTL); err != nil {
+	if err := i.wire.Addresses(w, addresses, directoryTTL); err != nil {
 		i.log.Debug("directory_answer_lost", "error", err)
 	}
 }
--- a/internal/hosted/exchange.go
+++ b/internal/hosted/exchange.go
@@ -18,11 +18,12 @@
 
 // exchange carries one request through its attempts to its final response.
 type exchange struct {
-	server  *server
-	w       http.ResponseWriter
-	r       *http.Request
-	body    *body
-	call    *forward.Call
+	server *server
+	w      http.ResponseWriter
+	r      *http.Request
+	body   *body
+	call   *forward.Call
+	// ctx ends when the caller disconnects or the deadline passes.
 	ctx     context.Context
 	started time.Time
 	// firstByte is the time from the start until the head of the response is forwarded; 0 before.
@@ -116,7 +117,7 @@
 // sendAttempt sends the request to one upstream and forwards the response.
 func (x *exchange) sendAttempt(a *forward.Attempt) forward.Outcome {
 	s := x.server
-	c, err := s.pool.Get(x.ctx, a.Entry.Address)
+	c, err := s.conns.Get(x.ctx, a.Entry.Address)
 	if err != nil {
 		x.lastErr = err
 		if x.ctx.Err() != nil {
@@ -183,7 +184,7 @@
 	}
 	if err == nil && c.Clean(resp) && !ans.Leaving {
 		pooled = true
-		x.server.pool.Put(c, conn.KeepAlive(resp.Header))
+		x.server.conns.Put(c, conn.KeepAlive(resp.Header))
 	}
 	return outcome, err
 }
--- a/internal/hosted/follow.go
+++ b/internal/hosted/follow.go
@@ -20,7 +20,8 @@
 
 const (
 	// configInterval is the maximum interval between reads of the configuration, and so the
-	// maximum delay until a reader receives a new one. Operators are promised two seconds.
+	// maximum delay until a new configuration is in force at the instance that reads it.
+	// Operators are promised two seconds.
 	configInterval = 600 * time.Millisecond
 	// readsPerValidity is the number of reads of the configuration within the time for which
 	// keys are accepted after a confirmation. For the instances that poll the reader, a hold of
@@ -30,8 +31,8 @@
 	// listPollTimeout limits a long poll for changes of the list, because its connection may
 	// stop delivering data: leaving upstreams must get no work after two seconds.
 	listPollTimeout = time.Second
-	// listInterval is the minimum interval between polls of the list.
-	listInterval = 100 * time.Millisecond
+	// minListInterval is the minimum interval between polls of the list.
+	minListInterval = 100 * time.Millisecond
 	// staleBackoff is the delay after a response that confirms too old a state. It keeps
 	// hundreds of instances that poll each other from overloading their machines, and is short
 	// compared with the validity of keys.
@@ -41,14 +42,14 @@
 	// sourcesInterval is the interval at which the candidate sources are recomputed. A source
 	// that does not respond is skipped immediately, before the next computation.
 	sourcesInterval = 200 * time.Millisecond
-	// listPerEntry extends listInterval for each entry of the list, because every entry is
+	// listPerEntry extends minListInterval for each entry of the list, because every entry is
 	// renewed, and thereby changes, about once a second.
 	listPerEntry = 200 * time.Microsecond
 	// maxChangeLogLines is the maximum number of log lines about upstreams that joined, and of
 	// those about upstreams that left, per response.
 	maxChangeLogLines = 16
-	// sourceCheckInterval is the interval at which a task that does not serve the current update
-	// source checks whether the source has changed.
+	// sourceCheckInterval is the interval at which a task that reads the store, or one that polls
+	// instances, checks whether it has become the one for the current update source.
 	sourceCheckInterval = 100 * time.Millisecond
 )
 
@@ -229,7 +230,7 @@
 // listInterval returns the minimum interval between polls of the list.
 func (f *follower) listInterval() (d time.Duration) {
 	f.server.decide(func(_ time.Time, g *forward.Gate) {
-		d = listInterval + time.Duration(g.Roster().Len())*listPerEntry
+		d = minListInterval + time.Duration(g.Roster().Len())*listPerEntry
 	})
 	return d
 }
--- a/internal/hosted/gaps.go
+++ b/internal/hosted/gaps.go
@@ -15,6 +15,7 @@
 // gaps measures the intervals between the events of a stream when they are forwarded. The caller
 // observes the same intervals, plus the delays of its own network link.
 type gaps struct {
+	// last is the time of the last event, longest the longest interval so far.
 	last    time.Time
 	longest time.Duration
 	// recent holds the latest intervals of the current attempt; count is the number of all its
--- a/internal/hosted/gaps_test.go
+++ b/internal/hosted/gaps_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// The intervals between events must be measured from the first event on, as there is no interval
-// before it, and the longest interval must be kept.
+// Guards the measured intervals: none before the first event of a stream, the time since the
+// previous event for all others, and the longest of them.
 func TestGapsBetweenEvents(t *testing.T) {
 	var g gaps
 	at := time.Unix(1000, 0)
--- a/internal/hosted/home.go
+++ b/internal/hosted/home.go
@@ -26,8 +26,10 @@
 	server  *server
 	metrics *metrics.Metrics
 	log     hclog.Logger
-	self    string
-	send    func(to string, m msg.Message)
+	// self is this instance's name.
+	self string
+	// send sends a message to another instance.
+	send func(to string, m msg.Message)
 	// dataCentreOf returns an instance's data centre, or "" if it is unknown.
 	dataCentreOf func(instance string) string
 	// onBegin is called when a home was created.
--- a/internal/hosted/instance.go
+++ b/internal/hosted/instance.go
@@ -46,13 +46,13 @@
 	// the time for which configurations allow a connection to be reused, so that no request is
 	// sent on a connection that is being closed.
 	idleTimeout = 3 * time.Minute
-	// sweepInterval is the interval between checks of idle upstream connections, tickInterval
-	// that between checks for due heartbeats and expired entries.
-	sweepInterval = time.Second
-	tickInterval  = 100 * time.Millisecond
-	// entryTTL is the lifetime of a directory response. Callers lose up to that time on a dead
+	// idleCheckInterval is the interval between checks of idle upstream connections, tickInterval
+	// that between checks for due heartbeats and expired entries of the list.
+	idleCheckInterval = time.Second
+	tickInterval      = 100 * time.Millisecond
+	// directoryTTL is the lifetime of a directory response. Callers lose up to that time on a dead
 	// instance.
-	entryTTL = time.Second
+	directoryTTL = time.Second
 	// drainMargin is the part of the grace period that is left for sending the last bytes.
 	drainMargin = 500 * time.Millisecond
 	// lingerTTLs is the number of directory lifetimes for which a leaving instance accepts
@@ -86,7 +86,7 @@
 	gate := forward.New(o)
 	conns.Dialled = func() { m.Count("upstream_connections_total", "dialled") }
 	srv := &server{
-		wire: wire, pool: conns, bodies: newBodyBuffers(s.MemoryBytes), metrics: m, log: log,
+		wire: wire, conns: conns, bodies: newBodyBuffers(s.MemoryBytes), metrics: m, log: log,
 		gate: gate, running: map[string]*exchange{},
 	}
 	m.Set("cordons", srv.cordonMetric())
@@ -100,7 +100,7 @@
 		fleet: fleet.New(boottime.Now(), i.ownHeartbeat(), s.Regions, s.Without),
 	}
 	i.relay = &relay{
-		server: srv, send: i.peers.sendTo, hold: min(watch.PeerHold, readIntervalFor(keys)),
+		server: srv, send: i.peers.sendTo, maxHold: min(watch.PeerHold, readIntervalFor(keys)),
 		mayBeSource: func() bool { return !i.peers.hasJoined() || i.follower.isSource() }, held: map[string]heldPoll{},
 	}
 	i.follower = &follower{
@@ -269,9 +269,9 @@
 	return nil
 }
 
-// countInstances updates the gate's list of instances, the number of instances that share the
-// retry budget and the load on cold upstreams, and whether another instance is ready.
-func (i *Instance) countInstances() {
+// updateInstances passes to the gate the live instances, the number of instances that share the
+// retry budget and the load on cold upstreams, and whether no other instance is ready.
+func (i *Instance) updateInstances() {
 	n, alone := 1, false
 	var peers []forward.Peer
 	i.peers.with(func(_ time.Time, v *fleet.Fleet) {
@@ -314,11 +314,11 @@
 		task.Every("homes", syncInterval, func(context.Context) { i.homes.sync() }),
 		task.Every("announcements", announceCheckInterval, func(context.Context) { i.server.sendDueAnnouncements() }),
 		task.Every("silent streams", silenceCheckInterval, i.server.checkSilentStreams),
-		task.Every("idle connections", sweepInterval, func(context.Context) { i.server.pool.Sweep() }),
+		task.Every("idle connections", idleCheckInterval, func(context.Context) { i.server.conns.Sweep() }),
 		task.Every("ticks", tickInterval, func(context.Context) {
 			i.follower.tick()
 			i.relay.tick()
-			i.countInstances()
+			i.updateInstances()
 		}),
 	}
 }
--- a/internal/hosted/move.go
+++ b/internal/hosted/move.go
@@ -30,7 +30,7 @@
 	reply := func(o msg.MoveOutcome) {
 		s.homes.send(from, msg.Moved{Pool: m.Pool, Attempt: m.Attempt, Number: m.Number, Outcome: o})
 	}
-	x := s.find(requestOf(m.Attempt))
+	x := s.findExchange(requestOf(m.Attempt))
 	if x == nil {
 		reply(msg.MoveEnded)
 		return
@@ -75,7 +75,7 @@
 // the response to the first copy even if the generation ends meanwhile: only this response names
 // the copy, which must be freed.
 func (x *exchange) copyThenStop(mv *activeMove, source *forward.Attempt) (msg.MoveOutcome, error) {
-	first, err := x.server.copyRun(context.WithoutCancel(x.ctx), source.Entry.Address, x.call.ID, mv.order.ToAddress, false)
+	first, err := x.server.copyGeneration(context.WithoutCancel(x.ctx), source.Entry.Address, x.call.ID, mv.order.ToAddress, false)
 	if x.ctx.Err() != nil && err == nil {
 		x.server.dropCopy(source.Entry.Address, first.Handle)
 		return msg.MoveEnded, x.ctx.Err()
@@ -105,7 +105,7 @@
 	s := x.server
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(x.ctx), finalCopyTimeout)
 	defer cancel()
-	last, err := s.copyRun(ctx, source.Entry.Address, x.call.ID, mv.order.ToAddress, true)
+	last, err := s.copyGeneration(ctx, source.Entry.Address, x.call.ID, mv.order.ToAddress, true)
 	handle := cmp.Or(last.Handle, earlier)
 	if x.ctx.Err() != nil {
 		s.dropCopy(source.Entry.Address, handle)
@@ -131,13 +131,13 @@
 		if to == nil {
 			to = &roster.Upstream{Entry: roster.Entry{ID: mv.order.To, Address: mv.order.ToAddress, DataCentre: mv.order.ToDataCentre, Service: x.call.Service}}
 		}
-		at := s.wire.CopyAt(source.Entry.Address, handle)
-		back := &forward.Attempt{Upstream: source.Upstream, CopyAt: at}
+		copyAt := s.wire.CopyAt(source.Entry.Address, handle)
+		fallback := &forward.Attempt{Upstream: source.Upstream, CopyAt: copyAt}
 		if o == msg.MoveNoRoom {
-			g.Redirect(x.call, source.Upstream, at, nil)
+			g.Redirect(x.call, source.Upstream, copyAt, nil)
 			return
 		}
-		g.Redirect(x.call, to, at, back)
+		g.Redirect(x.call, to, copyAt, fallback)
 	})
 }
 
@@ -152,9 +152,9 @@
 	}
 }
 
-// copyRun copies a generation's memory once; with last, the generation is stopped first.
-func (s *server) copyRun(ctx context.Context, source, id, to string, last bool) (Copy, error) {
-	call, err := s.wire.Move(id, to, last)
+// copyGeneration copies a generation's memory once; with final, the generation is stopped first.
+func (s *server) copyGeneration(ctx context.Context, source, id, to string, final bool) (Copy, error) {
+	call, err := s.wire.Move(id, to, final)
 	if err != nil {
 		return Copy{Outcome: msg.MoveFailed}, err
 	}
--- a/internal/hosted/place.go
+++ b/internal/hosted/place.go
@@ -167,7 +167,7 @@
 
 // onGrantAnswer passes a home's response to the waiting request.
 func (s *server) onGrantAnswer(m msg.GrantAnswer) {
-	x := s.find(requestOf(m.Decision.Attempt))
+	x := s.findExchange(requestOf(m.Decision.Attempt))
 	if x == nil {
 		return // the request has ended, and the home was notified of that
 	}
@@ -185,8 +185,8 @@
 	return attempt
 }
 
-// find returns the request in progress with an id, or nil.
-func (s *server) find(id string) *exchange {
+// findExchange returns the request in progress with an id, or nil.
+func (s *server) findExchange(id string) *exchange {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.running[id]
--- a/internal/hosted/ports.go
+++ b/internal/hosted/ports.go
@@ -115,11 +115,11 @@
 	// Passed copies the headers of a response that are meant for the caller. The signature is
 	// copied only if signed is set, which it never is for a status that is not the upstream's.
 	Passed(to, from http.Header, signed bool)
-	// Move returns the call that copies a generation's memory to another upstream; with last,
+	// Move returns the call that copies a generation's memory to another upstream; with final,
 	// the generation is stopped first. Moved decodes the response, DropCopy returns the call
 	// that frees a copy, and CopyAt returns the value that names a copy to the upstream that
 	// continues from it.
-	Move(id, to string, last bool) (Call, error)
+	Move(id, to string, final bool) (Call, error)
 	Moved(status int, body []byte) Copy
 	DropCopy(handle string) Call
 	CopyAt(address, handle string) string
--- a/internal/hosted/relay.go
+++ b/internal/hosted/relay.go
@@ -21,13 +21,13 @@
 type relay struct {
 	server *server
 	send   func(to string, m msg.Message)
-	// hold is the maximum time for which a poll is held while there is no update.
-	hold time.Duration
+	// maxHold is the maximum time for which a poll is held while there is no update.
+	maxHold time.Duration
 	// mayBeSource reports whether other instances use this one as a source, or whether that is
 	// unknown because the members are not known yet.
 	mayBeSource func() bool
 
-	// mu guards the held polls, which are by requester.
+	// mu guards held, which holds the waiting poll of each requester by name.
 	mu   sync.Mutex
 	held map[string]heldPoll
 	// config is the configuration in force. Guarded by the server's lock.
@@ -54,7 +54,7 @@
 	return s.packed, s.err
 }
 
-// heldPoll is a poll that is answered once there is an update, or at a time at the latest.
+// heldPoll is a poll that is answered as soon as there is an update, and at until otherwise.
 type heldPoll struct {
 	ask   msg.SyncAsk
 	until time.Time
@@ -73,7 +73,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	hold := r.hold
+	hold := r.maxHold
 	if m.Hold > 0 {
 		hold = min(hold, m.Hold)
 	}
@@ -119,7 +119,7 @@
 		}
 		if version := g.Table().Version; version > m.Config {
 			if r.config == nil || r.config.config.Version != version {
-				return // just adopted, without a transfer form yet: the reply must not confirm the requester's version
+				return // just adopted, and r.config is not set yet: the reply must not confirm the requester's version
 			}
 			newer, updated = r.config, true
 		}
--- a/internal/hosted/relay_test.go
+++ b/internal/hosted/relay_test.go
@@ -14,27 +14,27 @@
 	"mulberrylug.example/mulberrylug/internal/core/route"
 )
 
-// newTestRelay returns a relay with a configuration of the given version in force, but without a
-// transfer form of it.
+// newTestRelay returns a relay with a configuration of the given version in force, which cannot
+// be sent to other instances before relay.config is set.
 func newTestRelay(inForce int64) *relay {
 	g := forward.New(forward.Options{Name: "entry-1", DataCentre: "dc-a"})
 	g.Adopt(route.NewTable(route.Config{Version: inForce}))
 	g.SetCordons(boottime.Now(), cordon.NewSet(1, nil))
 	g.Confirm(boottime.Now())
 	return &relay{
-		server: &server{gate: g, log: hclog.NewNullLogger()}, hold: time.Second,
+		server: &server{gate: g, log: hclog.NewNullLogger()}, maxHold: time.Second,
 		mayBeSource: func() bool { return true }, held: map[string]heldPoll{},
 	}
 }
 
-// A new configuration is in force shortly before its transfer form is available. A reply at that
-// time must not confirm the older version that the requester has.
-func TestAReplyBeforeTheTransferFormIsAvailableConfirmsNothing(t *testing.T) {
+// A new configuration is in force shortly before it can be sent to other instances. A reply at
+// that time must not confirm the older version that the requester has.
+func TestAReplyBeforeANewConfigurationCanBeSentConfirmsNothing(t *testing.T) {
 	r := newTestRelay(4)
 	for name, c := range map[string]*sharedConfig{"none": nil, "older": {config: &route.Config{Version: 3}}} {
 		r.config = c
 		if a, _ := r.reply(msg.SyncAsk{Number: 1, Config: 3}); a.ConfigAge >= 0 || a.Config != nil {
-			t.Errorf("transfer form %s: reply %+v, want neither a confirmation nor a configuration", name, a)
+			t.Errorf("configuration to send: %s: reply = %+v, want neither a confirmation nor a configuration", name, a)
 		}
 	}
 	r.config = &sharedConfig{config: &route.Config{Version: 4}}
--- a/internal/hosted/rows.go
+++ b/internal/hosted/rows.go
@@ -40,7 +40,8 @@
 
 // rowSchedule schedules reads of the instances' rows and writes of this instance's own row.
 type rowSchedule struct {
-	// lastRead is the time of the last access, alone the time since which no peer was heard.
+	// lastRead is the time of the last access, aloneSince the time since which no peer is alive;
+	// zero for none.
 	lastRead   time.Time
 	aloneSince time.Time
 	// aloneTimeout is the time without live peers after which the rows are read.
--- a/internal/hosted/server.go
+++ b/internal/hosted/server.go
@@ -19,7 +19,7 @@
 // server handles callers' requests.
 type server struct {
 	wire    Wire
-	pool    *conn.Pool
+	conns   *conn.Pool
 	bodies  *bodyBuffers
 	metrics *metrics.Metrics
 	log     hclog.Logger
@@ -152,12 +152,12 @@
 }
 
 // restrictTo restricts a handler to matching requests; others get status 404.
-func restrictTo(matches func(*http.Request) bool, answer http.HandlerFunc) http.Handler {
+func restrictTo(matches func(*http.Request) bool, handler http.HandlerFunc) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if !matches(r) {
 			http.Error(w, "not found", http.StatusNotFound)
 			return
 		}
-		answer(w, r)
+		handler(w, r)
 	})
 }
--- a/internal/hosted/silence.go
+++ b/internal/hosted/silence.go
@@ -13,8 +13,8 @@
 
 // silentAttempt is an attempt whose stream delivers no events.
 type silentAttempt struct {
-	x *exchange
-	a *forward.Attempt
+	exchange *exchange
+	attempt  *forward.Attempt
 }
 
 // checkSilentStreams requests reports from upstreams whose streams have been silent for too long.
@@ -26,50 +26,50 @@
 		for _, x := range s.running {
 			if x.activeMove == nil && g.QuestionDue(now, x.call) {
 				a := x.call.Current()
-				due[a.Entry.Address] = append(due[a.Entry.Address], silentAttempt{x: x, a: a})
+				due[a.Entry.Address] = append(due[a.Entry.Address], silentAttempt{exchange: x, attempt: a})
 			}
 		}
 	})
-	for address, runs := range due {
-		go s.checkUpstream(ctx, address, runs)
+	for address, silent := range due {
+		go s.checkUpstream(ctx, address, silent)
 	}
 }
 
 // checkUpstream requests one upstream's report and checks all its silent streams against it.
-func (s *server) checkUpstream(ctx context.Context, address string, runs []silentAttempt) {
+func (s *server) checkUpstream(ctx context.Context, address string, silent []silentAttempt) {
 	var asked time.Time
 	s.decide(func(now time.Time, _ *forward.Gate) { asked = now })
 	s.metrics.Count("upstream_questions_total", "silent_stream")
 	report, err := s.requestReport(ctx, address)
 	if err != nil {
-		s.log.Info("silent_upstream_unreachable", "address", address, "streams", len(runs), "error", err)
+		s.log.Info("silent_upstream_unreachable", "address", address, "streams", len(silent), "error", err)
 		return
 	}
 	if report.Events == nil {
 		return // the upstream does not report its generations
 	}
-	for _, r := range runs {
+	for _, r := range silent {
 		s.handleSilent(r, asked, report)
 	}
 }
 
 // handleSilent compares a silent stream with its upstream's report and acts on the finding.
 func (s *server) handleSilent(r silentAttempt, asked time.Time, report Report) {
-	events, listed := report.Events[r.x.call.ID]
+	events, listed := report.Events[r.exchange.call.ID]
 	var finding forward.Finding
-	var passed int
+	var forwarded int
 	s.decide(func(_ time.Time, g *forward.Gate) {
-		passed = r.x.call.Events
-		finding = g.Judge(r.x.call, r.a, asked, forward.RunReport{Listed: listed, Events: events, Waiting: report.Waiting})
+		forwarded = r.exchange.call.Events
+		finding = g.Judge(r.exchange.call, r.attempt, asked, forward.RunReport{Listed: listed, Events: events, Waiting: report.Waiting})
 	})
 	s.metrics.Count("silent_streams_total", string(finding))
-	s.log.Info("stream_silent", "request", r.x.call.ID, "upstream", r.a.Entry.ID, "finding", finding,
-		"listed", listed, "made", events, "passed_on", passed, "waiting_there", report.Waiting)
+	s.log.Info("stream_silent", "request", r.exchange.call.ID, "upstream", r.attempt.Entry.ID, "finding", finding,
+		"listed", listed, "made", events, "passed_on", forwarded, "waiting_there", report.Waiting)
 	switch finding {
 	case forward.FindingLinkSilent:
-		r.x.resumeElsewhere(r.a)
+		r.exchange.resumeElsewhere(r.attempt)
 	case forward.FindingGone:
-		r.x.closeConn(r.a)
+		r.exchange.closeConn(r.attempt)
 	}
 }
 
