--- a/internal/hosted/cordon.go
+++ b/internal/hosted/cordon.go
@@ -58,12 +58,12 @@
 }
 
 // logCordons logs which data centres are cordoned and which cordons were lifted.
-func (f *follower) logCordons(before, now cordon.Set, asked time.Time, source string) {
+func (f *follower) logCordons(before, now cordon.Set, asOf time.Time, source string) {
 	if !before.Known() && now.Empty() {
 		return
 	}
 	f.log.Info("cordons_changed", "cordoned", strings.Join(now.DataCentres, ","), "lifted", strings.Join(before.Lifted(now), ","),
-		"version", now.Version, "source", source, "age", boottime.Now().Sub(asked).Round(time.Millisecond))
+		"version", now.Version, "source", source, "age", boottime.Now().Sub(asOf).Round(time.Millisecond))
 	for _, dc := range now.DataCentres {
 		if _, known := f.regions[dc]; !known && !slices.Contains(before.DataCentres, dc) {
 			f.log.Warn("cordon_of_unknown_data_centre", "data_centre", dc, "version", now.Version)
--- a/internal/hosted/endpoints.go
+++ b/internal/hosted/endpoints.go
@@ -62,16 +62,16 @@
 // instance serves every route, so that the response depends only on the caller's location and
 // on the regions allowed for the host that it asks for.
 func (i *Instance) handleDirectory(w http.ResponseWriter, req *http.Request) {
-	near, host := i.wire.Caller(req)
+	location, host := i.wire.Caller(req)
 	i.server.decide(func(_ time.Time, g *forward.Gate) {
 		if g.Table() != nil {
-			near.Regions = g.Table().RegionsOf(host)
+			location.Regions = g.Table().RegionsOf(host)
 		}
 	})
 	if !i.settings.Ways.Has(mechanism.DirectoryMixed) {
-		near.Caller = ""
+		location.Caller = ""
 	}
-	addresses := i.addresses(near)
+	addresses := i.addresses(location)
 	if len(addresses) == 0 {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -82,12 +82,12 @@
 }
 
 // addresses returns the addresses in the directory response for a location.
-func (i *Instance) addresses(near fleet.Place) []string {
+func (i *Instance) addresses(location fleet.Place) []string {
 	var out []string
 	ready, leaving, reads := i.state()
 	i.peers.with(func(now time.Time, v *fleet.Fleet) {
 		v.SetSelf(now, ready, leaving, reads)
-		out = v.Addresses(near, i.settings.MaxEntries)
+		out = v.Addresses(location, i.settings.MaxEntries)
 	})
 	return out
 }
--- a/internal/hosted/exchange.go
+++ b/internal/hosted/exchange.go
@@ -58,7 +58,7 @@
 	step := x.decideStep(func(now time.Time, g *forward.Gate) forward.Step { return g.Start(now, x.call) })
 	for step.Send != nil || step.AskHome {
 		if step.AskHome {
-			step = x.askHome()
+			step = x.requestGrant()
 			continue
 		}
 		step = x.tryUpstream(step.Send)
--- a/internal/hosted/fleet.go
+++ b/internal/hosted/fleet.go
@@ -43,11 +43,11 @@
 	joinDone chan struct{}
 	joinOnce sync.Once
 
-	// mu guards fleet, which is the view, and sentAt, which holds the time of the last regular
-	// heartbeats to each data centre.
-	mu     sync.Mutex
-	fleet  *fleet.Fleet
-	sentAt map[string]time.Time
+	// mu guards fleet, which is the view of the instances, and heartbeatsSentAt, which holds the
+	// time of the last regular heartbeats to each data centre.
+	mu               sync.Mutex
+	fleet            *fleet.Fleet
+	heartbeatsSentAt map[string]time.Time
 }
 
 // with runs a function on the view while holding the lock.
@@ -70,11 +70,11 @@
 		for _, m := range v.Others() {
 			dc := m.DataCentre
 			interval := v.HeartbeatInterval(dc)
-			if due[dc] || interval == 0 || now.Sub(f.sentAt[dc]) < interval {
+			if due[dc] || interval == 0 || now.Sub(f.heartbeatsSentAt[dc]) < interval {
 				continue
 			}
 			due[dc] = true
-			f.sentAt[dc] = now
+			f.heartbeatsSentAt[dc] = now
 		}
 	})
 	if len(due) > 0 {
@@ -171,26 +171,26 @@
 	for _, delay := range redialDelays {
 		time.Sleep(delay)
 		var address string
-		var tried time.Time
+		var triedAt time.Time
 		f.with(func(now time.Time, v *fleet.Fleet) {
 			if m := v.Find(name); m != nil && v.Hears(now, name) {
-				address, tried = m.PeerAddress, now
+				address, triedAt = m.PeerAddress, now
 			}
 		})
 		if address == "" {
 			return // the instance is already known to be dead, or was removed
 		}
 		if conn.Probe(address, redialTimeout) == conn.Refuses {
-			f.markDead(tried, name)
+			f.markDead(triedAt, name)
 			return
 		}
 	}
 }
 
-// markDead marks an instance as dead that refused a connection at the time tried.
-func (f *peers) markDead(tried time.Time, name string) {
+// markDead marks an instance as dead that refused a connection at triedAt.
+func (f *peers) markDead(triedAt time.Time, name string) {
 	changed := false
-	f.with(func(now time.Time, v *fleet.Fleet) { changed = v.Gone(now, tried, name) })
+	f.with(func(now time.Time, v *fleet.Fleet) { changed = v.Gone(now, triedAt, name) })
 	if changed {
 		f.log.Info("dependency_lost", "dependency", "instance", "peer", name, "why", "refuses_connections")
 		f.onPeerLost()
--- a/internal/hosted/fleet_test.go
+++ b/internal/hosted/fleet_test.go
@@ -45,7 +45,7 @@
 	self := testRow("self").Heartbeat
 	return &peers{
 		store: store, transport: transport, metrics: metrics.NewMetrics(), log: hclog.NewNullLogger(), onPeerLost: func() {},
-		state: func() (bool, bool, bool) { return true, false, true }, fleet: fleet.New(boottime.Now(), self, nil, 0), sentAt: map[string]time.Time{}, joinDone: make(chan struct{}), joinReplies: make(chan msg.JoinAnswer, 1),
+		state: func() (bool, bool, bool) { return true, false, true }, fleet: fleet.New(boottime.Now(), self, nil, 0), heartbeatsSentAt: map[string]time.Time{}, joinDone: make(chan struct{}), joinReplies: make(chan msg.JoinAnswer, 1),
 	}
 }
 
--- a/internal/hosted/follow.go
+++ b/internal/hosted/follow.go
@@ -108,7 +108,7 @@
 // keys are still valid.
 func (f *follower) followConfig(ctx context.Context) error {
 	return f.whileStoreIsSource(ctx, func() {
-		asked := boottime.Now()
+		sentAt := boottime.Now()
 		read, err := f.store.Config(ctx)
 		if err != nil {
 			f.sourceFailed(watch.Store, err.Error())
@@ -116,7 +116,7 @@
 			sleep(ctx, retryBackoff)
 			return
 		}
-		f.applyConfig(asked, read)
+		f.applyConfig(sentAt, read)
 		sleep(ctx, f.readInterval)
 	})
 }
@@ -135,19 +135,19 @@
 	return ctx.Err()
 }
 
-// applyConfig applies a response of the store to a read sent at asked. It ignores a response
-// older than the known configuration or cordons.
-func (f *follower) applyConfig(asked time.Time, read ConfigRead) {
-	var cordonsAt int64
-	f.server.decide(func(_ time.Time, g *forward.Gate) { cordonsAt = g.Cordons().Version })
-	if read.Version < max(f.configVersion, cordonsAt) {
+// applyConfig applies a response of the store; sentAt is the time at which the read was sent. It
+// ignores a response older than the known configuration or cordons.
+func (f *follower) applyConfig(sentAt time.Time, read ConfigRead) {
+	var cordonsVersion int64
+	f.server.decide(func(_ time.Time, g *forward.Gate) { cordonsVersion = g.Cordons().Version })
+	if read.Version < max(f.configVersion, cordonsVersion) {
 		f.metrics.Count("stale_answers_total", "configuration")
-		f.log.Warn("configuration_answer_stale", "version", read.Version, "known", max(f.configVersion, cordonsAt))
+		f.log.Warn("configuration_answer_stale", "version", read.Version, "known", max(f.configVersion, cordonsVersion))
 		return
 	}
 	f.configVersion = read.Version
 	f.sourceAnswered(watch.Store, 0)
-	f.adopt(asked, update{config: read.Config, cordons: f.changedCordons(read)}, "store")
+	f.adopt(sentAt, update{config: read.Config, cordons: f.changedCordons(read)}, "store")
 }
 
 // update is a set of changes from a source; nil fields are unchanged.
@@ -159,10 +159,9 @@
 	cordons *cordon.Set
 }
 
-// adopt applies an update and confirms the current state as of the time at which the update was
-// requested. Configuration and cordons change in one step, so that no request is admitted under
-// one without the other.
-func (f *follower) adopt(asked time.Time, u update, source string) {
+// adopt applies an update and confirms the current state as of the given time. Configuration and
+// cordons change in one step, so that no request is admitted under one without the other.
+func (f *follower) adopt(asOf time.Time, u update, source string) {
 	adopted, cordoned := false, false
 	c := u.config
 	var version int64
@@ -179,11 +178,11 @@
 		if g.Table() == nil || c != nil && c.Version < g.Table().Version {
 			return
 		}
-		g.Confirm(asked)
+		g.Confirm(asOf)
 		version = g.Table().Version
 	})
 	if cordoned {
-		f.logCordons(before, cordons, asked, source)
+		f.logCordons(before, cordons, asOf, source)
 	}
 	if adopted {
 		f.metrics.Count("configurations_total", "adopted")
@@ -238,7 +237,7 @@
 // readList reads the full list, or its changes. A failed read of changes does not mean that the
 // store is down; the full list is read next.
 func (f *follower) readList(ctx context.Context, full bool) error {
-	asked := boottime.Now()
+	sentAt := boottime.Now()
 	var read ListRead
 	var err error
 	if full {
@@ -249,13 +248,13 @@
 	if err != nil {
 		return err
 	}
-	f.applyList(asked, read, full)
+	f.applyList(sentAt, read, full)
 	return nil
 }
 
-// applyList applies a response of the store to a read sent at asked; full is set if the response
-// holds the full list.
-func (f *follower) applyList(asked time.Time, read ListRead, full bool) {
+// applyList applies a response of the store; sentAt is the time at which the read was sent, and
+// full is set if the response holds the full list.
+func (f *follower) applyList(sentAt time.Time, read ListRead, full bool) {
 	for _, err := range read.Unreadable {
 		f.metrics.Count("list_entries_total", "unreadable")
 		f.log.Warn("upstream_entry_unreadable", "version", read.Version, "error", err)
@@ -264,7 +263,7 @@
 	f.changeRoster("list", func(now time.Time, g *forward.Gate) (left []*roster.Upstream) {
 		r := g.Roster()
 		r.StoreUp(now)
-		r.Confirm(asked)
+		r.Confirm(sentAt)
 		switch {
 		case full:
 			left, _ = r.Replace(now, read.Changes, read.Version)
--- a/internal/hosted/home.go
+++ b/internal/hosted/home.go
@@ -32,7 +32,7 @@
 	send func(to string, m msg.Message)
 	// dataCentreOf returns an instance's data centre, or "" if it is unknown.
 	dataCentreOf func(instance string) string
-	// onBegin is called when a home was created.
+	// onBegin is called after a home was created.
 	onBegin func()
 	// without lists disabled mechanisms.
 	without mechanism.Set
@@ -57,7 +57,7 @@
 // withHome runs a function on a pool's home, which it creates if needed.
 func (h *homes) withHome(name string, f func(now time.Time, p *pool.Home)) {
 	now := boottime.Now()
-	l := h.view(name)
+	l := h.viewOf(name)
 	if l.service == nil || l.service.Engine == nil {
 		return // the service is not known here yet; the entry chooses an upstream itself
 	}
@@ -119,8 +119,8 @@
 	inLayout bool
 }
 
-// view returns the state of a pool as known to this instance.
-func (h *homes) view(name string) (l poolView) {
+// viewOf returns the state of a pool as known to this instance.
+func (h *homes) viewOf(name string) (l poolView) {
 	group := roster.ParseGroup(name)
 	h.server.decide(func(_ time.Time, g *forward.Gate) {
 		if g.Table() == nil {
@@ -184,7 +184,7 @@
 // sync passes the current list to every home.
 func (h *homes) sync() {
 	for _, name := range h.poolNames() {
-		l := h.view(name)
+		l := h.viewOf(name)
 		h.mu.Lock()
 		p := h.pools[name]
 		if p == nil {
--- a/internal/hosted/instance.go
+++ b/internal/hosted/instance.go
@@ -95,7 +95,7 @@
 		drained: make(chan struct{}),
 	}
 	i.peers = &peers{
-		store: store, metrics: m, log: log, state: i.state, onPeerLost: srv.announce, sentAt: map[string]time.Time{},
+		store: store, metrics: m, log: log, state: i.state, onPeerLost: srv.announce, heartbeatsSentAt: map[string]time.Time{},
 		seeds: s.Seeds, seedAddress: s.SeedAddress, joinReplies: make(chan msg.JoinAnswer, 16), joinDone: make(chan struct{}),
 		fleet: fleet.New(boottime.Now(), i.ownHeartbeat(), s.Regions, s.Without),
 	}
--- a/internal/hosted/join.go
+++ b/internal/hosted/join.go
@@ -33,7 +33,7 @@
 		f.with(func(now time.Time, _ *fleet.Fleet) { step = j.Next(now) })
 		switch step {
 		case fleet.JoinAskSeeds:
-			f.askSeeds()
+			f.querySeeds()
 		case fleet.JoinByStore:
 			f.joinByStore(ctx)
 			return f.maintainMembership(ctx)
@@ -92,23 +92,23 @@
 	return slices.DeleteFunc(slices.Clone(f.seeds), func(a string) bool { return a == f.seedAddress })
 }
 
-// askSeeds asks all other seeds for their members over new connections: an earlier dial to a
+// querySeeds asks all other seeds for their members over new connections: an earlier dial to a
 // machine without power would hang for longer than the machine takes to start.
-func (f *peers) askSeeds() {
+func (f *peers) querySeeds() {
 	for _, address := range f.otherSeeds() {
 		f.transport.Reset(seedName + address)
-		f.askSeed(address)
+		f.querySeed(address)
 	}
 }
 
-// askSeed asks one seed for its members.
-func (f *peers) askSeed(address string) {
-	ask := f.joinAsk()
+// querySeed asks one seed for its members.
+func (f *peers) querySeed(address string) {
+	ask := f.joinRequest()
 	f.send(msg.Heartbeat{Name: seedName + address, PeerAddress: address}, ask)
 }
 
-// joinAsk returns the request for another instance's members.
-func (f *peers) joinAsk() (ask msg.JoinAsk) {
+// joinRequest returns the request for another instance's members.
+func (f *peers) joinRequest() (ask msg.JoinAsk) {
 	ready, leaving, reads := f.state()
 	f.with(func(now time.Time, v *fleet.Fleet) {
 		v.SetSelf(now, ready, leaving, reads)
@@ -202,9 +202,9 @@
 	seeds := f.otherSeeds()
 	if n := rand.IntN(len(live) + len(seeds) + 1); n < len(seeds) || len(live) == 0 {
 		if len(seeds) > 0 {
-			f.askSeed(seeds[n%len(seeds)])
+			f.querySeed(seeds[n%len(seeds)])
 		}
 		return
 	}
-	f.sendTo(live[rand.IntN(len(live))], f.joinAsk())
+	f.sendTo(live[rand.IntN(len(live))], f.joinRequest())
 }
--- a/internal/hosted/place.go
+++ b/internal/hosted/place.go
@@ -26,35 +26,35 @@
 
 // grantRequest is a request for a grant that a home has not decided yet.
 type grantRequest struct {
-	ask  msg.GrantAsk
-	home string
+	message msg.GrantAsk
+	home    string
 	// firstSentAt and lastSentAt are the times at which the request was first and last sent. The
 	// validity of a grant counts from the transmission that may have led to it.
 	firstSentAt, lastSentAt time.Time
 }
 
-// askHome requests a grant from the home of the call's pool and returns the next step.
-func (x *exchange) askHome() forward.Step {
+// requestGrant requests a grant from the home of the call's pool and returns the next step.
+func (x *exchange) requestGrant() forward.Step {
 	s := x.server
 	now := boottime.Now()
 	q := &grantRequest{home: s.homes.homeOf(x.call.Pool), firstSentAt: now, lastSentAt: now}
-	s.decide(func(now time.Time, g *forward.Gate) { q.ask = g.Ask(now, x.call) })
-	s.homes.send(q.home, q.ask)
+	s.decide(func(now time.Time, g *forward.Gate) { q.message = g.Ask(now, x.call) })
+	s.homes.send(q.home, q.message)
 	timeout, repeat := time.NewTimer(forward.HomeTimeout), time.NewTimer(time.Hour)
 	defer timeout.Stop()
 	defer repeat.Stop()
 	for {
 		select {
 		case <-x.ctx.Done():
-			s.homes.send(q.home, msg.GrantEnd{Pool: x.call.Pool, Attempt: q.ask.Ask.Attempt, Cut: true})
+			s.homes.send(q.home, msg.GrantEnd{Pool: x.call.Pool, Attempt: q.message.Ask.Attempt, Cut: true})
 			return x.stopStep()
 		case <-timeout.C:
 			return x.onHomeSilent(q.home)
 		case <-repeat.C:
 			q.lastSentAt = boottime.Now()
-			s.homes.send(q.home, q.ask)
+			s.homes.send(q.home, q.message)
 		case a := <-x.grants:
-			if a.Decision.Attempt != q.ask.Ask.Attempt {
+			if a.Decision.Attempt != q.message.Ask.Attempt {
 				continue // late response about another attempt
 			}
 			if a.Decision.Kind != placement.Queued {
@@ -79,7 +79,7 @@
 	waited := boottime.Now().Sub(q.firstSentAt)
 	s.metrics.Observe("placement_milliseconds", x.call.Service, waited)
 	s.log.Info("placed", "request", x.call.ID, "home", q.home, "pool", x.call.Pool, "upstream", a.Decision.Upstream,
-		"prompt", q.ask.Ask.Prompt, "hint", q.ask.Ask.Expected, "waited", waited.Round(time.Millisecond))
+		"prompt", q.message.Ask.Prompt, "hint", q.message.Ask.Expected, "waited", waited.Round(time.Millisecond))
 	return x.decideStep(func(now time.Time, g *forward.Gate) forward.Step { return g.Granted(now, q.lastSentAt, x.call, a) })
 }
 
--- a/internal/hosted/ports.go
+++ b/internal/hosted/ports.go
@@ -103,7 +103,7 @@
 	IsDirectory(r *http.Request) bool
 	// Caller returns the location of the sender of a directory request, and the host that the
 	// request asks for.
-	Caller(r *http.Request) (near fleet.Place, host string)
+	Caller(r *http.Request) (location fleet.Place, host string)
 	// Addresses writes a directory response with the lifetime ttl.
 	Addresses(w http.ResponseWriter, addresses []string, ttl time.Duration) error
 	// Request decodes a caller's request without its body.
--- a/internal/hosted/relay.go
+++ b/internal/hosted/relay.go
@@ -56,8 +56,8 @@
 
 // heldPoll is a poll that is answered as soon as there is an update, and at until otherwise.
 type heldPoll struct {
-	ask   msg.SyncAsk
-	until time.Time
+	message msg.SyncAsk
+	until   time.Time
 }
 
 // handlePoll answers a poll immediately if there is an update, or if it must not be held.
@@ -77,7 +77,7 @@
 	if m.Hold > 0 {
 		hold = min(hold, m.Hold)
 	}
-	r.held[from] = heldPoll{ask: m, until: time.Now().Add(hold)}
+	r.held[from] = heldPoll{message: m, until: time.Now().Add(hold)}
 }
 
 // mayHold reports whether a poll may be held. An instance without a configuration, which has
@@ -96,12 +96,12 @@
 	}
 	r.mu.Unlock()
 	for name, w := range waiting {
-		answer, updated := r.reply(w.ask)
+		answer, updated := r.reply(w.message)
 		if !updated && time.Now().Before(w.until) {
 			continue
 		}
 		r.mu.Lock()
-		if r.held[name].ask.Number == w.ask.Number {
+		if r.held[name].message.Number == w.message.Number {
 			delete(r.held, name)
 		}
 		r.mu.Unlock()
@@ -203,7 +203,7 @@
 			q.Config = g.Table().Version
 		}
 	})
-	asked := boottime.Now()
+	sentAt := boottime.Now()
 	a.follower.peers.sendTo(source, q)
 	timeout := time.NewTimer(watch.PeerTimeout)
 	defer timeout.Stop()
@@ -220,15 +220,15 @@
 			if got.from != source || got.Number != q.Number {
 				continue // late reply to an earlier poll
 			}
-			a.apply(ctx, source, asked, got.SyncAnswer, all)
+			a.apply(ctx, source, sentAt, got.SyncAnswer, all)
 			return
 		}
 	}
 }
 
-// apply applies a source's reply to a poll sent at asked; all is set if the full list was
-// requested.
-func (a *syncPoller) apply(ctx context.Context, source string, asked time.Time, m msg.SyncAnswer, all bool) {
+// apply applies a source's reply; sentAt is the time at which the poll was sent, and all is set if
+// the poll requested the full list.
+func (a *syncPoller) apply(ctx context.Context, source string, sentAt time.Time, m msg.SyncAnswer, all bool) {
 	f := a.follower
 	if !f.sourceAnswered(source, m.ConfigAge) {
 		// During an outage the state of every instance is old. Other instances may be polled,
@@ -247,11 +247,11 @@
 		}
 		u.config, u.packed = c, m.Config
 	}
-	f.adopt(asked.Add(-m.ConfigAge), u, source)
+	f.adopt(sentAt.Add(-m.ConfigAge), u, source)
 	if m.ListAge < 0 {
 		return
 	}
-	f.server.decide(func(_ time.Time, g *forward.Gate) { g.Roster().Confirm(asked.Add(-m.ListAge)) })
+	f.server.decide(func(_ time.Time, g *forward.Gate) { g.Roster().Confirm(sentAt.Add(-m.ListAge)) })
 	if m.List != nil {
 		a.applyList(source, *m.List, all)
 	}
--- a/internal/hosted/rows.go
+++ b/internal/hosted/rows.go
@@ -105,7 +105,7 @@
 		list = append(list, r.Heartbeat)
 	}
 	f.addMembers("store", list, (*fleet.Fleet).Learn)
-	ask := f.joinAsk()
+	ask := f.joinRequest()
 	rand.Shuffle(len(list), func(a, b int) { list[a], list[b] = list[b], list[a] })
 	for _, b := range list[:min(len(list), maxIntroducers)] {
 		if b.Name != ask.Sender.Name {
--- a/internal/hosted/silence.go
+++ b/internal/hosted/silence.go
@@ -37,8 +37,8 @@
 
 // checkUpstream requests one upstream's report and checks all its silent streams against it.
 func (s *server) checkUpstream(ctx context.Context, address string, silent []silentAttempt) {
-	var asked time.Time
-	s.decide(func(now time.Time, _ *forward.Gate) { asked = now })
+	var sentAt time.Time
+	s.decide(func(now time.Time, _ *forward.Gate) { sentAt = now })
 	s.metrics.Count("upstream_questions_total", "silent_stream")
 	report, err := s.requestReport(ctx, address)
 	if err != nil {
@@ -49,18 +49,18 @@
 		return // the upstream does not report its generations
 	}
 	for _, r := range silent {
-		s.handleSilent(r, asked, report)
+		s.handleSilent(r, sentAt, report)
 	}
 }
 
 // handleSilent compares a silent stream with its upstream's report and acts on the finding.
-func (s *server) handleSilent(r silentAttempt, asked time.Time, report Report) {
+func (s *server) handleSilent(r silentAttempt, sentAt time.Time, report Report) {
 	events, listed := report.Events[r.exchange.call.ID]
 	var finding forward.Finding
 	var forwarded int
 	s.decide(func(_ time.Time, g *forward.Gate) {
 		forwarded = r.exchange.call.Events
-		finding = g.Judge(r.exchange.call, r.attempt, asked, forward.RunReport{Listed: listed, Events: events, Waiting: report.Waiting})
+		finding = g.Judge(r.exchange.call, r.attempt, sentAt, forward.RunReport{Listed: listed, Events: events, Waiting: report.Waiting})
 	})
 	s.metrics.Count("silent_streams_total", string(finding))
 	s.log.Info("stream_silent", "request", r.exchange.call.ID, "upstream", r.attempt.Entry.ID, "finding", finding,
