--- a/internal/hosted/fleet.go
+++ b/internal/hosted/fleet.go
@@ -17,7 +17,7 @@
 // redialTimeout limits each dial to an instance whose connection ended.
 const redialTimeout = 300 * time.Millisecond
 
-// redialDelays are the delays before each of these dials.
+// redialDelays are the delays before the successive dials to such an instance.
 var redialDelays = []time.Duration{0, 50 * time.Millisecond, 200 * time.Millisecond}
 
 // peers maintains this instance's view of the other instances and sends messages to them.
--- a/internal/hosted/instance.go
+++ b/internal/hosted/instance.go
@@ -169,7 +169,7 @@
 	return i.ready(), i.server.isLeaving(), i.follower.readsStore()
 }
 
-// onAdopted passes an update that is now in force on to the instances that poll this one, and to
+// onAdopted passes on an update that is now in force, to the instances that poll this one and to
 // the homes.
 func (i *Instance) onAdopted(u update) {
 	if u.config != nil {
--- a/internal/hosted/limit.go
+++ b/internal/hosted/limit.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// reservedDescriptors is the number of file descriptors that are not used for connections.
+	// reservedDescriptors is the number of descriptors reserved for files, which connections do not use.
 	reservedDescriptors = 200
 	// callerShare is the fraction of the remaining descriptors for callers' connections. Each
 	// request in progress takes another descriptor for the connection to its upstream.
--- a/internal/hosted/peers.go
+++ b/internal/hosted/peers.go
@@ -16,7 +16,8 @@
 	return home
 }
 
-// suspectHome excludes an instance that did not respond from being home for a few seconds.
+// suspectHome keeps an instance that did not respond from being chosen as a home for a few
+// seconds.
 func (i *Instance) suspectHome(name string) {
 	i.peers.with(func(now time.Time, v *fleet.Fleet) { v.Suspect(now, name) })
 }
