--- a/internal/hosted/silence.go
+++ b/internal/hosted/silence.go
@@ -8,74 +8,75 @@
 	"mulberrylug.example/mulberrylug/internal/core/msg"
 )
 
-// silenceTick is the interval between checks for silent streams.
-const silenceTick = 100 * time.Millisecond
+// silenceCheckInterval is the interval between checks for silent streams.
+const silenceCheckInterval = 100 * time.Millisecond
 
-// silentRun is an attempt whose stream is silent.
-type silentRun struct {
-	x *exchange
-	a *forward.Attempt
+// silentAttempt is an attempt whose stream delivers no events.
+type silentAttempt struct {
+	exchange *exchange
+	attempt  *forward.Attempt
 }
 
-// askAboutSilent asks upstreams about streams that have been silent for long. A middlebox may
-// have lost the connection while it stays open at both ends; a new connection distinguishes
-// that from a slow engine.
-func (s *server) askAboutSilent(ctx context.Context) {
-	due := map[string][]silentRun{}
+// checkSilentStreams requests reports from upstreams whose streams have been silent for too long.
+// A middlebox may have lost the state of a connection that stays open at both ends. A request on
+// a new connection distinguishes that from a slow engine.
+func (s *server) checkSilentStreams(ctx context.Context) {
+	due := map[string][]silentAttempt{}
 	s.decide(func(now time.Time, g *forward.Gate) {
 		for _, x := range s.running {
-			if x.mover == nil && g.QuestionDue(now, x.call) {
+			if x.activeMove == nil && g.QuestionDue(now, x.call) {
 				a := x.call.Current()
-				due[a.Entry.Address] = append(due[a.Entry.Address], silentRun{x: x, a: a})
+				due[a.Entry.Address] = append(due[a.Entry.Address], silentAttempt{exchange: x, attempt: a})
 			}
 		}
 	})
-	for address, runs := range due {
-		go s.askAbout(ctx, address, runs)
+	for address, silent := range due {
+		go s.checkUpstream(ctx, address, silent)
 	}
 }
 
-// askAbout asks one upstream about all its silent streams.
-func (s *server) askAbout(ctx context.Context, address string, runs []silentRun) {
-	var asked time.Time
-	s.decide(func(now time.Time, _ *forward.Gate) { asked = now })
+// checkUpstream requests one upstream's report and checks all its silent streams against it.
+func (s *server) checkUpstream(ctx context.Context, address string, silent []silentAttempt) {
+	var sentAt time.Time
+	s.decide(func(now time.Time, _ *forward.Gate) { sentAt = now })
 	s.metrics.Count("upstream_questions_total", "silent_stream")
-	report, err := s.report(ctx, address)
+	report, err := s.requestReport(ctx, address)
 	if err != nil {
-		s.log.Info("silent_upstream_unreachable", "address", address, "streams", len(runs), "error", err)
+		s.log.Info("silent_upstream_unreachable", "address", address, "streams", len(silent), "error", err)
 		return
 	}
 	if report.Events == nil {
-		return // it does not tell what it runs
+		return // the upstream does not report its generations
 	}
-	for _, r := range runs {
-		s.judgeSilent(r, asked, report)
+	for _, r := range silent {
+		s.handleSilent(r, sentAt, report)
 	}
 }
 
-// judgeSilent acts on an upstream's report of a silent stream.
-func (s *server) judgeSilent(r silentRun, asked time.Time, report Report) {
-	events, listed := report.Events[r.x.call.ID]
+// handleSilent compares a silent stream with its upstream's report and acts on the finding.
+func (s *server) handleSilent(r silentAttempt, sentAt time.Time, report Report) {
+	events, listed := report.Events[r.exchange.call.ID]
 	var finding forward.Finding
-	var passed int
+	var forwarded int
 	s.decide(func(_ time.Time, g *forward.Gate) {
-		passed = r.x.call.Events
-		finding = g.Judge(r.x.call, r.a, asked, forward.RunReport{Listed: listed, Events: events, Waiting: report.Waiting})
+		forwarded = r.exchange.call.Events
+		finding = g.Judge(r.exchange.call, r.attempt, sentAt, forward.RunReport{Listed: listed, Events: events, Waiting: report.Waiting})
 	})
 	s.metrics.Count("silent_streams_total", string(finding))
-	s.log.Info("stream_silent", "request", r.x.call.ID, "upstream", r.a.Entry.ID, "finding", finding,
-		"listed", listed, "made", events, "passed_on", passed, "waiting_there", report.Waiting)
+	s.log.Info("stream_silent", "request", r.exchange.call.ID, "upstream", r.attempt.Entry.ID, "finding", finding,
+		"listed", listed, "made", events, "passed_on", forwarded, "waiting_there", report.Waiting)
 	switch finding {
 	case forward.FindingLinkSilent:
-		r.x.rescue(r.a)
+		r.exchange.resumeElsewhere(r.attempt)
 	case forward.FindingGone:
-		r.x.hangUp(r.a)
+		r.exchange.closeConn(r.attempt)
 	}
 }
 
-// rescue continues a run whose connection has fallen silent elsewhere. It is stopped over a
-// new connection, so that it never runs twice, and resumed from its copy.
-func (x *exchange) rescue(a *forward.Attempt) {
+// resumeElsewhere continues a generation, whose connection has fallen silent, on another
+// upstream. The generation is stopped over a new connection, so that it never runs twice, and
+// resumed from its copy.
+func (x *exchange) resumeElsewhere(a *forward.Attempt) {
 	order := msg.MoveOrder{Pool: x.call.Pool, Attempt: x.call.ID, From: a.Entry.ID}
 	x.server.decide(func(now time.Time, g *forward.Gate) {
 		if u := g.Refuge(now, x.call); u != nil {
@@ -89,9 +90,9 @@
 	if source == nil {
 		return
 	}
-	x.runMove(mv, source, func(mv *mover, source *forward.Attempt) (msg.MoveOutcome, error) {
+	x.runMove(mv, source, func(mv *activeMove, source *forward.Attempt) (msg.MoveOutcome, error) {
 		outcome, err := x.stopAndCopy(mv, source, "")
-		x.hangUp(source) // its end does not arrive either
+		x.closeConn(source) // the end of the stream does not arrive on this connection either
 		return outcome, err
 	})
 }
