--- a/internal/core/action.go
+++ b/internal/core/action.go
@@ -8,26 +8,27 @@
 	"mulberrylug.example/mulberrylug/internal/core/table"
 )
 
-// Action is an effect requested by the instance. Instance.Handle returns actions in the order
-// in which they must be started.
+// Action is an effect that the instance requests. Actions must be started in the order in which
+// Instance.Handle returns them.
 type Action interface{ action() }
 
-// Send sends a message to another instance. It may be lost.
+// Send sends a message to another instance. The message may be lost.
 type Send struct {
 	To      string
 	Address string
 	Msg     msg.Message
 }
 
-// ResetPeer closes the connection to an instance that did not answer, so that the next Send
-// dials anew. A connection that a middlebox has dropped stays silent while new ones work.
+// ResetPeer closes the connection to an instance that did not reply, so that the next Send
+// dials a new one. A connection that a middlebox has dropped stays silent while new connections
+// work.
 type ResetPeer struct{ To string }
 
-// Dispatch starts an attempt at an upstream, or reads on from a running one.
+// Dispatch starts an attempt at an upstream, or resumes reading from a running attempt.
 type Dispatch struct {
 	Request string
 	Attempt string
-	// Upstream and Address name the worker.
+	// Upstream and Address are the upstream's name and network address.
 	Upstream string
 	Address  string
 	// Engine is true for a generation, false for a plain call.
@@ -39,13 +40,15 @@
 	Key      string
 	MaxToken int
 	Priority int
-	// Resume reads the generation from token From on a new connection.
+	// Resume makes the dispatch read a running generation, from the token with index From, on a
+	// new connection.
 	Resume bool
 	From   int
-	// Link numbers the connections of an attempt; its events carry it.
+	// Link is the number of the connection within the attempt. Events that arrive over
+	// the connection carry the same number.
 	Link int
-	// Before is the deadline for sending the call, when the grant expires. It is checked right
-	// before the first byte.
+	// Before is the expiry of the grant, after which the call must not be sent. It is checked
+	// right before the first byte. Timeout bounds the call.
 	Before  time.Time
 	Timeout time.Duration
 }
@@ -62,14 +65,14 @@
 // Deliver passes a token to the caller.
 type Deliver struct {
 	Request string
-	// Handle is shared by the tokens of a stream, which spares a copy per token for slow
-	// readers.
+	// Handle is the signed handle with which the caller can resume the stream. All tokens of a
+	// stream share one string, which saves a copy per token that waits for a slow reader.
 	Handle string
 	Index  int
 	Text   string
 }
 
-// EventID returns the id from which the caller can resume.
+// EventID returns the event id with which the caller can resume after this token.
 func (d Deliver) EventID() string { return stream.EventID(d.Handle, d.Index) }
 
 // Outcome is how a request ended.
@@ -77,9 +80,9 @@
 
 // Outcomes.
 const (
-	// Done: the whole answer was delivered.
+	// Done: the complete answer was delivered.
 	Done Outcome = "done"
-	// NotRun: the request did not run, and will not.
+	// NotRun: the request did not run and will not run.
 	NotRun Outcome = "not_run"
 	// Partial: the answer ended early.
 	Partial Outcome = "partial"
@@ -87,49 +90,52 @@
 	Unknown Outcome = "unknown"
 )
 
-// Finish ends a request. It is its last action.
+// Finish ends a request. It is the last action of a request.
 type Finish struct {
 	Request string
 	Outcome Outcome
-	// Status is the HTTP status for answers that have not begun.
+	// Status is the HTTP status, used only if no part of the answer has been sent yet.
 	Status int
-	// Reason, Step and Peer explain any outcome other than Done.
+	// Reason, Step and Peer explain an outcome other than Done: why the request ended, in which
+	// step, and which instance, upstream or table was involved.
 	Reason     string
 	Step       string
 	Peer       string
 	RetryAfter time.Duration
-	// Text is a whole answer; Body a plain service's answer.
+	// Text is the text of a generation that was not streamed, Body the answer of a plain service.
 	Text         string
 	Body         []byte
 	Tokens       int
 	FinishReason string
 }
 
-// Commit runs a transaction on the table. CommitResult answers it.
+// Commit runs a transaction on the table. The result arrives as a CommitResult.
 type Commit struct {
 	Op string
 	Tx table.Tx
 }
 
-// Read reads rows of the table. ReadResult answers it.
+// Read reads rows of the table. The result arrives as a ReadResult.
 type Read struct {
 	Op   string
 	Keys []string
 }
 
-// Scan reads rows ordered by key. ScanResult answers it.
+// Scan reads rows of the table in the order of their keys. The result arrives as a ScanResult.
 type Scan struct {
 	Op     string
 	Prefix string
-	// After is the last key already seen, "" for none.
+	// After is the key after which the scan starts, "" for the start of the prefix.
 	After string
 	Limit int
 }
 
-// Fetch reads an object. ObjectResult answers it.
+// Fetch reads the object with the given hash from the object store. The result arrives as an
+// ObjectResult.
 type Fetch struct{ Hash string }
 
-// Poll requests an upstream's load. UpstreamReport or UpstreamSilent answers it.
+// Poll requests an upstream's load report. The result arrives as an UpstreamReport or an
+// UpstreamSilent.
 type Poll struct {
 	Upstream string
 	Address  string
@@ -137,18 +143,19 @@
 
 // Count increments a counter.
 type Count struct {
-	// Group is the metric, for example "refusals_total"; Name its label.
+	// Group is the name of the metric, for example "refusals_total"; Name is the value of its
+	// label.
 	Group string
 	Name  string
 }
 
-// Log writes a line of key=value pairs.
+// Log writes a log line. Pairs alternates keys and values.
 type Log struct {
 	Event string
 	Pairs []any
 }
 
-// Explained answers AskExplain.
+// Explained is the result of AskExplain with the same ID.
 type Explained struct {
 	ID    uint64
 	Lines []string
--- a/internal/core/beats.go
+++ b/internal/core/announcements.go
@@ -7,12 +7,13 @@
 	"mulberrylug.example/mulberrylug/internal/core/msg"
 )
 
-// announceInterval is the interval of an entry's announcements to pool homes.
+// announceInterval is the interval at which an entry announces its running attempts to the homes
+// of their pools.
 const announceInterval = time.Second
 
-// beats holds the state of periodic work.
-type beats struct {
-	announced time.Time
+// announcer is the state of the periodic announcements of running attempts.
+type announcer struct {
+	lastSent time.Time
 }
 
 func (i *Instance) selfMember() membership.Member {
@@ -20,18 +21,18 @@
 	return m
 }
 
-// tickBeats announces the running attempts to the homes of their pools.
-func (i *Instance) tickBeats(now time.Time) {
-	if now.Sub(i.beats.announced) < announceInterval {
+// tickAnnouncements announces the running attempts to the homes of their pools.
+func (i *Instance) tickAnnouncements(now time.Time) {
+	if now.Sub(i.announcer.lastSent) < announceInterval {
 		return
 	}
-	i.beats.announced = now
+	i.announcer.lastSent = now
 	type target struct{ home, pool string }
 	byHome := map[target][]msg.RunningAttempt{}
 	var targets []target
 	for _, id := range sortedNames(i.requests) {
 		r := i.requests[id]
-		if !r.announced() {
+		if !r.isAnnounced() {
 			continue
 		}
 		pool := r.currentPool()
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -12,78 +12,79 @@
 	"mulberrylug.example/mulberrylug/internal/core/placement"
 )
 
-// BenchmarkEntryRequest is one whole request of one token at its entry: admit,
-// reserve, place, dispatch, token, end, settle.
+// BenchmarkEntryRequest measures a complete request with one token at its entry:
+// admission, reservation, placement, dispatch, token, end and settlement.
 func BenchmarkEntryRequest(b *testing.B) {
 	for _, s := range sizes {
 		b.Run(s.String(), func(b *testing.B) {
-			w := newTargetWorld(b, s)
+			h := newTargetHarness(b, s)
 			b.ReportAllocs()
 			n := 0
 			for b.Loop() {
-				id, attempt := w.start(n, s.orgs)
-				w.do(core.UpstreamToken{Request: id, Attempt: attempt, Link: 1, Index: 0, Text: "token "})
-				w.do(core.UpstreamEnd{Request: id, Attempt: attempt, Link: 1, Tokens: 1, Reason: "stop"})
+				id, attempt := h.startRequest(n, s.orgs)
+				h.handle(core.UpstreamToken{Request: id, Attempt: attempt, Link: 1, Index: 0, Text: "token "})
+				h.handle(core.UpstreamEnd{Request: id, Attempt: attempt, Link: 1, Tokens: 1, Reason: "stop"})
 				n++
 			}
-			if w.inst.Requests() != 0 {
-				b.Fatalf("%d requests did not end", w.inst.Requests())
+			if h.inst.Requests() != 0 {
+				b.Fatalf("requests in progress = %d after their end events, want 0", h.inst.Requests())
 			}
 		})
 	}
 }
 
-// BenchmarkEntryToken is one token through the core.
+// BenchmarkEntryToken measures the delivery of one token by the core.
 func BenchmarkEntryToken(b *testing.B) {
-	w := newTargetWorld(b, sizeMiddle)
+	h := newTargetHarness(b, sizeMiddle)
 	r := request(0, sizeMiddle.orgs)
 	r.MaxTokens = maxOutput
-	w.do(r)
+	h.handle(r)
 	id, attempt := r.ID, r.ID+"/1"
 	b.ReportAllocs()
 	n := 0
 	for b.Loop() {
-		w.inst.Handle(w.now, core.UpstreamToken{Request: id, Attempt: attempt, Link: 1, Index: n, Text: "token "})
+		h.inst.Handle(h.now, core.UpstreamToken{Request: id, Attempt: attempt, Link: 1, Index: n, Text: "token "})
 		n++
 	}
-	if w.inst.Requests() != 1 {
-		b.Fatal("the request ended while its tokens came")
+	if h.inst.Requests() != 1 {
+		b.Fatal("the request ended although the engine had sent no end event")
 	}
 }
 
-// BenchmarkEntrySecond is what a second's fifty ticks cost an entry with the
-// target's running generations, announcements included.
+// BenchmarkEntrySecond measures fifty ticks (one second) of an entry that has the
+// target's number of running generations. It includes their announcements and one
+// token for each generation.
 func BenchmarkEntrySecond(b *testing.B) {
 	for _, s := range sizes {
 		b.Run(s.String(), func(b *testing.B) {
-			w := newTargetWorld(b, s)
+			h := newTargetHarness(b, s)
 			for n := range runningPerInstance {
-				w.start(n, s.orgs)
+				h.startRequest(n, s.orgs)
 			}
-			w.polls = false // the reports of these engines name no generation
+			h.answersPolls = false // the simulated reports list no generations
 			b.ReportAllocs()
 			for second := 0; b.Loop(); second++ {
-				w.progress(second)
+				h.progress(second)
 				for range 50 {
-					w.tick(20 * time.Millisecond)
+					h.tick(20 * time.Millisecond)
 				}
 			}
-			if w.inst.Requests() != runningPerInstance {
-				b.Fatalf("%d requests run, want %d", w.inst.Requests(), runningPerInstance)
+			if h.inst.Requests() != runningPerInstance {
+				b.Fatalf("requests in progress = %d, want %d", h.inst.Requests(), runningPerInstance)
 			}
 		})
 	}
 }
 
-// progress gives each running generation its next token.
-func (w *targetWorld) progress(index int) {
+// progress delivers the token with the given index to each running generation.
+func (h *targetHarness) progress(index int) {
 	for n := range runningPerInstance {
 		id := fmt.Sprintf("%s:0123abcd:%d", selfName, n)
-		w.inst.Handle(w.now, core.UpstreamToken{Request: id, Attempt: id + "/1", Link: 1, Index: index, Text: "token "})
+		h.inst.Handle(h.now, core.UpstreamToken{Request: id, Attempt: id + "/1", Link: 1, Index: index, Text: "token "})
 	}
 }
 
-// grantAsk asks the home of the first pool.
+// grantAsk returns the n-th request for a grant in a pool.
 func grantAsk(pool string, n int) msg.GrantAsk {
 	return msg.GrantAsk{Pool: pool, Ask: placement.Ask{
 		Attempt: attemptName(n), Org: orgName(n % 1000), Fingerprint: uint64(n) + 1, Prompt: 250, MaxOutput: 500,
@@ -91,114 +92,116 @@
 	}}
 }
 
-// poolHomeWorld makes the instance the home of a pool whose upstreams run what
-// the target's do.
-func poolHomeWorld(b *testing.B) (w *targetWorld, pool string, upstreams []string) {
-	w = newTargetWorld(b, sizeTarget)
+// newPoolHomeHarness makes the instance the home of a pool whose upstreams each run
+// the target's number of generations.
+func newPoolHomeHarness(b *testing.B) (h *targetHarness, pool string, upstreams []string) {
+	h = newTargetHarness(b, sizeTarget)
 	v := config.Compile(1, "", sizeTarget.config())
 	p := v.Pool(v.PoolOf(upstreamName(0)))
 	for _, u := range p.Upstreams {
-		w.do(core.UpstreamReport{Asked: w.now, Report: report(u, 0)})
+		h.handle(core.UpstreamReport{Asked: h.now, Report: report(u, 0)})
 	}
 	n := 0
 	for range len(p.Upstreams) * gensPerEngine {
-		w.do(core.PeerMessage{From: "entry-1", Msg: grantAsk(p.Name, n)})
+		h.handle(core.PeerMessage{From: "entry-1", Msg: grantAsk(p.Name, n)})
 		n++
 	}
-	return w, p.Name, p.Upstreams
+	return h, p.Name, p.Upstreams
 }
 
-// BenchmarkPoolHomeGrant is one ask and one end at the home of a pool of the
-// target's size, with the target's running work.
+// BenchmarkPoolHomeGrant measures one grant and its end at the home of a pool of the
+// target's size, with the target's number of running generations.
 func BenchmarkPoolHomeGrant(b *testing.B) {
-	w, pool, upstreams := poolHomeWorld(b)
+	h, pool, upstreams := newPoolHomeHarness(b)
 	n := len(upstreams) * gensPerEngine
 	b.ReportAllocs()
 	for b.Loop() {
 		ask := grantAsk(pool, n)
-		w.inst.Handle(w.now, core.PeerMessage{From: "entry-1", Msg: ask})
-		w.inst.Handle(w.now, core.PeerMessage{From: "entry-1", Msg: msg.GrantEnd{Pool: pool, Attempt: ask.Ask.Attempt, Tokens: 250}})
+		h.inst.Handle(h.now, core.PeerMessage{From: "entry-1", Msg: ask})
+		h.inst.Handle(h.now, core.PeerMessage{From: "entry-1", Msg: msg.GrantEnd{Pool: pool, Attempt: ask.Ask.Attempt, Tokens: 250}})
 		n++
 	}
 }
 
-// BenchmarkPoolHomeReport is one upstream's load report at its home.
+// BenchmarkPoolHomeReport measures the processing of one upstream's load report at
+// the home of its pool.
 func BenchmarkPoolHomeReport(b *testing.B) {
-	w, _, upstreams := poolHomeWorld(b)
+	h, _, upstreams := newPoolHomeHarness(b)
 	r := report(upstreams[0], gensPerEngine)
 	b.ReportAllocs()
 	for b.Loop() {
-		w.inst.Handle(w.now, core.UpstreamReport{Asked: w.now, Report: r})
+		h.inst.Handle(h.now, core.UpstreamReport{Asked: h.now, Report: r})
 	}
 }
 
-// BenchmarkPoolHomeAnnounce is one entry's announcement of all that it runs.
+// BenchmarkPoolHomeAnnounce measures the processing of one entry's announcement of
+// all its running attempts at the home of their pool.
 func BenchmarkPoolHomeAnnounce(b *testing.B) {
-	w, pool, upstreams := poolHomeWorld(b)
+	h, pool, upstreams := newPoolHomeHarness(b)
 	m := msg.Announce{Pool: pool}
 	for n := range runningPerInstance {
 		m.Running = append(m.Running, msg.RunningAttempt{Ask: grantAsk(pool, n).Ask, Upstream: upstreams[0], Tokens: n})
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		w.inst.Handle(w.now, core.PeerMessage{From: "entry-1", Msg: m})
+		h.inst.Handle(h.now, core.PeerMessage{From: "entry-1", Msg: m})
 	}
 }
 
-// BenchmarkOrgHomeReserve is one reservation and its settlement at the home of
-// an organisation.
+// BenchmarkOrgHomeReserve measures one reservation and its settlement at the home
+// of an organisation.
 func BenchmarkOrgHomeReserve(b *testing.B) {
 	for _, orgs := range []int{80, 31_000} {
 		b.Run(fmt.Sprintf("organisations=%d", orgs), func(b *testing.B) {
-			w := newTargetWorld(b, sizeMiddle)
+			h := newTargetHarness(b, sizeMiddle)
 			limits := sizeToday.config().Organisations[0].Limits
 			b.ReportAllocs()
 			n := 0
 			for b.Loop() {
 				ask := budget.Ask{Request: attemptName(n), Org: orgName(n % orgs), Limits: limits, Amount: 1000, Tokens: 500}
-				w.do(core.PeerMessage{From: "entry-1", Msg: msg.ReserveAsk{Ask: ask}})
-				w.do(core.PeerMessage{From: "entry-1", Msg: msg.Settle{Org: ask.Org, Request: ask.Request, Used: 500, Tokens: 250}})
+				h.handle(core.PeerMessage{From: "entry-1", Msg: msg.ReserveAsk{Ask: ask}})
+				h.handle(core.PeerMessage{From: "entry-1", Msg: msg.Settle{Org: ask.Org, Request: ask.Request, Used: 500, Tokens: 250}})
 				n++
 			}
 		})
 	}
 }
 
-// BenchmarkInstanceList is one fresh instance list in the core.
+// BenchmarkInstanceList measures the processing of a new instance list.
 func BenchmarkInstanceList(b *testing.B) {
 	for _, s := range sizes {
 		b.Run(s.String(), func(b *testing.B) {
-			w := newTargetWorld(b, s)
+			h := newTargetHarness(b, s)
 			list := s.members()
 			b.ReportAllocs()
 			for b.Loop() {
-				w.inst.Handle(w.now, core.InstanceList{Members: list})
+				h.inst.Handle(h.now, core.InstanceList{Members: list})
 			}
 		})
 	}
 }
 
-// BenchmarkConfigChange is one new configuration version, from its object to
-// being in force, decoded in the core's loop or by the shell before it. object-B
-// is the object's size.
+// BenchmarkConfigChange measures the adoption of a new configuration version, with
+// its object decoded either by the core or by the shell beforehand. The metric
+// object-B is the size of the object in bytes.
 func BenchmarkConfigChange(b *testing.B) {
 	for _, s := range sizes {
-		b.Run("decode=core/"+s.String(), func(b *testing.B) { newTargetWorld(b, s).changeConfig(b) })
+		b.Run("decode=core/"+s.String(), func(b *testing.B) { newTargetHarness(b, s).changeConfig(b) })
 		b.Run("decode=shell/"+s.String(), func(b *testing.B) {
-			w := newTargetWorld(b, s)
-			w.decoded = s.config()
-			w.changeConfig(b)
+			h := newTargetHarness(b, s)
+			h.decodedConfig = s.config()
+			h.changeConfig(b)
 		})
 	}
 }
 
-func (w *targetWorld) changeConfig(b *testing.B) {
+func (h *targetHarness) changeConfig(b *testing.B) {
 	b.ReportAllocs()
 	for b.Loop() {
-		w.number++
-		for w.inst.ConfigNumber() != w.number { // the rounds in which it reads the row
-			w.tick(500 * time.Millisecond)
+		h.number++
+		for h.inst.ConfigNumber() != h.number { // the instance reads the table row only in some rounds
+			h.tick(500 * time.Millisecond)
 		}
 	}
-	b.ReportMetric(float64(len(w.object)), "object-B")
+	b.ReportMetric(float64(len(h.object)), "object-B")
 }
--- a/internal/core/book.go
+++ b/internal/core/book.go
@@ -20,23 +20,25 @@
 )
 
 const (
-	// retryStore is the Retry-After while the table is unavailable.
-	retryStore = 2 * time.Second
-	// retryReleased is the Retry-After for a key that was released.
-	retryReleased = 200 * time.Millisecond
-	// recordSlack extends the longest call by the time for its claim and its record.
+	// retryAfterStore is the Retry-After while the table is unavailable.
+	retryAfterStore = 2 * time.Second
+	// retryAfterReleased is the Retry-After for a key whose earlier attempt was released.
+	retryAfterReleased = 200 * time.Millisecond
+	// recordSlack is added to the service's timeout to cover the writes of the claim and the
+	// record.
 	recordSlack = 5 * time.Second
-	// maxClaims bounds the claims of one attempt over released rows.
+	// maxClaims is the maximum number of claims of one attempt when the key's row is released
+	// repeatedly.
 	maxClaims = 3
 )
 
-// claim writes the booking's row, which permits the dispatch.
+// claim writes the booking's row, which gives the attempt the permission to dispatch.
 func (i *Instance) claim(now time.Time, r *request) {
-	r.phase = claiming
-	r.book.tries++
+	r.phase = phaseClaiming
+	r.book.claims++
 	r.book.record = booking.NewClaim(now, r.attempt, r.BodyHash, r.service.Timeout.D()+recordSlack)
-	i.note(now, r.ID, "claim", "row", r.bookingRow(), "base", r.book.base)
-	i.emit(Commit{Op: opClaim + r.ID, Tx: booking.Put(r.bookingRow(), r.book.base, r.book.record)})
+	i.recordDecision(now, r.ID, "claim", "row", r.bookingRow(), "base", r.book.baseVersion)
+	i.emit(Commit{Op: opClaim + r.ID, Tx: booking.Put(r.bookingRow(), r.book.baseVersion, r.book.record)})
 }
 
 func (r *request) bookingRow() string {
@@ -45,7 +47,7 @@
 
 func (i *Instance) onClaim(now time.Time, id string, res table.Result) {
 	r := i.requests[id]
-	if r == nil || r.phase != claiming {
+	if r == nil || r.phase != phaseClaiming {
 		return
 	}
 	row := res.Find(r.bookingRow())
@@ -54,36 +56,37 @@
 
 func (i *Instance) onFence(now time.Time, id string, res table.Result) {
 	r := i.requests[id]
-	if r == nil || r.phase != fencing {
+	if r == nil || r.phase != phaseFencing {
 		return
 	}
 	row := res.Find(r.bookingRow())
 	i.afterClaim(now, r, booking.AfterFence(now, res, row.Key, r.attempt, r.BodyHash), row)
 }
 
-// afterClaim continues once the row is known, or known to be unreachable.
+// afterClaim performs the step that follows from the result of a claim or fence.
 func (i *Instance) afterClaim(now time.Time, r *request, step booking.Step, row table.Row) {
 	switch step {
 	case booking.Dispatch:
 		r.book.version = row.Version
 		i.dispatchClaimed(now, r)
 	case booking.ClaimAgain:
-		i.claimAgain(now, r, row)
+		i.reclaim(now, r, row)
 	case booking.Fence:
 		i.fence(now, r)
 	case booking.NotRun:
-		i.refuse(now, r, notRun(ReasonStore, retryStore))
+		i.refuse(now, r, notRunFinish(ReasonStore, retryAfterStore))
 	case booking.Renounce:
-		// The claim may still land. This attempt never dispatches, so that
-		// "not run" is true whatever happens to the row.
-		i.renounce(now, r, table.Row{Key: row.Key, Version: r.book.base})
-		i.refuse(now, r, notRun(ReasonStore, retryStore))
+		// The table may still apply the claim. This attempt never dispatches, so
+		// that NotRun is true whatever happens to the row.
+		i.undoClaim(now, r, table.Row{Key: row.Key, Version: r.book.baseVersion})
+		i.refuse(now, r, notRunFinish(ReasonStore, retryAfterStore))
 	default:
 		i.answerFromRow(now, r, step, row)
 	}
 }
 
-// answerFromRow ends or holds a request whose key another attempt has used.
+// answerFromRow finishes a request whose key another attempt has used, or holds the request while
+// that attempt is running.
 func (i *Instance) answerFromRow(now time.Time, r *request, step booking.Step, row table.Row) {
 	switch step {
 	case booking.Replay:
@@ -96,7 +99,7 @@
 	case booking.Await:
 		i.await(now, r, row)
 	case booking.Refuse:
-		f := notRun(ReasonKeyReused, 0)
+		f := notRunFinish(ReasonKeyReused, 0)
 		f.Status = status.UnprocessableEntity
 		i.refuse(now, r, f)
 	default:
@@ -106,37 +109,37 @@
 	}
 }
 
-func notRun(reason string, after time.Duration) Finish {
+// notRunFinish returns the refusal of a booking because of the state of its row or of the table.
+func notRunFinish(reason string, after time.Duration) Finish {
 	return Finish{Status: status.ServiceUnavailable, Reason: reason, Step: "claim", Peer: "table", RetryAfter: after}
 }
 
-// claimAgain claims a key that its previous holder has renounced.
-func (i *Instance) claimAgain(now time.Time, r *request, row table.Row) {
-	if r.book.tries >= maxClaims {
-		i.refuse(now, r, notRun(ReasonReleased, retryReleased))
+// reclaim claims a key that its previous holder has released.
+func (i *Instance) reclaim(now time.Time, r *request, row table.Row) {
+	if r.book.claims >= maxClaims {
+		i.refuse(now, r, notRunFinish(ReasonReleased, retryAfterReleased))
 		return
 	}
-	r.book.base = row.Version
+	r.book.baseVersion = row.Version
 	i.claim(now, r)
 }
 
-// fence settles a claim whose answer was lost. A read would be inconclusive, as the write may
-// land after it. The fence occupies the row, so that the claim has either landed already or
-// never will.
+// fence resolves a claim whose result is unknown. A read would be inconclusive, as the table may
+// apply the claim after it. The fence writes the row, so that the claim either was applied before
+// it or never can be.
 func (i *Instance) fence(now time.Time, r *request) {
-	r.phase = fencing
+	r.phase = phaseFencing
 	i.count("bookings_total", "claim_answer_lost")
-	tx, _ := booking.Undo(now, table.Row{Key: r.bookingRow(), Version: r.book.base}, r.book.base, r.attempt, r.BodyHash)
+	tx, _ := booking.Undo(now, table.Row{Key: r.bookingRow(), Version: r.book.baseVersion}, r.book.baseVersion, r.attempt, r.BodyHash)
 	i.emit(Commit{Op: opFence + r.ID, Tx: tx})
 }
 
-// dispatchClaimed dispatches, unless the grant expired while the table answered: then the
-// claim is released and the call has not run. It also stops holders that were frozen between
-// claim and dispatch.
+// dispatchClaimed dispatches a claimed call. If the grant expired in the meantime, because the
+// table was slow or this instance was frozen, it releases the claim and the call has not run.
 func (i *Instance) dispatchClaimed(now time.Time, r *request) {
-	if now.After(r.run.before) {
+	if now.After(r.run.sendBefore) {
 		i.release(now, r)
-		i.refuse(now, r, notRun(ReasonGrantLapsed, retryReleased))
+		i.refuse(now, r, notRunFinish(ReasonGrantLapsed, retryAfterReleased))
 		return
 	}
 	i.dispatch(now, r)
@@ -146,54 +149,55 @@
 func (i *Instance) release(now time.Time, r *request) {
 	rec := r.book.record
 	rec.State = booking.Released
-	i.writeBack(now, backWrite{tx: booking.Put(r.bookingRow(), r.book.version, rec)})
+	i.writeBack(now, pendingWrite{tx: booking.Put(r.bookingRow(), r.book.version, rec)})
 }
 
-// renounce ensures in the background that a claim that may still land does not occupy the key.
-func (i *Instance) renounce(now time.Time, r *request, row table.Row) {
-	tx, ok := booking.Undo(now, row, r.book.base, r.attempt, r.BodyHash)
+// undoClaim ensures in the background that a claim with an unknown result does not occupy the key.
+func (i *Instance) undoClaim(now time.Time, r *request, row table.Row) {
+	tx, ok := booking.Undo(now, row, r.book.baseVersion, r.attempt, r.BodyHash)
 	if ok {
-		i.writeBack(now, backWrite{tx: tx, undo: true, base: r.book.base, attempt: r.attempt, bodyHash: r.BodyHash})
+		i.writeBack(now, pendingWrite{tx: tx, undo: true, baseVersion: r.book.baseVersion, attempt: r.attempt, bodyHash: r.BodyHash})
 	}
 }
 
-// record stores the service's answer before the caller receives it, for repeats of the key.
+// record stores the service's answer for repeats of the key, before the caller receives it.
 func (i *Instance) record(now time.Time, r *request, f Finish) {
-	r.phase = recording
-	r.book.answer = f
+	r.phase = phaseRecording
+	r.book.pendingFinish = f
 	r.book.record.State, r.book.record.Status, r.book.record.Body = booking.Done, f.Status, f.Body
 	i.endGrant(r, false)
-	i.note(now, r.ID, "record")
+	i.recordDecision(now, r.ID, "record")
 	i.emit(Commit{Op: opRecord + r.ID, Tx: booking.Put(r.bookingRow(), r.book.version, r.book.record)})
 }
 
-// onRecorded answers the caller. A record whose answer was lost is rewritten in the
-// background: without it, repeats of the key would get "unknown".
+// onRecorded finishes the request. If the result of writing the record is unknown, the write is
+// retried in the background; without the record, repeats of the key would end as Unknown.
 func (i *Instance) onRecorded(now time.Time, id string, res table.Result) {
 	r := i.requests[id]
-	if r == nil || r.phase != recording {
+	if r == nil || r.phase != phaseRecording {
 		return
 	}
 	if res.Status != table.Committed {
 		i.count("bookings_total", "record_answer_lost")
-		i.writeBack(now, backWrite{tx: booking.Put(r.bookingRow(), r.book.version, r.book.record)})
+		i.writeBack(now, pendingWrite{tx: booking.Put(r.bookingRow(), r.book.version, r.book.record)})
 	}
-	i.finish(now, r, r.book.answer)
+	i.finish(now, r, r.book.pendingFinish)
 }
 
-// bookingFailed ends a booking whose call failed: released and not run if it cannot have left,
-// otherwise unknown and never retried.
+// bookingFailed ends a booking whose call failed. If the call cannot have reached the upstream,
+// the key is released and the request has not run. Otherwise the outcome is Unknown and the call
+// is never retried.
 func (i *Instance) bookingFailed(now time.Time, r *request, e UpstreamFailed) {
 	f := Finish{Status: status.BadGateway, Reason: ReasonUpstreamCut, Step: e.Step, Peer: r.run.upstream}
 	if !e.Sent {
 		i.release(now, r)
-		f.Status, f.RetryAfter = status.ServiceUnavailable, retryNoHome
+		f.Status, f.RetryAfter = status.ServiceUnavailable, retryAfterNoHome
 		i.refuse(now, r, f)
 		return
 	}
 	f.Outcome = Unknown
 	rec := r.book.record
 	rec.State = booking.Unknown
-	i.writeBack(now, backWrite{tx: booking.Put(r.bookingRow(), r.book.version, rec)})
+	i.writeBack(now, pendingWrite{tx: booking.Put(r.bookingRow(), r.book.version, rec)})
 	i.finish(now, r, f)
 }
--- a/internal/core/bookings_test.go
+++ b/internal/core/bookings_test.go
@@ -14,131 +14,132 @@
 	"mulberrylug.example/mulberrylug/internal/testkit"
 )
 
-// step does one thing to the world; which, follows from the number.
-func (w *bookWorld) step(v int) {
+// randomStep performs the operation that the number v encodes: a booking, a fault of an
+// instance or of the table, the passing of time, or the result of a held call.
+func (sim *simulation) randomStep(v int) {
 	const kinds = 16
 	arg := v / kinds
-	n := w.nodes[arg%len(w.nodes)]
+	n := sim.instances[arg%len(sim.instances)]
 	switch v % kinds {
 	case 0, 1, 2:
-		w.book(n, fmt.Sprint("key-", arg/3%2), fmt.Sprint("body-", arg/6%8/7))
+		sim.book(n, fmt.Sprint("key-", arg/3%2), fmt.Sprint("body-", arg/6%8/7))
 	case 3:
 		n.frozen = true
 	case 4:
-		w.wake(n)
+		sim.unfreeze(n)
 	case 5:
-		if arg%5 == 0 && n != w.nodes[0] {
-			w.kill(n)
+		if arg%5 == 0 && n != sim.instances[0] {
+			sim.kill(n)
 		}
 	case 6:
-		w.advance(time.Duration(arg%40) * 50 * time.Millisecond)
+		sim.advance(time.Duration(arg%40) * 50 * time.Millisecond)
 	case 7:
-		if len(w.late) > 0 {
-			w.table.Apply(w.late[0])
-			w.late = w.late[1:]
+		if len(sim.lateTxs) > 0 {
+			sim.table.Apply(sim.lateTxs[0])
+			sim.lateTxs = sim.lateTxs[1:]
 		}
 	case 8:
-		w.down = arg%3 == 0
+		sim.tableDown = arg%3 == 0
 	default:
-		if len(w.held) > 0 {
-			way := arg / 7 % (2 * ways)
-			if way >= ways {
-				way = wayGood
+		if len(sim.heldCalls) > 0 {
+			result := arg / 7 % (2 * callResults)
+			if result >= callResults {
+				result = callSucceeds
 			}
-			w.decide(arg%len(w.held), way)
+			sim.resolveCall(arg%len(sim.heldCalls), result)
 		}
 	}
 }
 
-// check returns what a promise says against the history, or "".
-func (w *bookWorld) check() string {
+// checkPromises returns a description of a promise that the history violates, or "".
+func (sim *simulation) checkPromises() string {
 	for _, key := range []string{"key-0", "key-1"} {
-		if n := w.runsOf(key); n > 1 {
-			return fmt.Sprintf("promise 4: %s ran %d times", key, n)
+		if n := sim.countRuns(key); n > 1 {
+			return fmt.Sprintf("promise 4: the call with %s ran %d times, want at most 1", key, n)
 		}
 	}
-	for id, ends := range w.finishes {
+	for id, ends := range sim.finishes {
 		if len(ends) > 1 {
-			return fmt.Sprintf("%s ended %d times", id, len(ends))
+			return fmt.Sprintf("request %s ended %d times, want 1", id, len(ends))
 		}
-		if s := w.checkEnd(id, ends[0]); s != "" {
-			return s
+		if violation := sim.checkFinish(id, ends[0]); violation != "" {
+			return violation
 		}
 	}
 	return ""
 }
 
-func (w *bookWorld) checkEnd(id string, f core.Finish) string {
-	req := w.requests[id]
-	for _, r := range w.ran {
+func (sim *simulation) checkFinish(id string, f core.Finish) string {
+	req := sim.requests[id]
+	for _, r := range sim.executions {
 		switch {
 		case f.Outcome == core.NotRun && r.request == id:
-			return fmt.Sprintf("promise 3: %s was told not_run (%s) but ran", id, f.Reason)
+			return fmt.Sprintf("promise 3: request %s ended as not_run (%s) but its call ran", id, f.Reason)
 		case f.Outcome == core.NotRun && r.key == req.IdempotencyKey && r.body == string(req.Body) &&
-			f.Reason != core.ReasonStore && r.at.Before(w.asked[id]):
-			return fmt.Sprintf("promise 3: %s was told not_run (%s) but its key had run before", id, f.Reason)
+			f.Reason != core.ReasonStore && r.at.Before(sim.submittedAt[id]):
+			return fmt.Sprintf("promise 3: request %s ended as not_run (%s) but an earlier call with its key and body had run", id, f.Reason)
 		}
 	}
-	if f.Outcome == core.Done && (w.runsOf(req.IdempotencyKey) != 1 || string(f.Body) != "ran "+string(req.Body)) {
-		return fmt.Sprintf("promise 4: %s got %q for %q", id, f.Body, req.Body)
+	if f.Outcome == core.Done && (sim.countRuns(req.IdempotencyKey) != 1 || string(f.Body) != "ran "+string(req.Body)) {
+		return fmt.Sprintf("promise 4: request %s got the answer %q for the body %q, want the answer of the only call with its key", id, f.Body, req.Body)
 	}
 	return ""
 }
 
-// The callers of three entries use two keys, with two bodies each. Meanwhile
-// entries freeze, wake and die, the table goes down, loses answers and calls
-// and lets writes land late, and calls of the service lose their answers or
-// never leave. A key runs at most once, "not run" is true, each request ends
-// at most once, and what "done" carries is the answer of the one run. At the
-// end every request at a living entry has ended.
+// Guards the promises on bookings against faults at any point. Callers of three entries
+// use two keys with two bodies each. Meanwhile entries freeze, resume and crash; the table
+// becomes unavailable, loses calls and replies, and applies writes late; calls to the
+// service lose their replies or are never sent. A key must run at most once, not_run must
+// be true, each request must end at most once, and a request that is done must have the
+// answer of the only run. Finally, every request at a live entry must have ended.
 func TestPromise4PropertyAtMostOnce(t *testing.T) {
 	p := gopter.NewProperties(testkit.Parameters())
 	p.Property("a booking runs at most once and not_run is true", prop.ForAll(func(steps []int) string {
-		w := newBookWorld(3, "1000.00")
+		sim := newSimulation(3, "1000.00")
 		for _, v := range steps {
-			w.step(v)
-			if s := w.check(); s != "" {
-				return s
+			sim.randomStep(v)
+			if violation := sim.checkPromises(); violation != "" {
+				return violation
 			}
 		}
-		w.down = false
-		w.settleAll()
-		for id := range w.asked {
-			if n := w.nodeOf(id); !n.dead && len(w.finishes[id]) != 1 {
-				return fmt.Sprintf("%s has not ended: %s", id, n.inst.Explain(id))
+		sim.tableDown = false
+		sim.settleAll()
+		for id := range sim.submittedAt {
+			if n := sim.instanceOf(id); !n.dead && len(sim.finishes[id]) != 1 {
+				return fmt.Sprintf("request %s has not ended exactly once: %s", id, n.inst.Explain(id))
 			}
 		}
-		return w.check()
+		return sim.checkPromises()
 	}, gen.SliceOfN(60, gen.IntRange(0, 1<<20))))
 	p.TestingRun(t)
 }
 
-// The core is driven by somebody else's loop. Two worlds that take the same steps
-// must see the same actions in the same order, to the last byte: else a failing
-// order could not be replayed.
+// Guards against nondeterminism in the core. Two simulations with the same steps must
+// produce the same actions in the same order, byte for byte. Otherwise a failing
+// sequence of events could not be replayed.
 func TestSameEventsGiveSameActions(t *testing.T) {
 	p := gopter.NewProperties(testkit.Parameters())
-	p.Property("same actions", prop.ForAll(func(steps []int) bool {
+	p.Property("the same events give the same actions", prop.ForAll(func(steps []int) bool {
 		var traces [2]bytes.Buffer
 		for n := range traces {
-			w := newBookWorld(3, "1000.00")
-			w.trace = &traces[n]
+			sim := newSimulation(3, "1000.00")
+			sim.trace = &traces[n]
 			for k, v := range steps {
-				w.step(v)
+				sim.randomStep(v)
 				if k%4 == 0 {
-					w.generate(w.nodes[v%len(w.nodes)], true)
+					sim.generate(sim.instances[v%len(sim.instances)], true)
 				}
 			}
-			w.down = false
-			w.settleAll()
+			sim.tableDown = false
+			sim.settleAll()
 		}
 		return traces[0].Len() > 0 && bytes.Equal(traces[0].Bytes(), traces[1].Bytes())
 	}, gen.SliceOfN(30, gen.IntRange(0, 1<<20))))
 	p.TestingRun(t)
 }
 
-func (w *bookWorld) nodeOf(id string) *node {
-	for _, n := range w.nodes {
+func (sim *simulation) instanceOf(id string) *simInstance {
+	for _, n := range sim.instances {
 		if len(id) > len(n.name) && id[:len(n.name)+1] == n.name+":" {
 			return n
 		}
@@ -146,69 +147,72 @@
 	return nil
 }
 
-// As above, but no entry dies. Once all is well again, a repeat of a key gets
-// the recorded answer if the key's run was answered, runs now if the key never
-// ran, and is unknown only if the answer of the run was lost: no lost claim,
-// release or record keeps a key.
+// Guards against a lost claim, release or record that blocks a key for good. The faults are
+// those of TestPromise4PropertyAtMostOnce, except that no entry crashes. After all faults
+// have ended, a repeat of a key must get the recorded answer if the key's call was answered,
+// must run if the key never ran, and may be unknown only if the answer of the call was lost.
 func TestPromise4PropertyKeysAreFreedAndRecorded(t *testing.T) {
 	params := testkit.Parameters()
-	params.MaxShrinkCount = 200 // each order lasts a virtual minute
+	params.MaxShrinkCount = 200 // each sequence of steps takes about a minute of virtual time
 	p := gopter.NewProperties(params)
-	p.Property("a key settles", prop.ForAll(func(steps []int) string {
-		w := newBookWorld(3, "1000.00")
+	p.Property("a repeat of a key gets the outcome of the key", prop.ForAll(func(steps []int) string {
+		sim := newSimulation(3, "1000.00")
 		for _, v := range steps {
 			if v%16 != 5 {
-				w.step(v)
+				sim.randomStep(v)
 			}
 		}
-		w.down = false
-		w.settleAll()
+		sim.tableDown = false
+		sim.settleAll()
 		for _, key := range []string{"key-0", "key-1"} {
-			if s := w.checkRepeat(key); s != "" {
-				return s
+			if violation := sim.checkRepeat(key); violation != "" {
+				return violation
 			}
 		}
-		return w.check()
+		return sim.checkPromises()
 	}, gen.SliceOfN(60, gen.IntRange(0, 1<<20))))
 	p.TestingRun(t)
 }
 
-func (w *bookWorld) timedOut(key string) bool {
-	for id, ends := range w.finishes {
-		if w.requests[id].IdempotencyKey == key && ends[0].Outcome == core.Unknown && ends[0].Step == "await" && ends[0].Peer == "desk-1" {
+// awaitTimedOut reports whether the entry stopped waiting for the service on a call with the key.
+func (sim *simulation) awaitTimedOut(key string) bool {
+	for id, ends := range sim.finishes {
+		if sim.requests[id].IdempotencyKey == key && ends[0].Outcome == core.Unknown && ends[0].Step == "await" && ends[0].Peer == "desk-1" {
 			return true
 		}
 	}
 	return false
 }
 
-func (w *bookWorld) checkRepeat(key string) string {
-	w.warm()
+// checkRepeat repeats a key and returns a description of a wrong outcome, or "".
+func (sim *simulation) checkRepeat(key string) string {
+	sim.warmUp()
 	body, answered := "body-0", false
-	before := w.runsOf(key)
-	for _, r := range w.ran {
+	before := sim.countRuns(key)
+	for _, r := range sim.executions {
 		if r.key != key {
 			continue
 		}
 		body = r.body
-		for id, ends := range w.finishes {
+		for id, ends := range sim.finishes {
 			answered = answered || id == r.request && ends[0].Outcome == core.Done
 		}
 	}
-	id := w.book(w.nodes[0], key, body)
-	w.settleAll()
-	if len(w.finishes[id]) != 1 {
-		return fmt.Sprintf("repeat of %s did not end", key)
+	id := sim.book(sim.instances[0], key, body)
+	sim.settleAll()
+	if len(sim.finishes[id]) != 1 {
+		return fmt.Sprintf("repeat of %s did not end exactly once", key)
 	}
-	switch f := w.finishes[id][0]; {
-	case before == 0 && w.timedOut(key):
-		// The entry gave a dispatched call up: it can't know that it never left.
-	case before == 0 && (f.Outcome != core.Done || w.runsOf(key) != 1):
-		return fmt.Sprintf("%s never ran, but its repeat got %s (%s)", key, f.Outcome, f.Reason)
+	switch f := sim.finishes[id][0]; {
+	case before == 0 && sim.awaitTimedOut(key):
+		// The entry's wait for a dispatched call timed out, and it cannot know that the call was
+		// never sent.
+	case before == 0 && (f.Outcome != core.Done || sim.countRuns(key) != 1):
+		return fmt.Sprintf("%s never ran, but its repeat ended as %s (%s), want done by a single run", key, f.Outcome, f.Reason)
 	case before == 1 && answered && f.Outcome != core.Done:
-		return fmt.Sprintf("%s was answered, but its repeat got %s (%s)", key, f.Outcome, f.Reason)
+		return fmt.Sprintf("the call with %s was answered, but its repeat ended as %s (%s), want done", key, f.Outcome, f.Reason)
 	case before == 1 && !answered && f.Outcome != core.Unknown:
-		return fmt.Sprintf("%s lost its answer, but its repeat got %s (%s)", key, f.Outcome, f.Reason)
+		return fmt.Sprintf("the answer of the call with %s was lost, but its repeat ended as %s (%s), want unknown", key, f.Outcome, f.Reason)
 	}
 	return ""
 }
--- a/internal/core/bookwait.go
+++ b/internal/core/bookwait.go
@@ -12,31 +12,32 @@
 	// awaitMin and awaitMax bound the interval between reads of a key held by another attempt.
 	awaitMin = 100 * time.Millisecond
 	awaitMax = time.Second
-	// awaitTimeout is how long a repeat of a key waits for the first call before it is told to
-	// come back.
+	// awaitTimeout is how long a repeat of a key waits for the first call before it ends with a
+	// Retry-After.
 	awaitTimeout = 5 * time.Second
 )
 
-// await holds a repeat of a key whose first call is still running, without occupying anything,
-// and answers it with the recorded outcome.
+// await holds a repeat of a key whose first call may still be running, until the outcome is
+// recorded or awaitTimeout has passed. The repeat holds no reservation and no grant meanwhile.
 func (i *Instance) await(now time.Time, r *request, row table.Row) {
-	if r.phase != awaiting {
+	if r.phase != phaseAwaiting {
 		i.settle(r, Finish{Outcome: NotRun})
 		i.endGrant(r, false)
-		r.phase = awaiting
-		r.book.awaitEnd = now.Add(awaitTimeout)
-		r.book.pause = awaitMin
+		r.phase = phaseAwaiting
+		r.book.awaitDeadline = now.Add(awaitTimeout)
+		r.book.awaitInterval = awaitMin
 		i.count("bookings_total", "awaited")
 	}
-	if !now.Before(r.book.awaitEnd) {
+	if !now.Before(r.book.awaitDeadline) {
 		i.answerInProgress(now, r, row)
 		return
 	}
-	i.wakeAt(r, now.Add(r.book.pause))
-	r.book.pause = min(2*r.book.pause, awaitMax)
+	i.wakeAt(r, now.Add(r.book.awaitInterval))
+	r.book.awaitInterval = min(2*r.book.awaitInterval, awaitMax)
 }
 
-// answerInProgress tells a repeat when the first call must have ended.
+// answerInProgress ends a repeat with the time until the first call must have ended as its
+// Retry-After.
 func (i *Instance) answerInProgress(now time.Time, r *request, row table.Row) {
 	after := awaitMax
 	if rec, err := booking.Decode(row.Value); err == nil {
@@ -48,13 +49,13 @@
 	})
 }
 
-func (i *Instance) awaitTimeout(r *request) {
+func (i *Instance) pollAwaited(r *request) {
 	i.emit(Read{Op: opAwait + r.ID, Keys: []string{r.bookingRow()}})
 }
 
 func (i *Instance) onAwait(now time.Time, id string, e ReadResult) {
 	r := i.requests[id]
-	if r == nil || r.phase != awaiting {
+	if r == nil || r.phase != phaseAwaiting {
 		return
 	}
 	row := table.Result{Rows: e.Rows}.Find(r.bookingRow())
@@ -64,47 +65,47 @@
 	}
 	step := booking.AfterRow(now, row, r.attempt, r.BodyHash)
 	if step == booking.ClaimAgain {
-		i.refuse(now, r, notRun(ReasonReleased, retryReleased))
+		i.refuse(now, r, notRunFinish(ReasonReleased, retryAfterReleased))
 		return
 	}
 	i.answerFromRow(now, r, step, row)
 }
 
-// lookUpFirst reads the key of a booking that is about to be refused before its claim, and
-// reports whether the refusal has to wait. An earlier call under the key may have run: its
-// repeat must get that outcome rather than "not run". While the table is unavailable, the
-// refusal refers to this request only.
-func (i *Instance) lookUpFirst(now time.Time, r *request, f *Finish) bool {
-	if !r.NotRepeatable || r.service == nil || r.IdempotencyKey == "" || r.book.tries > 0 || r.book.looked {
+// lookUpBeforeRefusal reads the row of a booking that is about to be refused before its claim,
+// and reports whether the refusal must wait for that row. An earlier call with the key may have
+// run; then the repeat must get its outcome instead of NotRun. While the table is unavailable,
+// the request is refused with ReasonStore, where NotRun refers to this request only.
+func (i *Instance) lookUpBeforeRefusal(now time.Time, r *request, f *Finish) bool {
+	if !r.NotRepeatable || r.service == nil || r.IdempotencyKey == "" || r.book.claims > 0 || r.book.lookedUp {
 		return false
 	}
-	if i.store.down() {
-		*f = notRun(ReasonStore, retryStore)
+	if i.tableHealth.down() {
+		*f = notRunFinish(ReasonStore, retryAfterStore)
 		f.Outcome = NotRun
 		return false
 	}
 	i.settle(r, *f)
 	i.endGrant(r, false)
-	r.book.looked = true
-	r.book.answer = *f
-	r.phase = lookingUp
-	i.note(now, r.ID, "look_up", "refusal", f.Reason)
+	r.book.lookedUp = true
+	r.book.pendingFinish = *f
+	r.phase = phaseLookingUp
+	i.recordDecision(now, r.ID, "look_up", "refusal", f.Reason)
 	i.emit(Read{Op: opLookUp + r.ID, Keys: []string{r.bookingRow()}})
 	return true
 }
 
 func (i *Instance) onLookUp(now time.Time, id string, e ReadResult) {
 	r := i.requests[id]
-	if r == nil || r.phase != lookingUp {
+	if r == nil || r.phase != phaseLookingUp {
 		return
 	}
 	row := table.Result{Rows: e.Rows}.Find(r.bookingRow())
 	step := booking.AfterRow(now, row, r.attempt, r.BodyHash)
 	switch {
 	case !e.OK:
-		i.refuse(now, r, notRun(ReasonStore, retryStore))
+		i.refuse(now, r, notRunFinish(ReasonStore, retryAfterStore))
 	case step == booking.ClaimAgain:
-		i.refuse(now, r, r.book.answer)
+		i.refuse(now, r, r.book.pendingFinish)
 	default:
 		i.answerFromRow(now, r, step, row)
 	}
--- /dev/null
+++ b/internal/core/configpoll.go
@@ -0,0 +1,137 @@
+package core
+
+import (
+	"maps"
+	"slices"
+	"strconv"
+	"time"
+
+	"mulberrylug.example/mulberrylug/internal/core/msg"
+)
+
+// configQuery is a pending query for the version in force. It was sent to the instance to, or is
+// a read of the table if to is empty.
+type configQuery struct {
+	to     string
+	sentAt time.Time
+}
+
+// configReply is the last reply of a polled instance: when its query was sent, and whether that
+// instance cannot reach the table either.
+type configReply struct {
+	askedAt   time.Time
+	tableDown bool
+}
+
+// readers lists the instances that read ConfigRow for a data centre, in rendezvous order.
+func (i *Instance) readers(now time.Time, dataCentre string) []string {
+	var out []string
+	for _, name := range i.view.Homes(now, "config/"+dataCentre, configReaders, func(dc string) int {
+		if dc == dataCentre {
+			return 0
+		}
+		return 1
+	}) {
+		if m, _ := i.view.Member(name); m.DataCentre == dataCentre {
+			out = append(out, name)
+		}
+	}
+	if len(out) == 0 { // this instance is draining and is the only one in its data centre
+		return []string{i.self}
+	}
+	return out
+}
+
+// pollAllDataCentres polls the readers of every data centre.
+func (i *Instance) pollAllDataCentres(now time.Time) {
+	asked := map[string]bool{i.self: true}
+	seen := map[string]bool{}
+	for _, name := range i.view.Entries() {
+		m, _ := i.view.Member(name)
+		if seen[m.DataCentre] {
+			continue
+		}
+		seen[m.DataCentre] = true
+		for _, reader := range i.otherReaders(now, m.DataCentre) {
+			if !asked[reader] {
+				asked[reader] = true
+				i.pollReader(now, reader)
+			}
+		}
+	}
+}
+
+// otherReaders lists the readers of a data centre without this instance. If this instance is a
+// reader, the next instance in rendezvous order takes its place.
+func (i *Instance) otherReaders(now time.Time, dataCentre string) []string {
+	var out []string
+	for _, name := range i.view.Homes(now, "config/"+dataCentre, configReaders+1, func(dc string) int {
+		if dc == dataCentre {
+			return 0
+		}
+		return 1
+	}) {
+		if m, _ := i.view.Member(name); m.DataCentre == dataCentre && name != i.self {
+			out = append(out, name)
+		}
+	}
+	return out[:min(len(out), configReaders)]
+}
+
+// startQuery registers a query and returns its number.
+func (i *Instance) startQuery(now time.Time, to string) int64 {
+	f := &i.configs
+	f.lastQuery++
+	f.queries[f.lastQuery] = configQuery{to: to, sentAt: now}
+	return f.lastQuery
+}
+
+func (i *Instance) readConfigRow(now time.Time) {
+	i.configs.lastRead = now
+	n := i.startQuery(now, "")
+	i.emit(Read{Op: opConfig + strconv.FormatInt(n, 10), Keys: []string{ConfigRow}})
+}
+
+func (i *Instance) pollReader(now time.Time, reader string) {
+	n := i.startQuery(now, reader)
+	i.send(reader, msg.ConfigAsk{Ask: n, Address: i.selfMember().PeerAddress})
+}
+
+// expireQueries removes queries that timed out and replies that are too old. A reader that did
+// not reply is marked as silent, which also resets the connection to it.
+func (i *Instance) expireQueries(now time.Time) {
+	for _, n := range slices.Sorted(maps.Keys(i.configs.queries)) {
+		c := i.configs.queries[n]
+		if now.Sub(c.sentAt) < pollTimeout {
+			continue
+		}
+		if c.to != "" {
+			delete(i.configs.queries, n)
+			i.count("config_asks_lost_total", c.to)
+			i.markSilent(now, c.to)
+		} else if now.Sub(c.sentAt) > confirmTTL {
+			delete(i.configs.queries, n)
+		}
+	}
+	recent := map[string]bool{}
+	for name, a := range i.configs.replies {
+		if m, _ := i.view.Member(name); now.Sub(a.askedAt) <= staleAfter {
+			recent[m.DataCentre] = true
+		}
+		if now.Sub(a.askedAt) > confirmTTL {
+			delete(i.configs.replies, name)
+		}
+	}
+	maps.DeleteFunc(i.configs.respondingSince, func(dc string, _ time.Time) bool { return !recent[dc] })
+}
+
+// takeQuery removes the query with a number that was sent to an instance, and returns its send
+// time. ok is false if there is no such query.
+func (f *configSync) takeQuery(n int64, from string) (at time.Time, ok bool) {
+	c, ok := f.queries[n]
+	if !ok || c.to != from {
+		return time.Time{}, false
+	}
+	delete(f.queries, n)
+	return c.sentAt, true
+}
--- a/internal/core/cordon_test.go
+++ b/internal/core/cordon_test.go
@@ -8,34 +8,35 @@
 	"mulberrylug.example/mulberrylug/internal/core/msg"
 )
 
-// An entry hears of a cordon before the home of the pool does, which grants an engine there.
-// The entry must give the grant back; once the home knows, too, the caller is told at once.
-func TestAGrantForACordonedUpstreamIsGivenBack(t *testing.T) {
-	foreign := 0
+// Guards against dispatching to a cordoned upstream. The entry receives the cordon before the
+// pool's home does, so the home still grants an upstream in the cordoned data centre. The entry
+// must return the grant, and refuse the request as soon as the home has the cordon, too.
+func TestGrantForCordonedUpstreamIsReturned(t *testing.T) {
+	runsBeforeUpdate := 0
 	for k := range 2 {
-		w := newBookWorld(2, "1.00")
-		w.warmEngines()
-		entry, other := w.nodes[k], w.nodes[1-k]
-		told := msg.ConfigTold{Number: 2, Hash: w.hash, Cordoned: []string{"kochi-a"}}
-		w.give(entry, core.PeerMessage{From: other.name, Msg: told})
+		sim := newSimulation(2, "1.00")
+		sim.warmUpEngines()
+		entry, other := sim.instances[k], sim.instances[1-k]
+		update := msg.ConfigTold{Number: 2, Hash: sim.hash, Cordoned: []string{"kochi-a"}}
+		sim.handle(entry, core.PeerMessage{From: other.name, Msg: update})
 		if !entry.inst.Cordons().Has("kochi-a") {
-			t.Fatal("the entry does not know of the cordon")
+			t.Fatal("the entry has not applied the cordon that it received")
 		}
-		id := w.generate(entry, true)
-		w.advance(worldTick)
-		if d := w.take(id); d != nil {
-			t.Errorf("dispatched to %s, which is cordoned", d.Upstream)
+		id := sim.generate(entry, true)
+		sim.advance(simTick)
+		if d := sim.takeDispatch(id); d != nil {
+			t.Errorf("request dispatched to %s in a cordoned data centre, want no dispatch", d.Upstream)
 		}
 		if !other.inst.Cordons().Has("kochi-a") {
-			foreign++
+			runsBeforeUpdate++
 		}
-		w.give(other, core.PeerMessage{From: entry.name, Msg: told})
-		w.advance(time.Second)
-		if f := w.end(id); f.Outcome != core.NotRun || f.Reason != "cordoned" || f.RetryAfter == 0 {
-			t.Errorf("ended as %+v, want refused as cordoned with a time to come back", f)
+		sim.handle(other, core.PeerMessage{From: entry.name, Msg: update})
+		sim.advance(time.Second)
+		if f := sim.finishOf(id); f.Outcome != core.NotRun || f.Reason != "cordoned" || f.RetryAfter == 0 {
+			t.Errorf("finish = %+v, want outcome not_run, reason cordoned and a Retry-After", f)
 		}
 	}
-	if foreign == 0 {
-		t.Error("the other instance knew at once each time: the test shows nothing")
+	if runsBeforeUpdate == 0 {
+		t.Error("the other instance had the cordon right after the request in both runs, want at least one run without it: otherwise the test shows nothing")
 	}
 }
--- a/internal/core/cordons.go
+++ b/internal/core/cordons.go
@@ -9,7 +9,7 @@
 	"mulberrylug.example/mulberrylug/internal/core/cordon"
 )
 
-// setCordons applies the cordons of the version in force.
+// setCordons applies the cordons of the version in force to the pools whose home this instance is.
 func (i *Instance) setCordons(now time.Time, s cordon.Set) {
 	before := i.cordons
 	i.cordons = s
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -2,16 +2,22 @@
 // events and returns typed actions; it does no I/O, starts no goroutine and
 // reads no clock. The same seed and events give the same actions.
 //
-// One file holds one concern: entry.go accepts requests, reserve.go and
-// place.go obtain what a request needs, run.go follows its attempts, resume.go
-// reads on from them after a cut, failure.go tries again. book.go, bookwait.go
-// and writeback.go guard calls that may not be repeated, sweep.go deletes their
-// old records, store.go remembers an outage. poolhome.go and orghome.go are the
-// roles that this instance has for others: verdict.go and strikes.go stop
-// requests that crash upstreams, orphans.go ends what nobody follows, orders.go
-// gives upstreams their orders. follow.go and adopt.go follow the
-// configuration, cordons.go tells where a request must not run, and drain.go leaves
-// without cutting anything off.
+// Each file holds one concern:
+//
+//   - Requests at their entry: entry.go accepts them, reserve.go reserves budget,
+//     place.go obtains a grant for an upstream, run.go runs the attempts, resume.go
+//     resumes generations after a lost connection, failure.go retries.
+//   - Calls that may not be repeated: book.go claims and records them, bookwait.go
+//     answers repeats of their keys, writeback.go retries writes of their rows in the
+//     background, sweep.go deletes expired rows, tablehealth.go detects an outage of
+//     the table.
+//   - Roles for other instances: poolhome.go and orghome.go are the homes of pools and
+//     organisations. guard.go, verdict.go and strikes.go stop requests that crash
+//     upstreams, avoid.go avoids upstreams that fail every request, orphans.go cancels
+//     generations that no entry follows, orders.go sends upstreams their orders.
+//   - The instance itself: configsync.go, configpoll.go and configadopt.go keep the
+//     configuration current, cordons.go applies cordons, drain.go leaves without
+//     cutting off a request, explain.go records decisions.
 package core
 
 import (
@@ -33,9 +39,9 @@
 // Options are the parameters of an instance.
 type Options struct {
 	Self membership.Member
-	// Boot is unique to this run.
+	// Boot identifies this run of the instance's process.
 	Boot string
-	// Seed feeds the jitter of retries.
+	// Seed initialises the jitter of retries.
 	Seed uint64
 	// Without lists disabled mechanisms.
 	Without mechanism.Set
@@ -50,9 +56,9 @@
 	without mechanism.Set
 
 	version *config.Version
-	// cordons are those of the version in force.
+	// cordons are the cordons of the configuration version in force.
 	cordons cordon.Set
-	follow  follower
+	configs configSync
 
 	requests map[string]*request
 	timers   timers
@@ -60,21 +66,21 @@
 
 	pools map[string]*poolHome
 	// poolNames lists the pools in a fixed order.
-	poolNames []string
-	lengths   *placement.Lengths
-	orgs      *budget.Home
-	suspects  *suspect.List
-	strikes   strikeSync
-	ring      ring
-	drain     drainer
-	beats     beats
-	store     store
-	backs     writeBacks
-	sweep     sweeper
-	tidied    time.Time
-
-	// out collects the actions of the current event, local the messages to
-	// this instance itself.
+	poolNames      []string
+	lengths        *placement.Lengths
+	orgs           *budget.Home
+	suspects       *suspect.List
+	strikes        strikeSync
+	ring           ring
+	drain          drainer
+	announcer      announcer
+	tableHealth    tableHealth
+	writeBacks     writeBacks
+	sweep          sweeper
+	budgetsChecked time.Time
+
+	// out collects the actions of the current event, local the messages that
+	// this instance sends to itself.
 	out   []Action
 	local []msg.Message
 }
@@ -84,7 +90,7 @@
 	return &Instance{
 		self: o.Self.Name, boot: o.Boot, without: o.Without,
 		view:     membership.NewView(o.Self),
-		follow:   newFollower(o.Boot),
+		configs:  newConfigSync(o.Boot),
 		requests: map[string]*request{},
 		retries:  retry.NewBudgets(o.Seed),
 		pools:    map[string]*poolHome{},
@@ -208,8 +214,8 @@
 	})
 	i.tickPools(now)
 	i.tickStrikes(now)
-	i.tickFollow(now)
-	i.tickBeats(now)
+	i.tickConfig(now)
+	i.tickAnnouncements(now)
 	i.tickBudgets(now)
 	i.tickWriteBacks(now)
 	i.tickSweep(now)
@@ -241,7 +247,7 @@
 	}
 }
 
-// sortedNames returns a map's keys in order, which makes iteration deterministic.
+// sortedNames returns a map's keys in ascending order, for deterministic iteration.
 func sortedNames[V any](m map[string]V) []string {
 	return slices.Sorted(maps.Keys(m))
 }
--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -10,22 +10,22 @@
 const (
 	// leavingInterval is the interval of a draining instance's announcements.
 	leavingInterval = 500 * time.Millisecond
-	// leaveLag is how long after the start of a drain lagging instances may still send callers
-	// here, in addition to the lifetime of entry answers.
-	leaveLag = 5 * time.Second
+	// listLag is how long after the start of a drain instances with a lagging instance list may
+	// still name this instance in entry answers. The TTL of these answers comes in addition.
+	listLag = 5 * time.Second
 )
 
 // drainer is the state of a drain.
 type drainer struct {
-	since time.Time
-	told  time.Time
-	// closed is set once nothing runs and no valid entry answer names this instance: later
-	// callers are refused as not run.
+	since       time.Time
+	announcedAt time.Time
+	// closed is set once no request is in progress and no valid entry answer names this instance.
+	// Later requests are refused as NotRun.
 	closed bool
 }
 
-// onDrain removes the instance from entry answers. It continues to serve while earlier answers
-// are valid.
+// onDrain starts the drain. The instance is no longer named in entry answers, and continues to
+// serve while earlier answers are valid.
 func (i *Instance) onDrain(now time.Time) {
 	if !i.drain.since.IsZero() {
 		return
@@ -36,9 +36,9 @@
 	i.announceLeaving(now)
 }
 
-// announceLeaving announces the drain to all instances, as the list lags.
+// announceLeaving announces the drain to all instances, as their instance lists lag.
 func (i *Instance) announceLeaving(now time.Time) {
-	i.drain.told = now
+	i.drain.announcedAt = now
 	i.broadcast(msg.Leaving{})
 }
 
@@ -46,20 +46,20 @@
 	if i.drain.since.IsZero() || i.drain.closed {
 		return
 	}
-	if now.Sub(i.drain.told) >= leavingInterval {
+	if now.Sub(i.drain.announcedAt) >= leavingInterval {
 		i.announceLeaving(now)
 	}
-	if now.Sub(i.drain.since) < i.entryTTL()+leaveLag || i.unfinished(now) {
+	if now.Sub(i.drain.since) < i.entryTTL()+listLag || i.unfinished(now) {
 		return
 	}
 	i.drain.closed = true
 	i.emit(Exit{})
 }
 
-// unfinished reports whether an exit would lose something: a request, a booking's record, a
-// chunk being returned.
+// unfinished reports whether an exit would lose a request, a pending write of a booking's row or
+// the return of a chunk.
 func (i *Instance) unfinished(now time.Time) bool {
-	return len(i.requests) > 0 || i.writeBacksWait(now) || i.orgs.Moving()
+	return len(i.requests) > 0 || i.hasRecentWriteBacks(now) || i.orgs.Moving()
 }
 
 func (i *Instance) entryTTL() time.Duration {
@@ -72,16 +72,16 @@
 // Leaving reports whether the instance is draining.
 func (i *Instance) Leaving() bool { return !i.drain.since.IsZero() }
 
-// Entries answers a caller that asks where to connect.
+// Entries is the answer to a caller's query for instances to connect to. TTL is its validity.
 type Entries struct {
 	Addresses []string
 	TTL       time.Duration
 }
 
-// Entries lists callers' addresses of live instances, those of this data centre first.
-// Instances that do not answer others are omitted unless none would remain. Callers of an
-// organisation that is confined to regions get instances in these and in this one's region
-// only.
+// Entries lists the addresses for callers of live instances, those of this data centre first.
+// Instances that did not reply to this one recently are omitted unless none would remain.
+// Callers of an organisation that is restricted to some regions get only instances in these
+// regions and in the region of this instance.
 func (i *Instance) Entries(now time.Time, apiKey string) Entries {
 	e := Entries{TTL: i.entryTTL()}
 	own := i.selfMember().DataCentre
@@ -105,7 +105,7 @@
 	return e
 }
 
-// mayConnect reports whether callers with a key may be sent to instances in a data centre.
+// mayConnect reports whether callers with an API key may connect to instances in a data centre.
 func (i *Instance) mayConnect(apiKey, dataCentre string) bool {
 	if i.version == nil || apiKey == "" {
 		return true
--- a/internal/core/drain_test.go
+++ b/internal/core/drain_test.go
@@ -13,79 +13,79 @@
 	"mulberrylug.example/mulberrylug/internal/testkit"
 )
 
-// Two of three entries drain while callers stream and book through them, the
-// table goes down, loses answers and lets writes land late, entries freeze, and
-// calls of the service break. An entry ends only when each of its requests has
-// its answer: an exit before that would cut it off.
+// Guards against a draining entry that exits before all its requests have finished.
+// Two of three entries drain during generations and bookings, while entries freeze,
+// calls to the service fail, and the table becomes unavailable, loses replies and
+// applies writes late.
 func TestPromise6PropertyExitCutsOffNothing(t *testing.T) {
-	exits := 0
+	totalExits := 0
 	p := gopter.NewProperties(testkit.Parameters())
-	p.Property("an exit cuts off nothing", prop.ForAll(func(steps []int) string {
-		w := newBookWorld(3, "1000.00")
+	p.Property("no request is unfinished when its entry exits", prop.ForAll(func(steps []int) string {
+		sim := newSimulation(3, "1000.00")
 		for k, v := range steps {
-			w.step(v)
+			sim.randomStep(v)
 			if k%3 == 0 {
-				w.generate(w.nodes[v/7%len(w.nodes)], v%2 == 0)
+				sim.generate(sim.instances[v/7%len(sim.instances)], v%2 == 0)
 			}
 			if k%10 == 5 {
-				w.give(w.nodes[v/5%2], core.Drain{})
+				sim.handle(sim.instances[v/5%2], core.Drain{})
 			}
 			if k%10 == 9 {
-				w.advance(3 * time.Second)
+				sim.advance(3 * time.Second)
 			}
 		}
-		w.down = false
-		w.finishAll()
-		exits += w.exits
-		if len(w.cut) > 0 {
-			return fmt.Sprintf("cut off: %v", w.cut)
+		sim.tableDown = false
+		sim.finishAll()
+		totalExits += sim.exitCount
+		if len(sim.cutOff) > 0 {
+			return fmt.Sprintf("requests unfinished at the exit of their entry = %v, want none", sim.cutOff)
 		}
 		return ""
 	}, gen.SliceOfN(40, gen.IntRange(0, 1<<20))))
 	p.TestingRun(t)
-	if exits == 0 {
-		t.Error("no entry ever ended: nothing was tested")
+	if totalExits == 0 {
+		t.Error("no entry exited in any run, so that nothing was tested")
 	}
-	t.Logf("exits=%d", exits)
+	t.Logf("exits=%d", totalExits)
 }
 
-// finishAll lets every call end, and draining entries with them.
-func (w *bookWorld) finishAll() {
+// finishAll completes every call and advances time until draining entries have exited.
+func (sim *simulation) finishAll() {
 	for range 8 {
-		for len(w.held) > 0 {
-			h := w.held[0]
+		for len(sim.heldCalls) > 0 {
+			h := sim.heldCalls[0]
 			if h.dispatch != nil && h.dispatch.Engine {
-				w.held = w.held[1:]
-				w.produce(h.node, h.dispatch, h.dispatch.From, 3, true)
+				sim.heldCalls = sim.heldCalls[1:]
+				sim.produce(h.owner, h.dispatch, h.dispatch.From, 3, true)
 				continue
 			}
-			w.decide(0, wayGood)
+			sim.resolveCall(0, callSucceeds)
 		}
-		w.settleAll()
+		sim.settleAll()
 	}
-	w.advance(9 * time.Second)
+	sim.advance(9 * time.Second)
 }
 
-// An entry with nothing to do drains. Another instance that did not hear of it
-// goes on naming it to callers, for as long as its instance list lags, and these
-// keep the answer for a while. An entry that ended as soon as it was idle would
-// refuse their connections. It serves on for that time, and ends after it.
-func TestPromise6AnIdleEntryServesKeptAnswers(t *testing.T) {
-	w := newBookWorld(3, "1000.00")
-	w.finishAll() // the world begins with a request
-	leaving := w.nodes[0]
-	w.give(leaving, core.Drain{})
+// Guards against a draining entry that exits as soon as it is idle. Another instance
+// that missed the announcement of the drain names the entry to callers while its
+// instance list lags, and callers use that entry answer for its TTL. Their
+// connections would be refused. The entry must serve until then, and exit afterwards.
+func TestPromise6IdleDrainingEntryServesUntilEntryAnswersExpire(t *testing.T) {
+	sim := newSimulation(3, "1000.00")
+	sim.finishAll() // the simulation starts with warm-up requests
+	leaving := sim.instances[0]
+	sim.handle(leaving, core.Drain{})
 	const listLag = 5 * time.Second
-	w.advance(listLag - 100*time.Millisecond)
-	if w.exits != 0 {
-		t.Fatal("the entry ended while callers could still hold its address")
+	sim.advance(listLag - 100*time.Millisecond)
+	if sim.exitCount != 0 {
+		t.Fatal("the entry exited while callers could still hold a valid entry answer with its address")
 	}
-	w.generate(leaving, true)
-	w.finishAll()
-	if len(w.cut) > 0 {
-		t.Errorf("cut off: %v", w.cut)
+	sim.generate(leaving, true)
+	sim.finishAll()
+	if len(sim.cutOff) > 0 {
+		t.Errorf("requests unfinished at the exit of their entry = %v, want none", sim.cutOff)
 	}
-	if w.exits != 1 {
-		t.Errorf("%d entries ended, want the leaving one", w.exits)
+	if sim.exitCount != 1 {
+		t.Errorf("entries that exited = %d, want only the draining one", sim.exitCount)
 	}
 }
--- a/internal/core/entry.go
+++ b/internal/core/entry.go
@@ -8,7 +8,7 @@
 	"mulberrylug.example/mulberrylug/internal/core/suspect"
 )
 
-// Refusal reasons at the entry.
+// Reasons of refusals at the entry.
 const (
 	ReasonNotReady       = "not_ready"
 	ReasonUnconfirmed    = "config_unconfirmed"
@@ -23,8 +23,8 @@
 	ReasonPoison         = "poison"
 )
 
-// retryNotReady is the Retry-After while there is no configuration.
-const retryNotReady = time.Second
+// retryAfterNotReady is the Retry-After while there is no configuration.
+const retryAfterNotReady = time.Second
 
 // onRequest accepts or refuses a request.
 func (i *Instance) onRequest(now time.Time, e CallerRequest) {
@@ -34,15 +34,15 @@
 		i.refuse(now, r, *f)
 		return
 	}
-	i.note(now, r.ID, "accepted", "organisation", r.org.Name, "service", r.service.Name, "prompt", r.Prompt, "max", r.MaxTokens)
+	i.recordDecision(now, r.ID, "accepted", "organisation", r.org.Name, "service", r.service.Name, "prompt", r.Prompt, "max", r.MaxTokens)
 	i.startAttempt(now, r)
 }
 
-// admit checks a request against the configuration; nil means accepted.
+// admit checks a request against the configuration. It returns nil if the request is accepted.
 func (i *Instance) admit(now time.Time, r *request) *Finish {
-	if reason := i.unready(now); reason != "" {
+	if reason := i.notReadyReason(now); reason != "" {
 		r.resolve()
-		return &Finish{Status: status.ServiceUnavailable, Reason: reason, Step: "admit", RetryAfter: retryNotReady}
+		return &Finish{Status: status.ServiceUnavailable, Reason: reason, Step: "admit", RetryAfter: retryAfterNotReady}
 	}
 	if f := r.authenticate(); f != nil {
 		return f
@@ -57,14 +57,15 @@
 		wait := i.suspects.Until(r.Fingerprint).Sub(now)
 		return &Finish{Status: status.UnprocessableEntity, Reason: ReasonPoison, Step: "admit", RetryAfter: wait}
 	}
-	if r.NotRepeatable && i.store.down() {
-		return &Finish{Status: status.ServiceUnavailable, Reason: ReasonStore, Step: "admit", Peer: "table", RetryAfter: retryStore}
+	if r.NotRepeatable && i.tableHealth.down() {
+		return &Finish{Status: status.ServiceUnavailable, Reason: ReasonStore, Step: "admit", Peer: "table", RetryAfter: retryAfterStore}
 	}
 	return nil
 }
 
-// resolve looks up organisation and service as far as known, so that a repeat of a booking's
-// key gets its outcome even from an instance that accepts nothing new.
+// resolve sets the organisation and service of a call that may not be repeated, as far as they
+// are known. A repeat of a booking's key then gets the key's outcome even from an instance that
+// accepts no new requests.
 func (r *request) resolve() {
 	if r.NotRepeatable && r.authenticate() == nil {
 		r.findService()
@@ -73,7 +74,7 @@
 
 func (r *request) authenticate() *Finish {
 	if r.version == nil {
-		return &Finish{Status: status.ServiceUnavailable, Reason: ReasonNotReady, Step: "admit", RetryAfter: retryNotReady}
+		return &Finish{Status: status.ServiceUnavailable, Reason: ReasonNotReady, Step: "admit", RetryAfter: retryAfterNotReady}
 	}
 	r.org = r.version.OrganisationByKey(r.APIKey)
 	if r.org == nil {
@@ -101,12 +102,12 @@
 }
 
 func (r *request) checkLimits() *Finish {
-	most := r.org.Limits.MaxOutputTokens
-	if r.MaxTokens < 0 || r.MaxTokens > most {
+	maxTokens := r.org.Limits.MaxOutputTokens
+	if r.MaxTokens < 0 || r.MaxTokens > maxTokens {
 		return &Finish{Status: status.BadRequest, Reason: ReasonMaxTokens, Step: "admit"}
 	}
 	if r.MaxTokens == 0 {
-		r.MaxTokens = most
+		r.MaxTokens = maxTokens
 	}
 	if r.NotRepeatable && r.IdempotencyKey == "" {
 		return &Finish{Status: status.BadRequest, Reason: ReasonNoKey, Step: "admit"}
--- a/internal/core/event.go
+++ b/internal/core/event.go
@@ -10,12 +10,12 @@
 	"mulberrylug.example/mulberrylug/internal/core/table"
 )
 
-// Event is something that happened; Instance.Handle takes one at a time.
+// Event is an input of the instance. Instance.Handle processes one event at a time.
 type Event interface{ event() }
 
 // CallerRequest is a new request of a caller.
 type CallerRequest struct {
-	// ID is unique in the fleet: instance name, boot and a count.
+	// ID is unique in the fleet. It consists of the instance name, its boot and a counter.
 	ID     string
 	APIKey string
 	// Model is set for generations, Service for plain calls.
@@ -25,15 +25,16 @@
 	Method string
 	Path   string
 	Body   []byte
-	// Stream asks for tokens as they come; otherwise the answer is whole.
+	// Stream requests delivery token by token; otherwise the complete answer is delivered at once.
 	Stream bool
-	// Prompt is the prompt's length in tokens, MaxTokens the caller's bound
-	// on the answer, 0 for the organisation's own limit.
+	// Prompt is the length of the prompt in tokens. MaxTokens is the caller's limit on
+	// output tokens, 0 for the organisation's limit.
 	Prompt    int
 	MaxTokens int
-	// Prefix holds chained hashes of the prompt's blocks.
+	// Prefix holds chained hashes of the prompt's blocks, for prefix affinity.
 	Prefix []uint64
-	// Fingerprint hashes the body, BodyHash does so collision-free.
+	// Fingerprint is a 64-bit hash of the body, 0 for none. BodyHash is a collision-resistant
+	// hash of the body.
 	Fingerprint    uint64
 	BodyHash       string
 	IdempotencyKey string
@@ -41,7 +42,7 @@
 	NotRepeatable bool
 }
 
-// CallerResume asks for the rest of a stream that was cut.
+// CallerResume is a request for the rest of a stream whose connection was lost.
 type CallerResume struct {
 	ID     string
 	APIKey string
@@ -49,7 +50,7 @@
 	LastEventID string
 }
 
-// CallerGone tells that a caller's connection has ended early.
+// CallerGone reports that a caller's connection has ended before the answer was complete.
 type CallerGone struct{ ID string }
 
 // PeerMessage is a message from another instance.
@@ -62,38 +63,37 @@
 type UpstreamToken struct {
 	Request string
 	Attempt string
-	// Link is the Dispatch's: what an earlier connection still brings is late.
+	// Link is the Link of the Dispatch. Events of an earlier connection are late.
 	Link int
-	// Boot is the engine's run, as its answer names it.
+	// Boot identifies the run of the engine's process, as stated in its answer.
 	Boot  string
 	Index int
 	Text  string
 }
 
-// UpstreamAlive tells that an attempt's connection carried a keep-alive.
+// UpstreamAlive reports a keep-alive on an attempt's connection.
 type UpstreamAlive struct {
 	Request string
 	Attempt string
 	Link    int
 }
 
-// UpstreamEnd tells that a generation is complete with Tokens tokens.
+// UpstreamEnd reports the end of a generation. Tokens is the number of tokens it produced.
 type UpstreamEnd struct {
 	Request string
 	Attempt string
 	Link    int
 	Boot    string
 	Tokens  int
-	// Reason is the engine's finish reason: "stop", "length" or, for a
-	// generation that was cancelled, FinishCancelled.
+	// Reason is the engine's finish reason: "stop", "length" or FinishCancelled.
 	Reason string
 }
 
-// FinishCancelled is the finish reason of a generation that was cancelled. Its
-// tokens were produced, and cost, but the answer is not whole.
+// FinishCancelled is the finish reason of a generation that was cancelled. The
+// tokens produced until then are charged, but the answer is incomplete.
 const FinishCancelled = "cancelled"
 
-// UpstreamAnswer is the whole answer of a plain service.
+// UpstreamAnswer is the complete answer of a plain service.
 type UpstreamAnswer struct {
 	Request string
 	Attempt string
@@ -101,78 +101,79 @@
 	Body    []byte
 }
 
-// UpstreamFailed tells that an attempt's call broke.
+// UpstreamFailed reports that an attempt's call to its upstream failed.
 type UpstreamFailed struct {
 	Request string
 	Attempt string
 	Link    int
 	// Sent is false only if no byte of the call can have reached the upstream.
 	Sent bool
-	// Gone is set when the upstream answered that it has no such generation.
+	// Gone is set if the upstream replied that it has no such generation.
 	Gone bool
+	// Step is the step of the call that failed.
 	Step string
 	Err  string
 }
 
-// UpstreamReport is an upstream's answer to Poll.
+// UpstreamReport is the load report of an upstream, the result of a Poll.
 type UpstreamReport struct {
 	Report placement.Report
-	// Asked is when the poll was sent: a report is no younger than that.
+	// Asked is the time at which the poll was sent. The report may be as old as that.
 	Asked time.Time
 }
 
-// UpstreamSilent tells that a Poll got no answer.
+// UpstreamSilent reports that a Poll got no reply.
 type UpstreamSilent struct {
 	Upstream string
-	// Refused is set when nothing listens at the address any more.
+	// Refused is set if the upstream's address refused the connection, as no process listens there.
 	Refused bool
 }
 
-// CommitResult answers Commit.
+// CommitResult is the result of the Commit with the same Op.
 type CommitResult struct {
 	Op     string
 	Result table.Result
 }
 
-// ReadResult answers Read. OK is false if the table did not answer.
+// ReadResult is the result of the Read with the same Op. OK is false if the table did not reply.
 type ReadResult struct {
 	Op   string
 	OK   bool
 	Rows []table.Row
 }
 
-// ScanResult answers Scan. OK is false if the table did not answer.
+// ScanResult is the result of the Scan with the same Op. OK is false if the table did not reply.
 type ScanResult struct {
 	Op   string
 	OK   bool
 	Rows []table.Row
 }
 
-// ObjectResult answers Fetch. OK is false if the store did not answer.
+// ObjectResult is the result of a Fetch. OK is false if the object store did not reply.
 type ObjectResult struct {
 	Hash string
 	OK   bool
 	Data []byte
-	// Config is Data, decoded and checked against Hash by the shell; nil
-	// leaves that to the core. At the target size it takes longer than any
-	// token may wait.
+	// Config is the decoded Data if the daemon has decoded it and checked it against
+	// Hash. Nil leaves both to the core. In the largest supported deployment, decoding takes
+	// longer than a token may be delayed.
 	Config *config.Config
 }
 
-// ConfigApplied tells that an operator's change through this instance was
-// accepted. Object is the published configuration.
+// ConfigApplied reports that an operator's change through this instance was accepted. Object
+// is the published configuration, nil if only the cordons changed.
 type ConfigApplied struct {
 	Pointer ConfigPointer
 	Object  []byte
 }
 
-// InstanceList is a fresh copy of the platform's instance list.
+// InstanceList is a new copy of the platform's instance list.
 type InstanceList struct{ Members []membership.Member }
 
-// Drain tells the instance to leave without cutting off a request.
+// Drain makes the instance leave without cutting off a request.
 type Drain struct{}
 
-// Tick tells that time has passed.
+// Tick makes the instance perform periodic work and check timeouts.
 type Tick struct{}
 
 func (CallerRequest) event()  {}
--- a/internal/core/explain.go
+++ b/internal/core/explain.go
@@ -9,26 +9,26 @@
 	"mulberrylug.example/mulberrylug/internal/core/msg"
 )
 
-// ringSize is how many records an instance keeps.
+// ringSize is the number of recorded decisions that an instance keeps.
 const ringSize = 20_000
 
-// ring holds the latest decisions for explain.
+// ring is a ring buffer of the latest decisions, for Explain.
 type ring struct {
 	records []record
 	next    int
-	// buf is reused to format lines.
+	// buf is reused for formatting lines.
 	buf []byte
 }
 
-// record is one decision. It is stored as text: as values it would take ten times the memory
-// and an allocation each.
+// record is one decision. It is stored as formatted text: stored as values it would take ten
+// times the memory and one allocation per value.
 type record struct {
 	request string
 	line    string
 }
 
-// note records a decision on a request.
-func (i *Instance) note(now time.Time, request, step string, pairs ...any) {
+// recordDecision records a decision on a request.
+func (i *Instance) recordDecision(now time.Time, request, step string, pairs ...any) {
 	i.ring.buf = appendLine(i.ring.buf[:0], now, request, step, pairs)
 	rec := record{request: request, line: string(i.ring.buf)}
 	if len(i.ring.records) < ringSize {
@@ -51,7 +51,8 @@
 	return lines
 }
 
-// appendLine formats a decision as key=value pairs without empty values. It does not allocate.
+// appendLine appends a decision as key=value pairs, without pairs whose value is empty. It
+// allocates only if b is too small or a value is neither a string nor an int.
 func appendLine(b []byte, now time.Time, request, step string, pairs []any) []byte {
 	b = append(b, "time="...)
 	b = now.UTC().AppendFormat(b, time.RFC3339Nano)
@@ -60,9 +61,9 @@
 	for k := 0; k+1 < len(pairs); k += 2 {
 		before := len(b)
 		b = append(appendValue(append(b, ' '), pairs[k]), '=')
-		empty := len(b)
+		valueStart := len(b)
 		b = appendValue(b, pairs[k+1])
-		if len(b) == empty {
+		if len(b) == valueStart {
 			b = b[:before]
 		}
 	}
@@ -80,8 +81,8 @@
 	}
 }
 
-// AskExplain asks the instance named by a request id for its decisions. Explained answers with
-// the same id.
+// AskExplain queries the instance that a request id names for its decisions on the request. The
+// result is an Explained action with the same id.
 func (i *Instance) AskExplain(id uint64, request string) []Action {
 	owner, _, _ := strings.Cut(request, ":")
 	if owner == i.self {
--- a/internal/core/failure.go
+++ b/internal/core/failure.go
@@ -11,11 +11,12 @@
 // maxAttempts bounds the attempts of one request.
 const maxAttempts = 3
 
-// attemptFailed retries on another upstream where that is safe, or ends the request.
+// attemptFailed handles a failed attempt. It retries on another upstream if that is safe, and
+// ends the request otherwise.
 func (i *Instance) attemptFailed(now time.Time, r *request, e UpstreamFailed) {
 	r.run.failed = e.Sent
 	if !e.Sent {
-		r.run.sent = false // not a byte of it has left
+		r.run.sent = false // no byte of the call was sent
 	}
 	if r.NotRepeatable {
 		i.bookingFailed(now, r, e)
@@ -24,17 +25,18 @@
 	if r.engine() && e.Sent {
 		i.emit(Cancel{Address: r.run.address, Attempt: r.attempt})
 	}
-	if !i.mayTryAgain(now, r) {
-		i.finish(now, r, r.failure(e))
+	if !i.mayRetry(now, r) {
+		i.finish(now, r, r.failureFinish(e))
 		return
 	}
-	i.tryAgain(now, r, e)
+	i.retryAttempt(now, r, e)
 }
 
-// mayTryAgain reports whether another attempt is safe and within the budgets. A stream that
-// has delivered a token cannot be retried: another generation has different tokens.
-func (i *Instance) mayTryAgain(now time.Time, r *request) bool {
-	if r.delivered() || r.gone || r.tries >= maxAttempts || now.Sub(r.started) >= r.service.Timeout.D() {
+// mayRetry reports whether another attempt is safe and within the limits and the retry budget. A
+// stream that has delivered a token cannot be retried, as another generation would have different
+// tokens.
+func (i *Instance) mayRetry(now time.Time, r *request) bool {
+	if r.hasDelivered() || r.disconnected || r.tries >= maxAttempts || now.Sub(r.started) >= r.service.Timeout.D() {
 		return false
 	}
 	if v := i.retries.Take(now, r.org.Name); v != retry.Allowed {
@@ -44,16 +46,17 @@
 	return true
 }
 
-// delivered reports whether a token of the current generation has left.
-func (r *request) delivered() bool { return r.Stream && r.seq.Bound() }
+// hasDelivered reports whether a token of the current generation was streamed to the caller.
+func (r *request) hasDelivered() bool { return r.Stream && r.seq.Bound() }
 
-func (r *request) failure(e UpstreamFailed) Finish {
+// failureFinish returns the finish of a request whose last attempt failed.
+func (r *request) failureFinish(e UpstreamFailed) Finish {
 	f := Finish{
 		Outcome: NotRun, Status: status.BadGateway, Reason: ReasonUpstreamCut, Step: e.Step, Peer: r.run.upstream,
-		RetryAfter: retryNoHome, Tokens: r.seq.Next(),
+		RetryAfter: retryAfterNoHome, Tokens: r.seq.Next(),
 	}
 	switch {
-	case r.delivered():
+	case r.hasDelivered():
 		f.Outcome = Partial
 	case r.mayHaveRun():
 		f.Outcome = Unknown
@@ -61,20 +64,21 @@
 	return f
 }
 
-func (i *Instance) tryAgain(now time.Time, r *request, e UpstreamFailed) {
+// retryAttempt releases what the failed attempt held and starts the next one after a backoff.
+func (i *Instance) retryAttempt(now time.Time, r *request, e UpstreamFailed) {
 	i.count("retries_total", "upstream_"+e.Step)
 	i.settle(r, Finish{Outcome: Unknown, Tokens: r.seq.Next()})
 	i.endGrant(r, e.Sent)
-	r.place.failed = r.run.upstream
+	r.place.failedUpstream = r.run.upstream
 	r.place.failedBoot = ""
 	if e.Sent {
 		r.place.failedBoot = r.run.boot
 	}
-	r.exclude = append(r.exclude, r.run.upstream)
+	r.excluded = append(r.excluded, r.run.upstream)
 	r.seq = stream.Sequencer{}
 	r.text = r.text[:0]
-	r.ran = r.mayHaveRun()
+	r.earlierSent = r.mayHaveRun()
 	r.run = runState{}
-	r.phase = backingOff
+	r.phase = phaseBackingOff
 	i.wakeAt(r, now.Add(i.retries.Backoff(r.tries)))
 }
--- a/internal/core/footprint_test.go
+++ b/internal/core/footprint_test.go
@@ -11,114 +11,115 @@
 	"mulberrylug.example/mulberrylug/internal/core/msg"
 )
 
-// maxState is the target's bound on what control may keep at one instance.
+// maxState is the bound in bytes on the core's state at one instance of a deployment of the
+// target's size.
 const maxState = 64 << 20
 
-// liveHeap returns the live bytes after a full collection.
+// liveHeap returns the size in bytes of the live heap after a full garbage collection.
 func liveHeap() uint64 {
 	runtime.GC()
-	runtime.GC() // the first one may leave finalizers' garbage behind
+	runtime.GC() // frees the objects whose finalizers the first collection ran
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return m.HeapAlloc
 }
 
-// grown returns by how many bytes f made the live heap grow.
-func grown(f func()) int {
+// heapGrowth returns the growth of the live heap in bytes during f.
+func heapGrowth(f func()) int {
 	before := liveHeap()
 	f()
 	return int(liveHeap()) - int(before)
 }
 
-// An operator whose instances have 64 MB for control sees them killed for want
-// of memory if the state of the target's fleet does not fit. The instance here
-// knows the whole fleet, is home of every organisation (its share is one in
-// 390) and of a tenth of all pools (forty times its share), and its ring of
-// decisions is full.
+// Guards against instances that are killed for lack of memory in a deployment of the
+// target's size, where an instance has 64 MB for the core's state. The instance under
+// test has the complete instance list, is home of every organisation (its share would
+// be one in 390) and of a tenth of all pools (forty times its share), and its ring of
+// recorded decisions is full.
 func TestStateFitsTarget(t *testing.T) {
 	s := sizeTarget
-	var w *targetWorld
+	var h *targetHarness
 	before := liveHeap()
 	part := func(name string, items int, f func()) {
-		bytes := grown(f)
+		bytes := heapGrowth(f)
 		t.Logf("part=%s bytes=%d items=%d bytes_per_item=%d", name, bytes, items, bytes/items)
 	}
 	part("configuration_and_view", s.orgs, func() {
-		w = newTargetWorld(t, s)
-		w.object = nil // the published object is the test's own
+		h = newTargetHarness(t, s)
+		h.object = nil // the published object belongs to the harness, not to the instance
 	})
-	part("budget_accounts", s.orgs, func() { w.fillAccounts(s) })
+	part("budget_accounts", s.orgs, func() { h.fillAccounts(s) })
 	part("running_requests", runningPerInstance, func() {
 		for n := range runningPerInstance {
-			w.start(n, s.orgs)
+			h.startRequest(n, s.orgs)
 		}
 	})
-	part("pool_homes", s.upstreams/10*gensPerEngine, func() { w.fillPools(s, s.upstreams/10) })
-	part("decisions_ring", ringRecords, func() { w.fillRing(s) })
+	part("pool_homes", s.upstreams/10*gensPerEngine, func() { h.fillPools(s, s.upstreams/10) })
+	part("decisions_ring", ringRecords, func() { h.fillRing(s) })
 	total := int(liveHeap() - before)
 	t.Logf("part=total bytes=%d", total)
 	if total > maxState {
-		t.Errorf("state of the target = %d bytes, want at most %d", total, maxState)
+		t.Errorf("state at the target's size = %d bytes, want at most %d", total, maxState)
 	}
-	runtime.KeepAlive(w)
+	runtime.KeepAlive(h)
 }
 
-func (w *targetWorld) fillAccounts(s targetSize) {
+func (h *targetHarness) fillAccounts(s targetSize) {
 	limits := s.config().Organisations[0].Limits
 	for n := range s.orgs {
 		ask := budget.Ask{Request: attemptName(n), Org: orgName(n), Limits: limits, Amount: 1000, Tokens: 500}
-		w.do(core.PeerMessage{From: "entry-1", Msg: msg.ReserveAsk{Ask: ask}})
+		h.handle(core.PeerMessage{From: "entry-1", Msg: msg.ReserveAsk{Ask: ask}})
 	}
 }
 
-// fillPools makes the instance home of the pools of some upstreams and grants
-// what the target's engines run.
-func (w *targetWorld) fillPools(s targetSize, upstreams int) {
+// fillPools makes the instance the home of the pools of the given number of upstreams,
+// and announces the target's number of running generations on each.
+func (h *targetHarness) fillPools(s targetSize, upstreams int) {
 	v := config.Compile(1, "", s.config())
 	for u := range upstreams {
 		name := upstreamName(u)
-		w.do(core.UpstreamReport{Asked: w.now, Report: report(name, gensPerEngine)})
+		h.handle(core.UpstreamReport{Asked: h.now, Report: report(name, gensPerEngine)})
 		m := msg.Announce{Pool: v.PoolOf(name)}
 		for n := range gensPerEngine {
 			ask := grantAsk(m.Pool, u*gensPerEngine+n).Ask
 			m.Running = append(m.Running, msg.RunningAttempt{Ask: ask, Upstream: name})
 		}
-		w.do(core.PeerMessage{From: "entry-1", Msg: m})
-		w.do(core.UpstreamReport{Asked: w.now, Report: report(name, gensPerEngine)})
+		h.handle(core.PeerMessage{From: "entry-1", Msg: m})
+		h.handle(core.UpstreamReport{Asked: h.now, Report: report(name, gensPerEngine)})
 	}
 }
 
-// ringRecords is what the ring of decisions holds.
+// ringRecords is the number of decisions that the ring holds.
 const ringRecords = 20_000
 
-func (w *targetWorld) fillRing(s targetSize) {
+func (h *targetHarness) fillRing(s targetSize) {
 	const perRequest = 3
 	for n := range ringRecords/perRequest + 1 {
 		r := request(runningPerInstance+n, s.orgs)
-		w.do(r)
-		w.do(core.UpstreamEnd{Request: r.ID, Attempt: r.ID + "/1", Link: 1})
+		h.handle(r)
+		h.handle(core.UpstreamEnd{Request: r.ID, Attempt: r.ID + "/1", Link: 1})
 	}
 }
 
-// A change of the configuration briefly holds the old version, the new one and
-// the object that it came in.
+// Guards against excessive memory use during a change of the configuration: the old
+// version, the new version and the new version's object are in memory at the same time.
 func TestConfigChangePeak(t *testing.T) {
-	w := newTargetWorld(t, sizeTarget)
+	h := newTargetHarness(t, sizeTarget)
 	before := liveHeap()
-	object := append([]byte(nil), w.object...)
-	next := config.Compile(2, w.hash, mustDecode(t, object, w.hash))
+	object := append([]byte(nil), h.object...)
+	next := config.Compile(2, h.hash, mustDecode(t, object, h.hash))
 	peak := int(liveHeap() - before)
 	t.Logf("part=second_version_and_object bytes=%d object=%d", peak, len(object))
 	if peak > maxState/2 {
-		t.Errorf("a change holds another %d bytes, want at most %d", peak, maxState/2)
+		t.Errorf("additional memory during a configuration change = %d bytes, want at most %d", peak, maxState/2)
 	}
 	runtime.KeepAlive(next)
 	runtime.KeepAlive(object)
-	runtime.KeepAlive(w)
+	runtime.KeepAlive(h)
 }
 
-// A home polls each of its upstreams four times a second; the answer names
-// every running generation.
+// Guards against load reports that are too large: a home polls each of its upstreams
+// four times a second, and each report lists every running generation.
 func TestReportSize(t *testing.T) {
 	for _, gens := range []int{0, gensPerEngine} {
 		raw, err := json.Marshal(report(upstreamName(0), gens))
@@ -126,8 +127,8 @@
 			t.Fatal(err)
 		}
 		t.Logf("report generations=%d bytes=%d", gens, len(raw))
-		if most := 256 + 64*gens; len(raw) > most {
-			t.Errorf("a report of %d generations takes %d bytes, want at most %d", gens, len(raw), most)
+		if maxBytes := 256 + 64*gens; len(raw) > maxBytes {
+			t.Errorf("report of %d generations = %d bytes, want at most %d", gens, len(raw), maxBytes)
 		}
 	}
 }
--- a/internal/core/guard.go
+++ b/internal/core/guard.go
@@ -10,88 +10,90 @@
 	"mulberrylug.example/mulberrylug/internal/core/suspect"
 )
 
-// guard is a pool home's state for stopping requests that crash upstreams.
-type guard struct {
+// crashGuard is the state with which a pool's home stops requests that crash upstreams.
+type crashGuard struct {
+	// verdicts holds the pending verdicts by upstream.
 	verdicts map[string]*verdict
-	// prints maps granted and queued attempts to fingerprints, running maps fingerprints to
-	// granted attempts.
-	prints  map[string]printed
-	running map[uint64][]string
+	// attempts holds granted and queued attempts by id. running maps fingerprints to granted
+	// attempts.
+	attempts map[string]guardedAttempt
+	running  map[uint64][]string
 }
 
-// printed is an attempt's fingerprint and the time of its last announcement.
-type printed struct {
-	print uint64
-	seen  time.Time
-	// upstream is where the attempt runs, once granted.
+// guardedAttempt is an attempt's fingerprint and the time of its last ask or announcement.
+type guardedAttempt struct {
+	fingerprint uint64
+	lastSeen    time.Time
+	// upstream is the upstream that runs the attempt, "" before the grant.
 	upstream string
 }
 
-func newGuard() guard {
-	return guard{verdicts: map[string]*verdict{}, prints: map[string]printed{}, running: map[uint64][]string{}}
+func newCrashGuard() crashGuard {
+	return crashGuard{verdicts: map[string]*verdict{}, attempts: map[string]guardedAttempt{}, running: map[uint64][]string{}}
 }
 
-func (g *guard) note(now time.Time, ask placement.Ask) {
-	p := g.prints[ask.Attempt]
-	p.print, p.seen = ask.Fingerprint, now
-	g.prints[ask.Attempt] = p
+// track records an attempt and that its entry is alive.
+func (g *crashGuard) track(now time.Time, ask placement.Ask) {
+	p := g.attempts[ask.Attempt]
+	p.fingerprint, p.lastSeen = ask.Fingerprint, now
+	g.attempts[ask.Attempt] = p
 }
 
-// expire drops the attempts whose entry has been silent for the window: they were cancelled or
+// expire drops attempts that no entry has announced within the window. They were cancelled or
 // never started.
-func (g *guard) expire(now time.Time, window time.Duration) {
-	for attempt, p := range g.prints {
-		if now.Sub(p.seen) > window {
+func (g *crashGuard) expire(now time.Time, window time.Duration) {
+	for attempt, p := range g.attempts {
+		if now.Sub(p.lastSeen) > window {
 			g.forget(attempt)
 		}
 	}
 }
 
-func (g *guard) granted(attempt, upstream string) {
-	p := g.prints[attempt]
+func (g *crashGuard) markGranted(attempt, upstream string) {
+	p := g.attempts[attempt]
 	p.upstream = upstream
-	g.prints[attempt] = p
-	print := p.print
-	if print != 0 && !slices.Contains(g.running[print], attempt) {
-		g.running[print] = append(g.running[print], attempt)
+	g.attempts[attempt] = p
+	fingerprint := p.fingerprint
+	if fingerprint != 0 && !slices.Contains(g.running[fingerprint], attempt) {
+		g.running[fingerprint] = append(g.running[fingerprint], attempt)
 	}
 }
 
-func (g *guard) forget(attempt string) {
-	p, ok := g.prints[attempt]
+func (g *crashGuard) forget(attempt string) {
+	p, ok := g.attempts[attempt]
 	if !ok {
 		return
 	}
-	print := p.print
-	delete(g.prints, attempt)
-	g.running[print] = slices.DeleteFunc(g.running[print], func(a string) bool { return a == attempt })
-	if len(g.running[print]) == 0 {
-		delete(g.running, print)
+	fingerprint := p.fingerprint
+	delete(g.attempts, attempt)
+	g.running[fingerprint] = slices.DeleteFunc(g.running[fingerprint], func(a string) bool { return a == attempt })
+	if len(g.running[fingerprint]) == 0 {
+		delete(g.running, fingerprint)
 	}
 }
 
-// beside reports whether another attempt with the fingerprint runs.
-func (g *guard) beside(attempt string, print uint64) bool {
-	return slices.ContainsFunc(g.running[print], func(a string) bool { return a != attempt })
+// otherRuns reports whether another attempt with the fingerprint is running.
+func (g *crashGuard) otherRuns(attempt string, fingerprint uint64) bool {
+	return slices.ContainsFunc(g.running[fingerprint], func(a string) bool { return a != attempt })
 }
 
-// pending reports whether an attempt with the fingerprint failed on an upstream that may have
-// crashed.
-func (g *guard) pending(print uint64) bool {
+// hasPendingVerdict reports whether an attempt with the fingerprint failed on an upstream
+// whose verdict is pending and has not timed out.
+func (g *crashGuard) hasPendingVerdict(fingerprint uint64) bool {
 	for _, v := range g.verdicts {
-		if _, ran := v.ran[print]; ran && !v.over {
+		if _, ran := v.fingerprints[fingerprint]; ran && !v.timedOut {
 			return true
 		}
 	}
 	return false
 }
 
-// doubts lists the upstreams on which an attempt with the fingerprint failed and that have not
-// reported since.
-func (g *guard) doubts(print uint64) []string {
+// unconfirmedStrikes lists the upstreams on which an attempt with the fingerprint failed and that
+// have not reported since.
+func (g *crashGuard) unconfirmedStrikes(fingerprint uint64) []string {
 	var out []string
 	for name, v := range g.verdicts {
-		if _, ran := v.ran[print]; ran {
+		if _, ran := v.fingerprints[fingerprint]; ran {
 			out = append(out, name)
 		}
 	}
@@ -99,94 +101,98 @@
 	return out
 }
 
-// screen decides whether an ask may proceed to placement. If not, it answers or holds the ask.
+// screen reports whether an ask may proceed to placement. If not, it answers or holds the ask.
 func (i *Instance) screen(now time.Time, h *poolHome, from string, m *msg.GrantAsk) bool {
 	if i.awaitVerdict(now, h, from, *m) {
 		return false
 	}
 	if !h.hasOther(i.version, m.Ask.Exclude) {
-		m.Ask.Exclude = nil // a pool of one: where it failed or nowhere
+		m.Ask.Exclude = nil // the pool has no other upstream
 	}
-	switch i.judgement(now, h, m.Ask.Fingerprint) {
+	switch i.classify(now, h, m.Ask.Fingerprint) {
 	case suspect.Refused:
-		i.answerGrant(h, i.poisoned(now, m.Ask))
+		i.answerGrant(h, i.refusePoison(now, m.Ask))
 		return false
 	case suspect.Suspected:
 		m.Ask.Suspect = true
-		m.Ask.Exclude = append(slices.Clone(m.Ask.Exclude), i.withSuspects(now, h, m.Ask.Fingerprint)...)
-		if i.mustWait(now, h, m.Ask) || !h.hasOther(i.version, m.Ask.Exclude) {
-			i.answerGrant(h, waiting(m.Ask))
+		m.Ask.Exclude = append(slices.Clone(m.Ask.Exclude), i.upstreamsToAvoid(now, h, m.Ask.Fingerprint)...)
+		if i.suspectMustWait(now, h, m.Ask) || !h.hasOther(i.version, m.Ask.Exclude) {
+			i.answerGrant(h, queueSuspect(m.Ask))
 			return false
 		}
 	case suspect.Clean:
 	}
-	if more := append(slices.Clone(m.Ask.Exclude), h.failing.avoid(now)...); h.hasOther(i.version, more) {
-		m.Ask.Exclude = more
+	if exclude := append(slices.Clone(m.Ask.Exclude), h.failures.avoided(now)...); h.hasOther(i.version, exclude) {
+		m.Ask.Exclude = exclude
 	}
-	h.guard.note(now, m.Ask)
+	h.guard.track(now, m.Ask)
 	return true
 }
 
-// judgement returns the verdict on a fingerprint. A failure on an upstream that has not
-// reported since counts as a strike: it may have gone down with its machine.
-func (i *Instance) judgement(now time.Time, h *poolHome, print uint64) suspect.Verdict {
-	v := i.suspects.Judge(now, print)
-	if v == suspect.Clean && len(h.guard.doubts(print)) > 0 {
+// classify returns the verdict on a fingerprint. A failure on an upstream that has not reported
+// since counts as a strike, as the upstream may have gone down together with its host.
+func (i *Instance) classify(now time.Time, h *poolHome, fingerprint uint64) suspect.Verdict {
+	v := i.suspects.Judge(now, fingerprint)
+	if v == suspect.Clean && len(h.guard.unconfirmedStrikes(fingerprint)) > 0 {
 		return suspect.Suspected
 	}
 	return v
 }
 
-// mustWait reports whether a suspect may not run yet: after one crash, a second copy beside
-// this one could make three. A new home first learns what runs from the entries, within a
-// second. The entry asks again.
-func (i *Instance) mustWait(now time.Time, h *poolHome, ask placement.Ask) bool {
-	return h.guard.beside(ask.Attempt, ask.Fingerprint) || h.guard.pending(ask.Fingerprint) ||
-		now.Sub(h.begun) < 2*announceInterval || i.mayBeSecond(h, ask.Fingerprint)
+// suspectMustWait reports whether a suspect may not run yet. A request with one crash could reach
+// three crashes if two attempts of it ran at once. A new home does not know the running attempts
+// until the entries have announced them, within a second. The entry repeats its ask.
+func (i *Instance) suspectMustWait(now time.Time, h *poolHome, ask placement.Ask) bool {
+	return h.guard.otherRuns(ask.Attempt, ask.Fingerprint) || h.guard.hasPendingVerdict(ask.Fingerprint) ||
+		now.Sub(h.createdAt) < 2*announceInterval || i.mayReachMaxStrikes(h, ask.Fingerprint)
 }
 
-// mayBeSecond reports whether strikes and doubts of the fingerprint may amount to two crashes.
-func (i *Instance) mayBeSecond(h *poolHome, print uint64) bool {
-	struck := i.suspects.Upstreams(print)
-	n := len(struck)
-	for _, u := range h.guard.doubts(print) {
-		if !slices.Contains(struck, u) {
+// mayReachMaxStrikes reports whether the strikes and unconfirmed strikes of a fingerprint together
+// amount to suspect.MaxStrikes crashes.
+func (i *Instance) mayReachMaxStrikes(h *poolHome, fingerprint uint64) bool {
+	confirmed := i.suspects.Upstreams(fingerprint)
+	n := len(confirmed)
+	for _, u := range h.guard.unconfirmedStrikes(fingerprint) {
+		if !slices.Contains(confirmed, u) {
 			n++
 		}
 	}
 	return n >= suspect.MaxStrikes
 }
 
-// waiting answers a suspect that may not run yet.
-func waiting(ask placement.Ask) placement.Decision {
+// queueSuspect returns the decision for a suspect that may not run yet: queued if its request can
+// wait, otherwise refused.
+func queueSuspect(ask placement.Ask) placement.Decision {
 	if ask.MaxWait > 0 {
 		return placement.Decision{Attempt: ask.Attempt, Kind: placement.Queued}
 	}
 	return placement.Decision{
-		Attempt: ask.Attempt, Kind: placement.Refused, Reason: placement.ReasonQueueFull, RetryAfter: retryNoHome,
+		Attempt: ask.Attempt, Kind: placement.Refused, Reason: placement.ReasonQueueFull, RetryAfter: retryAfterNoHome,
 	}
 }
 
-func (i *Instance) poisoned(now time.Time, ask placement.Ask) placement.Decision {
+// refusePoison returns the refusal of an attempt whose fingerprint has too many strikes.
+func (i *Instance) refusePoison(now time.Time, ask placement.Ask) placement.Decision {
 	return placement.Decision{
 		Attempt: ask.Attempt, Kind: placement.Refused, Reason: placement.ReasonPoison,
 		RetryAfter: i.suspects.Until(ask.Fingerprint).Sub(now),
 	}
 }
 
-// vetoes withdraws a grant from the queue whose fingerprint was struck while it waited.
-func (i *Instance) vetoes(now time.Time, h *poolHome, d placement.Decision) (placement.Decision, bool) {
-	p, ok := h.guard.prints[d.Attempt]
-	print := p.print
-	if !ok || d.Kind != placement.Granted || print == 0 {
+// recheckGrant withdraws a grant for a queued attempt if its fingerprint got a strike while the
+// attempt was waiting. It returns the decision to send and whether the grant was withdrawn.
+func (i *Instance) recheckGrant(now time.Time, h *poolHome, d placement.Decision) (placement.Decision, bool) {
+	p, ok := h.guard.attempts[d.Attempt]
+	fingerprint := p.fingerprint
+	if !ok || d.Kind != placement.Granted || fingerprint == 0 {
 		return d, false
 	}
-	ask := placement.Ask{Attempt: d.Attempt, Fingerprint: print}
-	switch i.judgement(now, h, print) {
+	ask := placement.Ask{Attempt: d.Attempt, Fingerprint: fingerprint}
+	switch i.classify(now, h, fingerprint) {
 	case suspect.Refused:
-		return i.poisoned(now, ask), true
+		return i.refusePoison(now, ask), true
 	case suspect.Suspected:
-		if i.mustWait(now, h, ask) || slices.Contains(i.withSuspects(now, h, print), d.Upstream) {
+		if i.suspectMustWait(now, h, ask) || slices.Contains(i.upstreamsToAvoid(now, h, fingerprint), d.Upstream) {
 			return placement.Decision{Attempt: d.Attempt, Kind: placement.Queued}, true
 		}
 	case suspect.Clean:
@@ -194,17 +200,18 @@
 	return d, false
 }
 
-// withSuspects lists the upstreams that a suspect must avoid: those that run another suspect
-// and those that crashed under it, as long as the pool has others. An innocent request must
-// not get two strikes from the harmful one beside it or from one faulty upstream.
-func (i *Instance) withSuspects(now time.Time, h *poolHome, print uint64) []string {
+// upstreamsToAvoid lists the upstreams on which a suspect must not run: those that run another
+// suspect and, unless the pool has no others, those that crashed while they ran this one.
+// A harmless request must not get two strikes from a harmful request on the same upstream or from
+// one faulty upstream.
+func (i *Instance) upstreamsToAvoid(now time.Time, h *poolHome, fingerprint uint64) []string {
 	var out []string
-	for _, p := range h.guard.prints {
-		if p.upstream != "" && p.print != print && i.judgement(now, h, p.print) != suspect.Clean {
+	for _, p := range h.guard.attempts {
+		if p.upstream != "" && p.fingerprint != fingerprint && i.classify(now, h, p.fingerprint) != suspect.Clean {
 			out = append(out, p.upstream)
 		}
 	}
-	crashed := i.suspects.Upstreams(print)
+	crashed := i.suspects.Upstreams(fingerprint)
 	if h.hasOther(i.version, crashed) {
 		out = append(out, crashed...)
 	}
@@ -212,7 +219,7 @@
 	return slices.Compact(out)
 }
 
-// hasOther reports whether the pool has an upstream outside the list.
+// hasOther reports whether the pool has an upstream that is not in the list.
 func (h *poolHome) hasOther(v *config.Version, list []string) bool {
 	p := v.Pool(h.pool)
 	return p != nil && slices.ContainsFunc(p.Upstreams, func(u string) bool { return !slices.Contains(list, u) })
--- a/internal/core/notrun_test.go
+++ b/internal/core/notrun_test.go
@@ -13,62 +13,64 @@
 	"mulberrylug.example/mulberrylug/internal/testkit"
 )
 
-// engineStep does one thing to the generations of the world. reached collects
-// the requests and attempts that got to the engine.
-func (w *bookWorld) engineStep(v int, reached map[string]bool) {
+// randomEngineStep performs the operation on generations that the number v encodes:
+// a new request, the passing of time, the end of a caller's connection, progress at
+// the engine, or a failure. It adds the requests and attempts that reached the engine
+// to reached.
+func (sim *simulation) randomEngineStep(v int, reached map[string]bool) {
 	const kinds = 12
 	arg := v / kinds
-	n := w.nodes[0]
-	if kind := v % kinds; kind < 3 || len(w.held) == 0 {
-		w.generate(n, arg%2 == 0)
+	n := sim.instances[0]
+	if kind := v % kinds; kind < 3 || len(sim.heldCalls) == 0 {
+		sim.generate(n, arg%2 == 0)
 		return
 	} else if kind < 5 {
-		w.advance(time.Duration(arg%60) * worldTick)
+		sim.advance(time.Duration(arg%60) * simTick)
 		return
 	}
-	at := arg % len(w.held)
-	d := w.held[at].dispatch
+	index := arg % len(sim.heldCalls)
+	d := sim.heldCalls[index].dispatch
 	if d == nil {
-		w.decide(at, wayGood)
+		sim.resolveCall(index, callSucceeds)
 		return
 	}
 	switch v % kinds {
 	case 5:
-		w.give(n, core.CallerGone{ID: d.Request})
+		sim.handle(n, core.CallerGone{ID: d.Request})
 		return
 	case 6:
 		reached[d.Request], reached[d.Attempt] = true, true
-		w.produce(n, d, d.From, d.From+arg%4, arg%3 > 0)
+		sim.produce(n, d, d.From, d.From+arg%4, arg%3 > 0)
 		return
 	}
-	w.take(d.Request)
+	sim.takeDispatch(d.Request)
 	sent := arg/5%2 == 0 || reached[d.Attempt] && !d.Resume
 	if sent {
 		reached[d.Request], reached[d.Attempt] = true, true
 	}
-	w.give(n, core.UpstreamFailed{Request: d.Request, Attempt: d.Attempt, Link: d.Link, Sent: sent, Gone: arg/10%2 == 0, Step: "send", Err: "x"})
+	sim.handle(n, core.UpstreamFailed{Request: d.Request, Attempt: d.Attempt, Link: d.Link, Sent: sent, Gone: arg/10%2 == 0, Step: "send", Err: "x"})
 }
 
-// Generations break before and after they reached an engine, are tried again,
-// read on from new connections, run out of budget on the way, and lose their
-// callers. None that reached an engine is ever called "not run".
+// Guards against the outcome not_run for a request that reached an engine. Generations
+// fail before and after they reach an engine, are retried, are resumed on new
+// connections, exceed the budget during a retry, and lose their callers.
 func TestPromise3PropertyNotRunIsTrue(t *testing.T) {
 	p := gopter.NewProperties(testkit.Parameters())
-	p.Property("not_run means that no engine saw the request", prop.ForAll(func(steps []int) string {
-		w := newBookWorld(1, "0.60")
-		w.held = nil
-		w.warmEngines()
+	p.Property("a request that reached an engine never ends with the outcome not_run", prop.ForAll(func(steps []int) string {
+		sim := newSimulation(1, "0.60")
+		sim.heldCalls = nil
+		sim.warmUpEngines()
 		reached := map[string]bool{}
 		for _, v := range steps {
-			w.engineStep(v, reached)
+			sim.randomEngineStep(v, reached)
 		}
-		for range 15 { // what still waits for an engine is refused
-			w.now = w.now.Add(2 * time.Second)
-			w.advance(worldTick)
+		for range 15 { // long enough for requests that still wait for an engine to be refused
+			sim.now = sim.now.Add(2 * time.Second)
+			sim.advance(simTick)
 		}
-		for id, ends := range w.finishes {
+		for id, ends := range sim.finishes {
 			if reached[id] && ends[0].Outcome == core.NotRun {
-				return fmt.Sprintf("%s reached an engine, but was told not_run: %+v", id, ends[0])
+				return fmt.Sprintf("%s reached an engine, but ended with the outcome not_run: %+v", id, ends[0])
 			}
 		}
 		return ""
--- a/internal/core/orders.go
+++ b/internal/core/orders.go
@@ -8,32 +8,36 @@
 	"mulberrylug.example/mulberrylug/internal/core/table"
 )
 
-// AskTurn requests a turn to load a version from the weight store. TurnAnswer answers it.
+// AskTurn requests permission from the weight store for an upstream to load a model version. The
+// result arrives as a TurnAnswer.
 type AskTurn struct {
 	Upstream string
 	Model    string
 	Version  string
 }
 
-// SendOrder sends an order to an upstream. OrderAnswer answers it.
+// SendOrder sends an upstream the order to run a model version. The result arrives as an
+// OrderAnswer.
 type SendOrder struct {
 	Upstream string
 	Address  string
-	Fence    int64
-	Version  string
-	// Before is the deadline for sending, Timeout bounds the call.
+	// Fence is the fencing number of the order.
+	Fence   int64
+	Version string
+	// Before is the time after which the order must not be sent. Timeout bounds the call.
 	Before  time.Time
 	Timeout time.Duration
 }
 
-// TurnAnswer is the weight store's answer. OK is false if none came.
+// TurnAnswer is the weight store's reply. Wait is the time until the upstream may load the
+// version. OK is false if there was no reply.
 type TurnAnswer struct {
 	Upstream string
 	Wait     time.Duration
 	OK       bool
 }
 
-// OrderAnswer is the result of an order.
+// OrderAnswer is the result of the order with the fencing number Fence.
 type OrderAnswer struct {
 	Upstream string
 	Fence    int64
@@ -46,7 +50,7 @@
 func (TurnAnswer) event()  {}
 func (OrderAnswer) event() {}
 
-// wantedVersion returns the model version that an upstream should run.
+// wantedVersion returns the model version that the configuration assigns to an upstream.
 func (i *Instance) wantedVersion(upstream string) (model, version string) {
 	u := i.version.Upstream(upstream)
 	if u == nil {
@@ -59,7 +63,7 @@
 	return m.Name, m.Version
 }
 
-// order returns the state machine for an upstream's orders.
+// order returns the state machine for an upstream's orders and creates it if needed.
 func (i *Instance) order(h *poolHome, upstream string) *order.Machine {
 	m := h.orders[upstream]
 	if m == nil {
@@ -70,8 +74,8 @@
 	return m
 }
 
-// orderOnReport compares what an upstream runs with what it should run, and reports whether it
-// must get no new work.
+// orderOnReport compares the version that an upstream runs with the version that it should run,
+// and reports whether the upstream must get no new work because an order is in progress.
 func (i *Instance) orderOnReport(now time.Time, h *poolHome, r placement.Report) bool {
 	if i.version.Upstream(r.Upstream) == nil {
 		return false
@@ -79,17 +83,17 @@
 	_, version := i.wantedVersion(r.Upstream)
 	m := i.order(h, r.Upstream)
 	m.Want(version)
-	i.doOrder(r.Upstream, m.Report(now, r.Version, r.Running+r.Waiting))
+	i.emitOrder(r.Upstream, m.Report(now, r.Version, r.Running+r.Waiting))
 	return m.Busy()
 }
 
 func (i *Instance) tickOrders(now time.Time, h *poolHome) {
 	for _, upstream := range sortedNames(h.orders) {
-		i.doOrder(upstream, h.orders[upstream].Tick(now))
+		i.emitOrder(upstream, h.orders[upstream].Tick(now))
 	}
 }
 
-func (i *Instance) doOrder(upstream string, outs []order.Out) {
+func (i *Instance) emitOrder(upstream string, outs []order.Out) {
 	for _, o := range outs {
 		switch {
 		case o.Commit != nil:
@@ -108,7 +112,7 @@
 func (i *Instance) sendOrder(upstream string, s order.Send) {
 	member, ok := i.view.Member(upstream)
 	if !ok {
-		return // it has left; its successor is ordered anew
+		return // the upstream has left; an upstream that replaces it gets its own order
 	}
 	i.count("orders_total", upstream)
 	i.emit(Log{Event: "order", Pairs: []any{"upstream", upstream, "fence", s.Fence, "version", s.Value}})
@@ -118,8 +122,8 @@
 	})
 }
 
-// orderFor returns the state machine of an upstream, or nil if this instance is no longer its
-// home.
+// orderFor returns the state machine of an upstream, nil if this instance is no longer the home
+// of the upstream's pool.
 func (i *Instance) orderFor(upstream string) *order.Machine {
 	if h := i.homeOf(upstream); h != nil {
 		return h.orders[upstream]
@@ -129,20 +133,20 @@
 
 func (i *Instance) onOrderCommitted(now time.Time, upstream string, res table.Result) {
 	if m := i.orderFor(upstream); m != nil {
-		i.doOrder(upstream, m.Committed(now, res))
+		i.emitOrder(upstream, m.Committed(now, res))
 	}
 }
 
 func (i *Instance) onOrderRow(now time.Time, upstream string, e ReadResult) {
 	if m := i.orderFor(upstream); m != nil {
 		row := table.Result{Rows: e.Rows}.Find(order.RowKey(upstream))
-		i.doOrder(upstream, m.ReadBack(now, row, e.OK))
+		i.emitOrder(upstream, m.ReadBack(now, row, e.OK))
 	}
 }
 
 func (i *Instance) onTurn(now time.Time, e TurnAnswer) {
 	if m := i.orderFor(e.Upstream); m != nil {
-		i.doOrder(e.Upstream, m.Turn(now, e.Wait, e.OK))
+		i.emitOrder(e.Upstream, m.Turn(now, e.Wait, e.OK))
 	}
 }
 
--- a/internal/core/orphans.go
+++ b/internal/core/orphans.go
@@ -9,47 +9,48 @@
 )
 
 const (
-	// probeInterval is the interval at which a home repeats its question about a generation to
-	// instances that have not answered.
+	// probeInterval is the interval at which a home repeats its query about a generation to
+	// instances that have not replied.
 	probeInterval = 2 * time.Second
-	// maxProbes bounds the generations that a home asks about at once.
+	// maxProbes is the maximum number of generations that a home probes at the same time.
 	maxProbes = 256
 )
 
-// orphans is a home's search for generations that no entry follows any more:
-// their entry died, or their caller left and did not come back.
+// orphans is the state of a home's search for generations that no entry follows
+// any more: the entry died, or the caller disconnected and did not come back.
 //
-// Only the home cancels these. An entry that lost its caller must not: the
-// caller may have resumed at another entry. And the home asks every instance
-// first: two homes may be at work at once, for instance while one link between
-// two instances is cut, and one of them does not hear the announcements that
-// the other gets. A generation is cancelled once every instance in the list
-// has said that it does not follow it.
+// Only the home cancels such generations. An entry that lost its caller must not
+// do so, as the caller may have resumed at another entry. The home first probes
+// every instance, because a pool can have two homes for a time, for instance
+// while the link between two instances is cut, and one of them does not receive
+// the announcements that the other receives. It cancels a generation once every
+// instance in the list has replied that it does not follow the generation.
 type orphans struct {
 	// unclaimed maps generations in upstreams' reports that no entry has announced to the time
 	// of the first such report.
-	unclaimed map[string]sighting
+	unclaimed map[string]unclaimedGeneration
 	probes    map[string]*probe
 }
 
-type sighting struct {
+type unclaimedGeneration struct {
 	upstream string
 	since    time.Time
 }
 
-// probe asks every instance whether it follows a generation.
+// probe is a query to every instance whether it follows a generation. unanswered holds the
+// instances that have not replied yet.
 type probe struct {
-	upstream string
-	asked    time.Time
-	waiting  map[string]bool
+	upstream   string
+	sentAt     time.Time
+	unanswered map[string]bool
 }
 
 func newOrphans() orphans {
-	return orphans{unclaimed: map[string]sighting{}, probes: map[string]*probe{}}
+	return orphans{unclaimed: map[string]unclaimedGeneration{}, probes: map[string]*probe{}}
 }
 
-// sighted records the generations in an upstream's report.
-func (h *poolHome) sighted(now time.Time, r placement.Report) {
+// recordGenerations updates the unclaimed generations with those in an upstream's report.
+func (h *poolHome) recordGenerations(now time.Time, r placement.Report) {
 	listed := map[string]bool{}
 	for _, g := range r.Gens {
 		listed[g.Attempt] = true
@@ -58,7 +59,7 @@
 			continue
 		}
 		if _, known := h.orphans.unclaimed[g.Attempt]; !known {
-			h.orphans.unclaimed[g.Attempt] = sighting{upstream: r.Upstream, since: now}
+			h.orphans.unclaimed[g.Attempt] = unclaimedGeneration{upstream: r.Upstream, since: now}
 		}
 	}
 	for attempt, s := range h.orphans.unclaimed {
@@ -69,54 +70,56 @@
 	}
 }
 
-// cancelOrphans searches for generations that no entry follows.
+// cancelOrphans opens probes for generations that no entry has announced within the resume window,
+// and cancels those that turn out to be orphans.
 func (i *Instance) cancelOrphans(now time.Time, h *poolHome) {
 	window := i.version.Config.Deployment.ResumeWindow.D()
 	for _, o := range h.home.Orphans(now, window) {
 		delete(h.entries, o.Attempt)
 		h.guard.forget(o.Attempt)
-		h.orphans.open(o.Attempt, o.Upstream)
+		h.orphans.openProbe(o.Attempt, o.Upstream)
 	}
 	for _, attempt := range sortedNames(h.orphans.unclaimed) {
 		if s := h.orphans.unclaimed[attempt]; now.Sub(s.since) > window {
-			h.orphans.open(attempt, s.upstream)
+			h.orphans.openProbe(attempt, s.upstream)
 		}
 	}
-	i.probe(now, h)
+	i.sendProbes(now, h)
 }
 
-func (o *orphans) open(attempt, upstream string) {
+func (o *orphans) openProbe(attempt, upstream string) {
 	if o.probes[attempt] == nil && len(o.probes) < maxProbes {
 		o.probes[attempt] = &probe{upstream: upstream}
 	}
 }
 
-// probe asks the instances that have not answered, each about all generations at once.
-func (i *Instance) probe(now time.Time, h *poolHome) {
+// sendProbes queries the instances that have not replied, each about all generations in one
+// message, and cancels the generations for which no reply is missing.
+func (i *Instance) sendProbes(now time.Time, h *poolHome) {
 	instances := i.view.Instances()
 	asks := map[string][]string{}
 	for _, attempt := range sortedNames(h.orphans.probes) {
 		p := h.orphans.probes[attempt]
-		if p.waiting == nil {
-			p.waiting = map[string]bool{}
+		if p.unanswered == nil {
+			p.unanswered = map[string]bool{}
 			for _, name := range instances {
-				p.waiting[name] = true
+				p.unanswered[name] = true
 			}
 		}
-		for name := range p.waiting {
+		for name := range p.unanswered {
 			if !slices.Contains(instances, name) {
-				delete(p.waiting, name) // it died; who resumed there asks elsewhere
+				delete(p.unanswered, name) // the instance died; a caller that had resumed there resumes elsewhere
 			}
 		}
-		if len(p.waiting) == 0 {
+		if len(p.unanswered) == 0 {
 			i.cancelOrphan(h, attempt, p)
 			continue
 		}
-		if now.Sub(p.asked) < probeInterval {
+		if now.Sub(p.sentAt) < probeInterval {
 			continue
 		}
-		p.asked = now
-		for name := range p.waiting {
+		p.sentAt = now
+		for name := range p.unanswered {
 			asks[name] = append(asks[name], attempt)
 		}
 	}
@@ -136,20 +139,20 @@
 	}
 }
 
-// onFollowAsk answers which attempts this instance follows and announces them to the home that
-// did not know.
+// onFollowAsk replies which of the attempts this instance follows, and announces them to the home,
+// which lacks them.
 func (i *Instance) onFollowAsk(now time.Time, from string, m msg.FollowAsk) {
 	a := msg.FollowAnswer{Pool: m.Pool, Attempts: m.Attempts}
-	told := msg.Announce{Pool: m.Pool}
+	update := msg.Announce{Pool: m.Pool}
 	for _, r := range i.requests {
-		if !r.announced() || !slices.Contains(m.Attempts, r.attempt) {
+		if !r.isAnnounced() || !slices.Contains(m.Attempts, r.attempt) {
 			continue
 		}
 		a.Following = append(a.Following, r.attempt)
-		told.Running = append(told.Running, r.announcement(i, now))
+		update.Running = append(update.Running, r.announcement(i, now))
 	}
-	if len(told.Running) > 0 {
-		i.send(from, told)
+	if len(update.Running) > 0 {
+		i.send(from, update)
 	}
 	i.send(from, a)
 }
@@ -167,16 +170,16 @@
 			delete(h.orphans.probes, attempt)
 			delete(h.orphans.unclaimed, attempt)
 		default:
-			delete(p.waiting, from)
+			delete(p.unanswered, from)
 		}
 	}
 }
 
-// announced reports whether the request is announced to its pool's home. Without a caller it
-// is not, so that the home ends it after the resume window unless the caller came back
-// elsewhere.
-func (r *request) announced() bool {
-	return r.phase == running && len(r.place.pools) > 0 && !r.gone
+// isAnnounced reports whether the request's attempt is announced to its pool's home. An attempt
+// without a caller is not announced, so that the home cancels it after the resume window unless
+// the caller has resumed at another entry.
+func (r *request) isAnnounced() bool {
+	return r.phase == phaseRunning && len(r.place.pools) > 0 && !r.disconnected
 }
 
 func (r *request) announcement(i *Instance, now time.Time) msg.RunningAttempt {
@@ -185,7 +188,7 @@
 	return msg.RunningAttempt{Ask: ask, Upstream: r.run.upstream, Tokens: r.seq.Next()}
 }
 
-// announce announces one attempt to its pool's home immediately.
+// announce announces a request's attempt to its pool's home immediately.
 func (i *Instance) announce(now time.Time, r *request) {
 	i.send(r.place.home, msg.Announce{
 		Pool: r.currentPool().Name, Running: []msg.RunningAttempt{r.announcement(i, now)},
--- a/internal/core/outage_test.go
+++ b/internal/core/outage_test.go
@@ -12,194 +12,199 @@
 	"mulberrylug.example/mulberrylug/internal/core/membership"
 )
 
-// generate sends a request for a generation to a node and returns its id.
-func (w *bookWorld) generate(n *node, stream bool) string {
-	id := fmt.Sprintf("%s:b:g%d", n.name, len(w.asked)+1)
-	w.asked[id] = w.now
-	w.give(n, core.CallerRequest{
-		ID: id, APIKey: worldKey, Model: "dispatch-7b", Method: "POST", Path: "/v1/completions",
+// generate sends a request for a generation to an instance and returns the request id.
+func (sim *simulation) generate(n *simInstance, stream bool) string {
+	id := fmt.Sprintf("%s:b:g%d", n.name, len(sim.submittedAt)+1)
+	sim.submittedAt[id] = sim.now
+	sim.handle(n, core.CallerRequest{
+		ID: id, APIKey: simKey, Model: "dispatch-7b", Method: "POST", Path: "/v1/completions",
 		Stream: stream, Prompt: 10, MaxTokens: 100,
 	})
 	return id
 }
 
-// warmEngines does for the engines what warm does for the booking service.
-func (w *bookWorld) warmEngines() {
-	for _, n := range w.nodes {
-		w.generate(n, true)
-	}
-	w.advance(worldTick)
-	for len(w.held) > 0 {
-		h := w.held[0]
+// warmUpEngines makes the home of the engines' pool poll them, as warmUp does for the
+// booking service.
+func (sim *simulation) warmUpEngines() {
+	for _, n := range sim.instances {
+		sim.generate(n, true)
+	}
+	sim.advance(simTick)
+	for len(sim.heldCalls) > 0 {
+		h := sim.heldCalls[0]
 		if h.dispatch == nil || !h.dispatch.Engine {
-			w.decide(0, wayGood)
+			sim.resolveCall(0, callSucceeds)
 			continue
 		}
-		w.held = w.held[1:]
-		w.produce(h.node, h.dispatch, 0, 1, true)
+		sim.heldCalls = sim.heldCalls[1:]
+		sim.produce(h.owner, h.dispatch, 0, 1, true)
 	}
 }
 
-// take removes the held dispatch of a request, if there is one.
-func (w *bookWorld) take(id string) *core.Dispatch {
-	for at, h := range w.held {
+// takeDispatch removes and returns the held dispatch of a request, nil if there is none.
+func (sim *simulation) takeDispatch(id string) *core.Dispatch {
+	for index, h := range sim.heldCalls {
 		if h.dispatch != nil && h.dispatch.Request == id {
-			w.held = append(w.held[:at:at], w.held[at+1:]...)
+			sim.heldCalls = append(sim.heldCalls[:index:index], sim.heldCalls[index+1:]...)
 			return h.dispatch
 		}
 	}
 	return nil
 }
 
-// produce lets the engine produce tokens of a dispatch, and end if told to.
-func (w *bookWorld) produce(n *node, d *core.Dispatch, from, to int, end bool) {
+// produce delivers the tokens from index from up to, but not including, index to, and then
+// the end of the generation if end is set.
+func (sim *simulation) produce(n *simInstance, d *core.Dispatch, from, to int, end bool) {
 	for k := from; k < to; k++ {
-		w.give(n, core.UpstreamToken{Request: d.Request, Attempt: d.Attempt, Link: d.Link, Index: k, Text: "x"})
+		sim.handle(n, core.UpstreamToken{Request: d.Request, Attempt: d.Attempt, Link: d.Link, Index: k, Text: "x"})
 	}
 	if end {
-		w.give(n, core.UpstreamEnd{Request: d.Request, Attempt: d.Attempt, Link: d.Link, Tokens: to, Reason: "stop"})
+		sim.handle(n, core.UpstreamEnd{Request: d.Request, Attempt: d.Attempt, Link: d.Link, Tokens: to, Reason: "stop"})
 	}
 }
 
-func (w *bookWorld) end(id string) core.Finish {
-	if ends := w.finishes[id]; len(ends) == 1 {
+// finishOf returns how a request ended. The result is zero unless it ended exactly once.
+func (sim *simulation) finishOf(id string) core.Finish {
+	if ends := sim.finishes[id]; len(ends) == 1 {
 		return ends[0]
 	}
 	return core.Finish{}
 }
 
-// The table is down for ten minutes. The generation that runs goes on to its
-// end. New generations run within the chunk that is debited already. Each
-// booking gets "not run" with a time to come back at once, without a call to
-// the table, once two calls in a row have failed. After the outage bookings run.
+// Guards the service during an outage of the table, here of ten minutes. The running
+// generation must complete, and new generations must run within the chunk that is
+// already debited. After two consecutive failed calls to the table, bookings must be
+// refused immediately as not_run with a Retry-After, without a call to the table.
+// After the outage, bookings must run.
 func TestOutageTenMinutes(t *testing.T) {
-	w := newBookWorld(2, "1000.00")
-	w.settleAll()
-	w.warmEngines()
-	n := w.nodes[0]
-	long := w.take(w.generate(n, true))
-	w.produce(n, long, 0, 10, false)
-	w.down = true
-	w.advance(3 * time.Second)
-	before := w.commits
+	sim := newSimulation(2, "1000.00")
+	sim.settleAll()
+	sim.warmUpEngines()
+	n := sim.instances[0]
+	running := sim.takeDispatch(sim.generate(n, true))
+	sim.produce(n, running, 0, 10, false)
+	sim.tableDown = true
+	sim.advance(3 * time.Second)
+	before := sim.commits
 	var booked, generated int
 	for minute := range 10 {
-		w.produce(n, long, 10+minute, 11+minute, false)
+		sim.produce(n, running, 10+minute, 11+minute, false)
 		for k := range 6 {
-			f := w.end(w.book(n, fmt.Sprint("outage-", minute, k), "b"))
+			f := sim.finishOf(sim.book(n, fmt.Sprint("outage-", minute, k), "b"))
 			if f.Outcome == core.NotRun && f.Reason == core.ReasonStore && f.RetryAfter > 0 {
 				booked++
 			}
-			id := w.generate(w.nodes[k%2], true)
-			w.advance(100 * time.Millisecond)
-			if d := w.take(id); d != nil {
-				w.produce(w.nodes[k%2], d, 0, 5, true)
+			id := sim.generate(sim.instances[k%2], true)
+			sim.advance(100 * time.Millisecond)
+			if d := sim.takeDispatch(id); d != nil {
+				sim.produce(sim.instances[k%2], d, 0, 5, true)
 			}
-			if w.end(id).Outcome == core.Done {
+			if sim.finishOf(id).Outcome == core.Done {
 				generated++
 			}
 			for range 10 {
-				w.give(n, core.UpstreamAlive{Request: long.Request, Attempt: long.Attempt, Link: long.Link})
-				w.advance(time.Second)
+				sim.handle(n, core.UpstreamAlive{Request: running.Request, Attempt: running.Attempt, Link: running.Link})
+				sim.advance(time.Second)
 			}
 		}
 	}
-	w.produce(n, long, 20, 20, true)
-	if w.end(long.Request).Outcome != core.Done {
-		t.Errorf("the running generation ended as %+v, want done", w.end(long.Request))
+	sim.produce(n, running, 20, 20, true)
+	if sim.finishOf(running.Request).Outcome != core.Done {
+		t.Errorf("finish of the running generation = %+v, want outcome done", sim.finishOf(running.Request))
 	}
 	if booked != 60 || generated != 60 {
-		t.Errorf("refused at once = %d, generated = %d, want 60 and 60", booked, generated)
+		t.Errorf("bookings refused immediately = %d, generations done = %d, want 60 and 60", booked, generated)
 	}
-	if w.commits != before {
-		t.Errorf("%d writes were sent to a table known to be down", w.commits-before)
+	if sim.commits != before {
+		t.Errorf("writes sent while the table was known to be down = %d, want 0", sim.commits-before)
 	}
-	w.down = false
-	w.advance(2 * time.Second)
-	w.warm()
-	id := w.book(n, "after", "b")
-	w.settleAll()
-	if w.end(id).Outcome != core.Done {
-		t.Errorf("after the outage a booking got %+v, want done", w.end(id))
+	sim.tableDown = false
+	sim.advance(2 * time.Second)
+	sim.warmUp()
+	id := sim.book(n, "after", "b")
+	sim.settleAll()
+	if sim.finishOf(id).Outcome != core.Done {
+		t.Errorf("finish of a booking after the outage = %+v, want outcome done", sim.finishOf(id))
 	}
 }
 
-// The first attempt of a generation reaches an engine and breaks; the second
-// finds no budget left. An engine has worked on the request, so that "not run"
-// would be untrue.
-func TestPromise3RefusalAfterAnAttemptThatRan(t *testing.T) {
-	w := newBookWorld(1, "0.07")
-	n := w.nodes[0]
-	w.warmEngines()
-	id := w.generate(n, false)
-	w.advance(worldTick)
+// Guards against the outcome not_run for a request that an engine has worked on. The
+// first attempt reaches an engine and fails; the retry is refused because the budget
+// is used up. The request may have run, so the outcome must be unknown.
+func TestPromise3RefusalAfterAttemptThatRan(t *testing.T) {
+	sim := newSimulation(1, "0.07")
+	n := sim.instances[0]
+	sim.warmUpEngines()
+	id := sim.generate(n, false)
+	sim.advance(simTick)
 	for try := range 2 {
-		d := w.take(id)
+		d := sim.takeDispatch(id)
 		if d == nil {
 			break
 		}
-		w.give(n, core.UpstreamFailed{Request: id, Attempt: d.Attempt, Link: d.Link, Sent: try == 0, Gone: true, Step: "send", Err: "cut"})
-		w.advance(3 * time.Second)
+		sim.handle(n, core.UpstreamFailed{Request: id, Attempt: d.Attempt, Link: d.Link, Sent: try == 0, Gone: true, Step: "send", Err: "cut"})
+		sim.advance(3 * time.Second)
 	}
-	if f := w.end(id); f.Outcome != core.Unknown {
-		t.Errorf("the request ended as %+v, want unknown", f)
+	if f := sim.finishOf(id); f.Outcome != core.Unknown {
+		t.Errorf("finish = %+v, want outcome unknown", f)
 	}
 }
 
-// A caller lost its stream and wants to read on, at an instance that refuses
-// the handle, or knows no such key. The generation did run all the same.
+// Guards against the outcome not_run when a caller resumes a stream and the instance
+// rejects the handle or the API key: the generation has run in any case.
 func TestPromise3RefusedResume(t *testing.T) {
-	w := newBookWorld(1, "1.00")
-	for id, key := range map[string]string{"bad handle": worldKey, "bad key": "other"} {
-		w.give(w.nodes[0], core.CallerResume{ID: id, APIKey: key, LastEventID: "x.1"})
-		if f := w.end(id); f.Outcome != core.Unknown {
-			t.Errorf("%s: the resume ended as %+v, want unknown", id, f)
+	sim := newSimulation(1, "1.00")
+	for id, key := range map[string]string{"bad handle": simKey, "bad key": "other"} {
+		sim.handle(sim.instances[0], core.CallerResume{ID: id, APIKey: key, LastEventID: "x.1"})
+		if f := sim.finishOf(id); f.Outcome != core.Unknown {
+			t.Errorf("%s: finish of the resume = %+v, want outcome unknown", id, f)
 		}
 	}
 }
 
-// A caller resumes at an instance whose list of upstreams is behind and lacks the engine.
-// The generation is well: it must be read on once the list has come, not given up after a
-// few calls to an empty address.
-func TestPromise1ResumeBeforeTheListHasTheEngine(t *testing.T) {
-	w := newBookWorld(2, "1.00")
-	w.warmEngines()
-	first, second := w.nodes[0], w.nodes[1]
-	id := w.generate(first, true)
-	w.advance(worldTick)
-	d := w.take(id)
+// Guards against a resume that fails because the instance list lags. The caller resumes at an
+// instance whose list does not contain the engine yet, while the generation still runs. The
+// entry must wait for the list and then resume, instead of failing after a few calls to an
+// empty address.
+func TestPromise1ResumeBeforeInstanceListHasEngine(t *testing.T) {
+	sim := newSimulation(2, "1.00")
+	sim.warmUpEngines()
+	first, second := sim.instances[0], sim.instances[1]
+	id := sim.generate(first, true)
+	sim.advance(simTick)
+	d := sim.takeDispatch(id)
 	if d == nil {
 		t.Fatal("the generation was not dispatched")
 	}
-	w.produce(first, d, 0, 5, false)
-	without := slices.DeleteFunc(w.members(), func(m membership.Member) bool { return m.Name == d.Upstream })
-	w.give(second, core.InstanceList{Members: without})
-	w.give(second, core.CallerResume{ID: "resumed", APIKey: worldKey, LastEventID: w.events[id]})
-	w.advance(worldTick)
-	if w.take("resumed") != nil {
-		t.Error("a call goes to an upstream without an address")
+	sim.produce(first, d, 0, 5, false)
+	without := slices.DeleteFunc(sim.members(), func(m membership.Member) bool { return m.Name == d.Upstream })
+	sim.handle(second, core.InstanceList{Members: without})
+	sim.handle(second, core.CallerResume{ID: "resumed", APIKey: simKey, LastEventID: sim.lastEventIDs[id]})
+	sim.advance(simTick)
+	if sim.takeDispatch("resumed") != nil {
+		t.Error("the resume was dispatched while the upstream's address was unknown, want no dispatch")
 	}
-	w.give(second, core.InstanceList{Members: w.members()})
-	w.advance(3 * time.Second)
-	again := w.take("resumed")
-	if again == nil || again.From != 5 || again.Address == "" {
-		t.Fatalf("read on by %+v, want from token 5 at an address; ended %+v", again, w.end("resumed"))
+	sim.handle(second, core.InstanceList{Members: sim.members()})
+	sim.advance(3 * time.Second)
+	resumed := sim.takeDispatch("resumed")
+	if resumed == nil || resumed.From != 5 || resumed.Address == "" {
+		t.Fatalf("dispatch of the resume = %+v, want From = 5 and an address; finish = %+v", resumed, sim.finishOf("resumed"))
 	}
-	w.produce(second, again, 5, 10, true)
-	if f := w.end("resumed"); f.Outcome != core.Done {
-		t.Errorf("the resumed stream ended as %+v", f)
+	sim.produce(second, resumed, 5, 10, true)
+	if f := sim.finishOf("resumed"); f.Outcome != core.Done {
+		t.Errorf("finish of the resumed stream = %+v, want outcome done", f)
 	}
 }
 
-// The home of an organisation drains. It returns the free part of its chunk, so
-// that nothing but the cost of the one booking stays debited.
-func TestBudgetDrainReturnsTheChunk(t *testing.T) {
-	w := newBookWorld(2, "1000.00")
-	w.settleAll()
-	w.warm()
-	w.decideAll()
+// Guards against a home of an organisation that drains and keeps the unused part of its
+// chunk debited. Only the cost of the one booking must stay debited.
+func TestBudgetDrainReturnsChunk(t *testing.T) {
+	sim := newSimulation(2, "1000.00")
+	sim.settleAll()
+	sim.warmUp()
+	sim.resolveAllCalls()
 	row := func() string {
-		for key, row := range w.table.Rows {
+		for key, row := range sim.table.Rows {
 			if strings.HasPrefix(key, "budget/") {
 				return string(row.Value)
 			}
@@ -207,134 +212,135 @@
 		return ""
 	}
 	if !strings.Contains(row(), `"debited":20000000,`) {
-		t.Errorf("row = %s, want a chunk of 20.00", row())
+		t.Errorf("budget row = %s, want a debited chunk of 20.00", row())
 	}
-	for _, n := range w.nodes {
-		w.give(n, core.Drain{})
+	for _, n := range sim.instances {
+		sim.handle(n, core.Drain{})
 	}
-	w.advance(7 * time.Second)
+	sim.advance(7 * time.Second)
 	if !strings.Contains(row(), `"debited":10000,`) {
-		t.Errorf("row = %s, want 0.01 after the drain", row())
+		t.Errorf("budget row after the drain = %s, want 0.01 debited", row())
 	}
 }
 
-// An engine crashes before the first token. Reading on from a new connection
-// then fails to connect: that says nothing of the first connection, over which
-// the request did reach the engine.
-func TestPromise3DialFailureOfAResumeIsNoProof(t *testing.T) {
-	w := newBookWorld(1, "0.07")
-	n := w.nodes[0]
-	w.warmEngines()
-	id := w.generate(n, true)
-	w.advance(worldTick)
+// Guards against the outcome not_run for a request that reached an engine. The engine
+// crashes before the first token, and the resume fails to connect. That failure proves
+// nothing about the first connection, over which the request reached the engine.
+func TestPromise3DialFailureOfResumeIsNotNotRun(t *testing.T) {
+	sim := newSimulation(1, "0.07")
+	n := sim.instances[0]
+	sim.warmUpEngines()
+	id := sim.generate(n, true)
+	sim.advance(simTick)
 	for range 4 {
-		if d := w.take(id); d != nil {
-			w.give(n, core.UpstreamFailed{Request: id, Attempt: d.Attempt, Link: d.Link, Sent: !d.Resume, Gone: d.Resume, Step: "send", Err: "refused"})
+		if d := sim.takeDispatch(id); d != nil {
+			sim.handle(n, core.UpstreamFailed{Request: id, Attempt: d.Attempt, Link: d.Link, Sent: !d.Resume, Gone: d.Resume, Step: "send", Err: "refused"})
 		}
-		w.advance(3 * time.Second)
+		sim.advance(3 * time.Second)
 	}
-	if f := w.end(id); f.Outcome != core.Unknown {
-		t.Errorf("the request ended as %+v, want unknown", f)
+	if f := sim.finishOf(id); f.Outcome != core.Unknown {
+		t.Errorf("finish = %+v, want outcome unknown", f)
 	}
 }
 
-// A day after its claim a record is deleted, by one instance and in pages; a
-// repeat then runs as a new call. Before, it is kept.
+// Guards against booking records that are deleted too early or never. One instance must
+// delete them, page by page, and only once they have expired a day after their claim.
 func TestPromise4RecordsExpire(t *testing.T) {
-	w := newBookWorld(2, "1000.00")
-	w.settleAll()
-	const many = 450
-	for k := range many {
-		w.book(w.nodes[k%2], fmt.Sprint("k", k), "b")
-		w.decideAll()
+	sim := newSimulation(2, "1000.00")
+	sim.settleAll()
+	const bookings = 450
+	for k := range bookings {
+		sim.book(sim.instances[k%2], fmt.Sprint("k", k), "b")
+		sim.resolveAllCalls()
 	}
 	count := func() (rows int) {
-		for key := range w.table.Rows {
+		for key := range sim.table.Rows {
 			if len(key) > len(booking.Prefix) && key[:len(booking.Prefix)] == booking.Prefix {
 				rows++
 			}
 		}
 		return rows
 	}
-	w.now = w.now.Add(booking.Keep - time.Hour)
-	w.advance(30 * time.Second)
-	if got := count(); got < many {
-		t.Errorf("%d rows are left within the day, want %d", got, many)
-	}
-	w.now = w.now.Add(2 * time.Hour)
-	commits := w.commits
-	w.advance(30 * time.Second)
-	w.decideAll()
-	w.advance(time.Second)
-	w.decideAll()
+	sim.now = sim.now.Add(booking.Keep - time.Hour)
+	sim.advance(30 * time.Second)
+	if got := count(); got < bookings {
+		t.Errorf("booking rows before their expiry = %d, want %d", got, bookings)
+	}
+	sim.now = sim.now.Add(2 * time.Hour)
+	commits := sim.commits
+	sim.advance(30 * time.Second)
+	sim.resolveAllCalls()
+	sim.advance(time.Second)
+	sim.resolveAllCalls()
 	if got := count(); got != 0 {
-		t.Errorf("%d rows are left after the day", got)
+		t.Errorf("booking rows after their expiry = %d, want 0", got)
 	}
-	t.Logf("swept=%d transactions=%d", many, w.commits-commits)
+	t.Logf("swept=%d transactions=%d", bookings, sim.commits-commits)
 }
 
-func (w *bookWorld) decideAll() {
-	for len(w.held) > 0 {
-		w.decide(0, wayGood)
+func (sim *simulation) resolveAllCalls() {
+	for len(sim.heldCalls) > 0 {
+		sim.resolveCall(0, callSucceeds)
 	}
 }
 
-// The cost of the safeguards in calls to the table, without faults: a booking
-// takes a claim and a record, its repeat one failed claim; debits come on top,
-// one for each fiftieth of the limit.
-func TestPromise4CostOfABooking(t *testing.T) {
-	w := newBookWorld(2, "1000.00")
-	w.settleAll()
-	w.warm()
-	w.decideAll()
-	w.warmEngines()
-	const many = 100
-	cost := func(name string, wantWrites, wantReads int, f func(k int)) {
-		commits, reads := w.commits, w.reads
-		for k := range many {
+// Guards the number of calls to the table without faults. A booking takes two writes, its
+// claim and its record; a repeat of its key takes one, a claim that conflicts; a generation
+// takes none. Debits, one for each fiftieth of the limit, come in addition.
+func TestPromise4TableCallsPerBooking(t *testing.T) {
+	sim := newSimulation(2, "1000.00")
+	sim.settleAll()
+	sim.warmUp()
+	sim.resolveAllCalls()
+	sim.warmUpEngines()
+	const calls = 100
+	countCalls := func(name string, wantWrites, wantReads int, f func(k int)) {
+		commits, reads := sim.commits, sim.reads
+		for k := range calls {
 			f(k)
-			w.decideAll()
+			sim.resolveAllCalls()
 		}
-		t.Logf("%s: writes=%.2f reads=%.2f for each", name, float64(w.commits-commits)/many, float64(w.reads-reads)/many)
-		if w.commits-commits != wantWrites*many || w.reads-reads != wantReads*many {
-			t.Errorf("%s: %d writes and %d reads for %d", name, w.commits-commits, w.reads-reads, many)
+		t.Logf("%s: writes=%.2f reads=%.2f per call", name, float64(sim.commits-commits)/calls, float64(sim.reads-reads)/calls)
+		if sim.commits-commits != wantWrites*calls || sim.reads-reads != wantReads*calls {
+			t.Errorf("%s: table writes = %d, reads = %d for %d calls, not the expected number per call", name, sim.commits-commits, sim.reads-reads, calls)
 		}
 	}
-	book := func(k int) { w.book(w.nodes[0], fmt.Sprint("cost", k), "b") }
-	cost("first call", 2, 0, book)
-	cost("repeat", 1, 0, book)
-	cost("generation", 0, 0, func(int) {
-		id := w.generate(w.nodes[0], true)
-		if d := w.take(id); d != nil {
-			w.produce(w.nodes[0], d, 0, 5, true)
+	book := func(k int) { sim.book(sim.instances[0], fmt.Sprint("cost", k), "b") }
+	countCalls("first call", 2, 0, book)
+	countCalls("repeat", 1, 0, book)
+	countCalls("generation", 0, 0, func(int) {
+		id := sim.generate(sim.instances[0], true)
+		if d := sim.takeDispatch(id); d != nil {
+			sim.produce(sim.instances[0], d, 0, 5, true)
 		}
 	})
 }
 
-// The table takes a second for a debit. The organisation's home says that it
-// waits, so that no entry takes it for dead, passes it over in its other roles
-// and lets the next home debit a chunk too; the callers get their answers.
-func TestBudgetSlowDebitIsNoDeadHome(t *testing.T) {
-	w := newBookWorld(2, "1000.00")
-	w.settleAll()
-	w.slowDebits = true
-	for _, n := range w.nodes {
-		n.inst = core.New(core.Options{Self: w.self(n.name), Boot: "c", Seed: 1})
-		w.start(n)
+// Guards against a slow debit that makes the organisation's home look dead. The table
+// takes a second for the debit. The home replies that it is waiting, so that no entry
+// marks it as silent, skips it in its other roles, and makes the next home debit a
+// second chunk. The bookings must run.
+func TestBudgetSlowDebitDoesNotMarkHomeSilent(t *testing.T) {
+	sim := newSimulation(2, "1000.00")
+	sim.settleAll()
+	sim.slowDebits = true
+	for _, n := range sim.instances {
+		n.inst = core.New(core.Options{Self: sim.member(n.name), Boot: "c", Seed: 1})
+		sim.startInstance(n)
 	}
 	var ids []string
-	for k, n := range w.nodes {
-		ids = append(ids, w.book(n, fmt.Sprint("slow-", k), "b"))
+	for k, n := range sim.instances {
+		ids = append(ids, sim.book(n, fmt.Sprint("slow-", k), "b"))
 	}
-	w.advance(time.Second)
-	debits := len(w.held)
-	if debits != 1 || w.resets != 0 {
-		t.Errorf("debits = %d, homes given up = %d, want 1 and 0", debits, w.resets)
+	sim.advance(time.Second)
+	debits := len(sim.heldCalls)
+	if debits != 1 || sim.resets != 0 {
+		t.Errorf("debits = %d, homes marked as silent = %d, want 1 and 0", debits, sim.resets)
 	}
-	w.settleAll()
+	sim.settleAll()
 	for _, id := range ids {
-		if w.end(id).Outcome != core.Done {
-			t.Errorf("%s ended as %+v, want done", id, w.end(id))
+		if sim.finishOf(id).Outcome != core.Done {
+			t.Errorf("finish of %s = %+v, want outcome done", id, sim.finishOf(id))
 		}
 	}
 }
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -11,22 +11,24 @@
 )
 
 const (
-	// grantTTL is the validity of a grant from its ask. With the age of the report behind it,
-	// it bounds how long a leaving upstream can get new work.
+	// grantTTL is the validity of a grant, counted from the time at which its ask was sent. With
+	// the age of the load report behind the grant, it bounds how long an upstream that has begun
+	// to leave can get new work.
 	grantTTL = time.Second
-	// askInterval is the interval at which a queued request repeats its ask, which shows both
-	// sides that the other is alive.
-	askInterval = 400 * time.Millisecond
-	// maxMissed is the number of consecutive asks without an answer.
-	maxMissed = 2
-	// ReasonNoPoolHome: no home of the pool answered.
+	// askRetryInterval is the interval at which a queued request repeats its ask. The repeats also
+	// serve as heartbeats between the entry and the home.
+	askRetryInterval = 400 * time.Millisecond
+	// maxUnanswered is the number of consecutive asks without a reply after which the home is
+	// marked as silent.
+	maxUnanswered = 2
+	// ReasonNoPoolHome: no home of the pool replied.
 	ReasonNoPoolHome = "no_pool_home"
 	// ReasonOtherRegions: the service has no upstream in the allowed regions.
 	ReasonOtherRegions = "no_upstream_in_regions"
 )
 
-// poolHomeName returns the current home of a pool: in its data centre if possible, otherwise
-// in its region, otherwise anywhere.
+// poolHomeName returns the instance that is the current home of a pool, "" if there is none. The
+// home is in the pool's data centre if possible, otherwise in its region, otherwise anywhere.
 func (i *Instance) poolHomeName(now time.Time, p *config.Pool) string {
 	homes := i.view.Homes(now, "pool/"+p.Name, 1, func(dc string) int {
 		switch {
@@ -44,9 +46,10 @@
 	return homes[0]
 }
 
+// startPlacing requests a grant in the first of the pools that the request may use.
 func (i *Instance) startPlacing(now time.Time, r *request) {
-	r.phase = placing
-	r.place = placeState{failed: r.place.failed, failedBoot: r.place.failedBoot, heard: now}
+	r.phase = phasePlacing
+	r.place = placeState{failedUpstream: r.place.failedUpstream, failedBoot: r.place.failedBoot, repliedAt: now}
 	dc := i.selfMember().DataCentre
 	all := r.version.PoolsFor(r.service.Name, dc)
 	r.place.pools = i.allowedPools(all, r)
@@ -57,69 +60,71 @@
 		}
 		i.refuse(now, r, Finish{
 			Status: status.ServiceUnavailable, Reason: reason,
-			Step: "place", RetryAfter: retryNoHome,
+			Step: "place", RetryAfter: retryAfterNoHome,
 		})
 		return
 	}
 	i.askGrant(now, r)
 }
 
+// askGrant requests a grant from the current home of the current pool.
 func (i *Instance) askGrant(now time.Time, r *request) {
 	pool := r.currentPool()
 	home := i.poolHomeName(now, pool)
 	if home == "" {
 		i.refuse(now, r, Finish{
-			Status: status.ServiceUnavailable, Reason: ReasonNoPoolHome, Step: "place", RetryAfter: retryNoHome,
+			Status: status.ServiceUnavailable, Reason: ReasonNoPoolHome, Step: "place", RetryAfter: retryAfterNoHome,
 		})
 		return
 	}
 	if r.place.home != "" && home != r.place.home {
-		// The home has moved: leave no place in the old one's queue.
+		// The pool has another home now: remove the attempt from the old home's queue.
 		i.send(r.place.home, msg.GrantEnd{Pool: pool.Name, Attempt: r.attempt})
 	}
 	r.place.home = home
-	r.place.asked = now
-	r.place.sent = append(r.place.sent, now)
-	i.wakeAt(r, now.Add(askInterval))
+	r.place.askedAt = now
+	r.place.askTimes = append(r.place.askTimes, now)
+	i.wakeAt(r, now.Add(askRetryInterval))
 	i.send(home, msg.GrantAsk{
-		Pool: pool.Name, Ask: r.placementAsk(i, now), Number: len(r.place.sent),
-		Failed: r.place.failed, FailedBoot: r.place.failedBoot,
+		Pool: pool.Name, Ask: r.placementAsk(i, now), Number: len(r.place.askTimes),
+		Failed: r.place.failedUpstream, FailedBoot: r.place.failedBoot,
 	})
 }
 
-// lapses returns when a grant expires. It counts from the ask that the home had received
-// before it granted: counted from a later one, a grant delayed in a link would stay valid
-// while the entry keeps asking, and the upstream may have begun to leave.
-func (r *request) lapses(m msg.GrantAnswer) time.Time {
-	if m.Number < 1 || m.Number > len(r.place.sent) {
+// grantExpiry returns when a grant expires. The validity counts from the ask to which the home
+// replied. If it counted from a later ask, a grant that is delayed in a link would stay valid as
+// long as the entry repeats its ask, while the upstream may have begun to leave.
+func (r *request) grantExpiry(m msg.GrantAnswer) time.Time {
+	if m.Number < 1 || m.Number > len(r.place.askTimes) {
 		return time.Time{}
 	}
-	return r.place.sent[m.Number-1].Add(m.TTL)
+	return r.place.askTimes[m.Number-1].Add(m.TTL)
 }
 
 func (r *request) placementAsk(i *Instance, now time.Time) placement.Ask {
 	return placement.Ask{
 		Attempt: r.attempt, Org: r.org.Name, Fingerprint: r.Fingerprint,
-		Prompt: r.Prompt, MaxOutput: r.MaxTokens, Prefix: r.Prefix, Exclude: r.exclude,
+		Prompt: r.Prompt, MaxOutput: r.MaxTokens, Prefix: r.Prefix, Exclude: r.excluded,
 		Suspect: i.suspects.Judge(now, r.Fingerprint) == suspect.Suspected,
 		MaxWait: max(r.service.MaxWait.D()-now.Sub(r.started), 0),
 	}
 }
 
-// placeTimeout repeats the ask, or skips a home that stays silent.
-func (i *Instance) placeTimeout(now time.Time, r *request) {
-	if r.place.heard.Before(r.place.asked) {
-		r.place.missed++
+// onPlaceTimeout repeats the ask, after marking a home that did not reply as silent. It refuses the
+// request once its maximum wait is over.
+func (i *Instance) onPlaceTimeout(now time.Time, r *request) {
+	if r.place.repliedAt.Before(r.place.askedAt) {
+		r.place.unanswered++
 	}
-	if r.place.missed >= maxMissed {
+	if r.place.unanswered >= maxUnanswered {
 		i.count("retries_total", "pool_home_silent")
-		i.giveUpOn(now, r.place.home)
-		r.place.missed = 0
+		i.markSilent(now, r.place.home)
+		r.place.unanswered = 0
 	}
-	if now.Sub(r.started) > r.service.MaxWait.D()+askTimeout {
+	if now.Sub(r.started) > r.service.MaxWait.D()+homeTimeout {
 		i.refuse(now, r, Finish{
 			Status: status.ServiceUnavailable, Reason: ReasonNoPoolHome,
-			Step: "place", Peer: r.place.home, RetryAfter: retryNoHome,
+			Step: "place", Peer: r.place.home, RetryAfter: retryAfterNoHome,
 		})
 		return
 	}
@@ -127,54 +132,54 @@
 }
 
 func (i *Instance) onGrantAnswer(now time.Time, from string, m msg.GrantAnswer) {
-	r := i.byAttempt(m.Decision.Attempt)
-	if r == nil || r.phase != placing || from != r.place.home {
-		i.lateGrant(r, from, m)
+	r := i.requestByAttempt(m.Decision.Attempt)
+	if r == nil || r.phase != phasePlacing || from != r.place.home {
+		i.returnLateGrant(r, from, m)
 		return
 	}
-	r.place.heard = now
-	r.place.missed = 0
+	r.place.repliedAt = now
+	r.place.unanswered = 0
 	switch m.Decision.Kind {
 	case placement.Granted:
 		i.useGrant(now, r, m)
 	case placement.Refused:
-		i.placeElsewhere(now, r, m.Decision, from)
+		i.onGrantRefused(now, r, m.Decision, from)
 	case placement.Queued:
-		i.note(now, r.ID, "queued", "home", from, "position", m.Decision.Position)
+		i.recordDecision(now, r.ID, "queued", "home", from, "position", m.Decision.Position)
 	}
 }
 
-// lateGrant returns a grant that is no longer needed.
-func (i *Instance) lateGrant(r *request, from string, m msg.GrantAnswer) {
+// returnLateGrant returns a grant that is no longer needed.
+func (i *Instance) returnLateGrant(r *request, from string, m msg.GrantAnswer) {
 	if m.Decision.Kind != placement.Granted {
 		return
 	}
 	if r != nil && from == r.place.home {
-		return // a repeated answer to the grant in use
+		return // a repeat of the grant in use
 	}
 	i.count("late_answers_total", "grant")
 	i.send(from, msg.GrantEnd{Pool: m.Pool, Attempt: m.Decision.Attempt})
 }
 
-// useGrant dispatches unless the grant has expired: an entry that was frozen must not send
-// work to an upstream that has begun to leave.
+// useGrant dispatches the attempt, or claims the key of a booking first. An expired grant is
+// returned, as an entry that was frozen must not send work to an upstream that has begun to leave.
 func (i *Instance) useGrant(now time.Time, r *request, m msg.GrantAnswer) {
-	lapses := r.lapses(m)
-	if !now.Before(lapses) {
+	expiry := r.grantExpiry(m)
+	if !now.Before(expiry) {
 		i.count("retries_total", "grant_lapsed")
 		i.send(r.place.home, msg.GrantEnd{Pool: m.Pool, Attempt: r.attempt})
 		i.askGrant(now, r)
 		return
 	}
 	if i.cordoned(m.Decision.Upstream) {
-		i.returnCordoned(now, r, m)
+		i.returnCordonedGrant(now, r, m)
 		return
 	}
 	r.run = runState{
 		upstream: m.Decision.Upstream, address: m.Address, priority: m.Decision.Priority, boot: m.Boot,
-		before: lapses, progress: now,
+		sendBefore: expiry, lastProgress: now,
 	}
-	i.note(now, r.ID, "granted", "home", r.place.home, "upstream", r.run.upstream, "attempt", r.attempt)
+	i.recordDecision(now, r.ID, "granted", "home", r.place.home, "upstream", r.run.upstream, "attempt", r.attempt)
 	if r.NotRepeatable {
 		i.claim(now, r)
 		return
@@ -182,28 +187,30 @@
 	i.dispatch(now, r)
 }
 
-// returnCordoned returns a grant for a cordoned upstream. The home does not know of the
-// cordon: it is told and asked once more, but not again, as it may take a while to learn.
-func (i *Instance) returnCordoned(now time.Time, r *request, m msg.GrantAnswer) {
+// returnCordonedGrant returns a grant for a cordoned upstream. The home has not applied the cordon
+// yet, so the entry sends it the cordons and asks once more. If the home grants a cordoned upstream
+// again, the request is refused, as the home may take a while to apply the cordons.
+func (i *Instance) returnCordonedGrant(now time.Time, r *request, m msg.GrantAnswer) {
 	i.count("retries_total", "grant_cordoned")
 	i.send(r.place.home, msg.GrantEnd{Pool: m.Pool, Attempt: r.attempt})
-	if r.place.toldCordons {
+	if r.place.cordonsSent {
 		r.place.home = ""
 		i.refuse(now, r, Finish{
-			Status: status.ServiceUnavailable, Reason: placement.ReasonCordoned, Step: "place", RetryAfter: retryNoHome,
+			Status: status.ServiceUnavailable, Reason: placement.ReasonCordoned, Step: "place", RetryAfter: retryAfterNoHome,
 		})
 		return
 	}
-	r.place.toldCordons = true
-	i.send(r.place.home, i.configTold(now, 0))
+	r.place.cordonsSent = true
+	i.send(r.place.home, i.configUpdate(now, 0))
 	i.askGrant(now, r)
 }
 
-// placeElsewhere asks the next pool of the service, or passes the refusal on.
-func (i *Instance) placeElsewhere(now time.Time, r *request, d placement.Decision, from string) {
-	if r.place.pool+1 < len(r.place.pools) && d.Reason != placement.ReasonPoison {
+// onGrantRefused requests a grant in the next pool of the service. After the last pool, and for
+// ReasonPoison, it refuses the request.
+func (i *Instance) onGrantRefused(now time.Time, r *request, d placement.Decision, from string) {
+	if r.place.poolIndex+1 < len(r.place.pools) && d.Reason != placement.ReasonPoison {
 		i.count("retries_total", "pool_"+d.Reason)
-		r.place.pool++
+		r.place.poolIndex++
 		r.place.home = ""
 		i.askGrant(now, r)
 		return
@@ -215,13 +222,13 @@
 	i.refuse(now, r, Finish{Status: code, Reason: d.Reason, Step: "place", Peer: from, RetryAfter: d.RetryAfter})
 }
 
-// endGrant returns the request's grant or place in a queue.
+// endGrant ends the request's grant, or removes the request from the home's queue.
 func (i *Instance) endGrant(r *request, failed bool) {
 	if r.place.home == "" {
 		return
 	}
 	i.send(r.place.home, msg.GrantEnd{
-		Pool: r.currentPool().Name, Attempt: r.attempt, Tokens: r.seq.Next(), Failed: failed, Cut: r.gone,
+		Pool: r.currentPool().Name, Attempt: r.attempt, Tokens: r.seq.Next(), Failed: failed, Cut: r.disconnected,
 		Upstream: r.run.upstream, Boot: r.run.boot, Fingerprint: r.Fingerprint,
 	})
 	r.place.home = ""
--- a/internal/core/poison_test.go
+++ b/internal/core/poison_test.go
@@ -11,26 +11,27 @@
 	"mulberrylug.example/mulberrylug/internal/core/placement"
 )
 
-// poisonHome is the home of a pool that meets a request which crashes upstreams.
+// poisonHome drives the home of a pool that receives requests which crash upstreams.
 type poisonHome struct {
-	*targetWorld
+	*targetHarness
 	pool      string
 	upstreams []string
 }
 
 func newPoisonHome(t *testing.T) *poisonHome {
 	t.Helper()
-	w := newTargetWorld(t, sizeMiddle)
+	w := newTargetHarness(t, sizeMiddle)
 	v := config.Compile(1, "", sizeMiddle.config())
 	p := v.Pool(v.PoolOf(upstreamName(0)))
-	h := &poisonHome{targetWorld: w, pool: p.Name, upstreams: p.Upstreams}
-	h.ask("entry-9:a:1/1", 1, "") // the home begins with it, and asks its upstreams
-	h.pass(3 * time.Second)       // a home that has just begun keeps suspects waiting
+	h := &poisonHome{targetHarness: w, pool: p.Name, upstreams: p.Upstreams}
+	h.requestGrant("entry-9:a:1/1", 1, "") // creates the home, which then polls its upstreams
+	h.advance(3 * time.Second)             // a new home holds suspects at first
 	return h
 }
 
-// ask asks for a grant and returns the upstream that it names, "" if there is none.
-func (h *poisonHome) ask(attempt string, fingerprint uint64, failed string) string {
+// requestGrant requests a grant for an attempt and returns the granted upstream, "" if there is
+// none. failed is the upstream where the previous attempt failed, "" for a first attempt.
+func (h *poisonHome) requestGrant(attempt string, fingerprint uint64, failed string) string {
 	m := msg.GrantAsk{Pool: h.pool, Ask: placement.Ask{
 		Attempt: attempt, Org: orgName(0), Fingerprint: fingerprint, Prompt: 250, MaxOutput: 500, MaxWait: 20 * time.Second,
 	}}
@@ -38,13 +39,14 @@
 		m.Failed, m.FailedBoot = failed, report(failed, 0).Boot
 		m.Ask.Exclude = []string{failed}
 	}
-	return h.grantedBy(core.PeerMessage{From: "entry-1", Msg: m}, attempt)
+	return h.handleAndFindGrant(core.PeerMessage{From: "entry-1", Msg: m}, attempt)
 }
 
-// grantedBy handles an event and returns the upstream that it gets an attempt.
-func (h *poisonHome) grantedBy(e core.Event, attempt string) (upstream string) {
+// handleAndFindGrant handles an event and returns the upstream that the home then grants to an
+// attempt, "" if there is no grant.
+func (h *poisonHome) handleAndFindGrant(e core.Event, attempt string) (upstream string) {
 	for _, a := range h.inst.Handle(h.now, e) {
-		h.answer(a)
+		h.respond(a)
 		s, ok := a.(core.Send)
 		if !ok {
 			continue
@@ -56,48 +58,49 @@
 	return upstream
 }
 
-// fails tells the home that an attempt was broken off by its upstream.
-func (h *poisonHome) fails(attempt, upstream string, fingerprint uint64) {
-	h.do(core.PeerMessage{From: "entry-1", Msg: msg.GrantEnd{
+// reportFailure reports to the home that an attempt failed at its upstream.
+func (h *poisonHome) reportFailure(attempt, upstream string, fingerprint uint64) {
+	h.handle(core.PeerMessage{From: "entry-1", Msg: msg.GrantEnd{
 		Pool: h.pool, Attempt: attempt, Upstream: upstream, Boot: report(upstream, 0).Boot, Failed: true, Fingerprint: fingerprint,
 	}})
 }
 
-// pass lets time go by, in which some upstreams do not answer their polls.
-func (h *poisonHome) pass(d time.Duration, silent ...string) {
-	h.polls = false
+// advance advances time in ticks, with reports from all upstreams except the silent ones.
+func (h *poisonHome) advance(d time.Duration, silent ...string) {
+	h.answersPolls = false
 	for range d / (50 * time.Millisecond) {
 		h.tick(50 * time.Millisecond)
 		for _, u := range h.upstreams {
 			if !slices.Contains(silent, u) {
-				h.do(core.UpstreamReport{Asked: h.now, Report: report(u, 0)})
+				h.handle(core.UpstreamReport{Asked: h.now, Report: report(u, 0)})
 			}
 		}
 	}
 }
 
-// An entry that reads on for seconds reports a failed attempt after the wait for the
-// upstream's verdict is over. Were that failure forgotten, the request would crash a
-// third upstream once the first one is known to have crashed.
-func TestPoisonLateFailureCountsAsADoubt(t *testing.T) {
+// Guards against a request that crashes a third upstream. An entry that tries to resume for
+// seconds reports its failed attempt only after the home's wait for a verdict on the upstream
+// has timed out. If the home dropped this failure, it would grant the request a third upstream
+// once the first one is known to have crashed.
+func TestPoisonLateFailureIsUnconfirmedStrike(t *testing.T) {
 	const poison, innocent = 77, 78
 	h := newPoisonHome(t)
-	first, second := h.ask("entry-1:a:1/1", poison, ""), h.ask("entry-2:a:1/1", poison, "")
+	first, second := h.requestGrant("entry-1:a:1/1", poison, ""), h.requestGrant("entry-2:a:1/1", poison, "")
 	if first == "" || second == "" || first == second {
-		t.Fatalf("copies run on %q and %q, want two upstreams", first, second)
+		t.Fatalf("attempts with one fingerprint were granted %q and %q, want two different upstreams", first, second)
 	}
-	h.pass(50*time.Millisecond, first, second)
-	h.fails("entry-1:a:1/1", first, poison)
-	h.fails("entry-3:a:1/1", second, innocent)
-	h.pass(1200*time.Millisecond, first, second)
-	h.fails("entry-2:a:1/1", second, poison)
-	if got := h.ask("entry-2:a:1/2", poison, second); got != "" {
-		t.Errorf("a retry runs on %s, while two upstreams may have crashed", got)
+	h.advance(50*time.Millisecond, first, second)
+	h.reportFailure("entry-1:a:1/1", first, poison)
+	h.reportFailure("entry-3:a:1/1", second, innocent)
+	h.advance(1200*time.Millisecond, first, second)
+	h.reportFailure("entry-2:a:1/1", second, poison)
+	if got := h.requestGrant("entry-2:a:1/2", poison, second); got != "" {
+		t.Errorf("retry granted on %s although two upstreams may have crashed, want no grant", got)
 	}
 	crashed := report(first, 0)
 	crashed.Boot = "fedcba9876543210"
-	h.do(core.UpstreamReport{Asked: h.now, Report: crashed})
-	if got := h.ask("entry-1:a:1/2", poison, ""); got != "" {
-		t.Errorf("a retry runs on %s after one crash, while another upstream may have crashed", got)
+	h.handle(core.UpstreamReport{Asked: h.now, Report: crashed})
+	if got := h.requestGrant("entry-1:a:1/2", poison, ""); got != "" {
+		t.Errorf("retry granted on %s after one crash and one unconfirmed strike, want no grant", got)
 	}
 }
--- a/internal/core/poolhome.go
+++ b/internal/core/poolhome.go
@@ -11,51 +11,53 @@
 )
 
 const (
-	// pollInterval is the interval at which a home polls each upstream's load.
+	// pollInterval is the interval at which a home polls the load of each upstream.
 	pollInterval = 250 * time.Millisecond
-	// homeIdle is how long a home without asks continues to poll.
-	homeIdle = 10 * time.Second
+	// homeIdleTimeout is how long a home without asks and announcements continues to poll.
+	homeIdleTimeout = 10 * time.Second
 )
 
 // poolHome is this instance's role as the home of a pool.
 type poolHome struct {
 	pool string
 	home *placement.Home
-	// version is the configuration version of its settings.
-	version int64
-	begun   time.Time
-	asked   time.Time
-	polled  time.Time
-	// entries maps attempts to the requesting entries.
-	entries map[string]asker
-	boots   map[string]string
-	orders  map[string]*order.Machine
-	// crashed maps upstreams to the run that ended in their last crash.
-	crashed map[string]string
-	// leaving holds the upstreams whose last report said so.
-	leaving map[string]bool
-	guard   guard
-	failing failing
-	orphans orphans
-}
-
-// asker is an entry and the number of its last ask.
-type asker struct {
-	name string
-	asks int
-}
-
-// poolHomeFor returns the role for a pool, creating it if needed. An instance that is asked
-// serves whether or not it considers itself the home: two homes at once overcommit slightly
-// and break no promise.
+	// version is the number of the configuration version from which home has its settings.
+	version    int64
+	createdAt  time.Time
+	lastAsked  time.Time
+	lastPolled time.Time
+	// entries maps attempts to the entries that requested or announced them.
+	entries map[string]requester
+	// boots maps upstreams to the run of their process as of the last report.
+	boots  map[string]string
+	orders map[string]*order.Machine
+	// crashedBoots maps upstreams to the run that ended in their last crash.
+	crashedBoots map[string]string
+	// leaving records for each upstream whether its last report, or the instance list at that time,
+	// said that it is leaving.
+	leaving  map[string]bool
+	guard    crashGuard
+	failures upstreamFailures
+	orphans  orphans
+}
+
+// requester is an entry and the number of its last ask for an attempt.
+type requester struct {
+	name    string
+	lastAsk int
+}
+
+// poolHomeFor returns the home of a pool and creates it if needed. An instance serves asks whether
+// or not it considers itself the home: two homes at the same time overcommit the upstreams slightly
+// but break no promise.
 func (i *Instance) poolHomeFor(now time.Time, name string) *poolHome {
 	h := i.pools[name]
 	if h == nil {
 		p := i.version.Pool(name)
 		h = &poolHome{
-			pool: name, begun: now, entries: map[string]asker{}, boots: map[string]string{},
-			orders: map[string]*order.Machine{}, crashed: map[string]string{}, leaving: map[string]bool{},
-			guard: newGuard(), failing: failing{}, orphans: newOrphans(),
+			pool: name, createdAt: now, entries: map[string]requester{}, boots: map[string]string{},
+			orders: map[string]*order.Machine{}, crashedBoots: map[string]string{}, leaving: map[string]bool{},
+			guard: newCrashGuard(), failures: upstreamFailures{}, orphans: newOrphans(),
 			version: i.version.Number, home: placement.NewHome(i.placementSettings(p)),
 		}
 		h.home.SetCordons(now, i.cordons)
@@ -67,11 +69,12 @@
 		h.version = i.version.Number
 		h.home.Configure(i.placementSettings(i.version.Pool(name)))
 	}
-	h.asked = now
+	h.lastAsked = now
 	return h
 }
 
-// placementSettings returns the settings of a pool's home. Learned lengths outlive the homes.
+// placementSettings returns the settings of a pool's home. The learned answer lengths belong to the
+// instance and are kept when a home ends.
 func (i *Instance) placementSettings(p *config.Pool) placement.Settings {
 	return placement.Settings{
 		Weights: i.version.Config.Deployment.Weights,
@@ -84,18 +87,20 @@
 
 func (i *Instance) onGrantAsk(now time.Time, from string, m msg.GrantAsk) {
 	if i.version == nil || i.version.Pool(m.Pool) == nil {
-		return // not known here yet: the entry asks again
+		return // the version with this pool is not in force here yet; the entry repeats its ask
 	}
 	h := i.poolHomeFor(now, m.Pool)
-	h.entries[m.Ask.Attempt] = asker{name: from, asks: max(h.entries[m.Ask.Attempt].asks, m.Number)}
+	h.entries[m.Ask.Attempt] = requester{name: from, lastAsk: max(h.entries[m.Ask.Attempt].lastAsk, m.Number)}
 	if i.screen(now, h, from, &m) {
 		i.answerGrants(now, h, h.home.Ask(now, m.Ask))
 	}
 }
 
+// answerGrants sends decisions to their entries. The end of a withdrawn grant may lead to further
+// decisions.
 func (i *Instance) answerGrants(now time.Time, h *poolHome, ds []placement.Decision) {
 	for _, d := range ds {
-		d, vetoed := i.vetoes(now, h, d)
+		d, vetoed := i.recheckGrant(now, h, d)
 		i.answerGrant(h, d)
 		if vetoed {
 			i.answerGrants(now, h, h.home.End(now, d.Attempt, 0, false))
@@ -104,12 +109,12 @@
 }
 
 func (i *Instance) answerGrant(h *poolHome, d placement.Decision) {
-	m := msg.GrantAnswer{Pool: h.pool, Decision: d, TTL: grantTTL, Number: h.entries[d.Attempt].asks}
+	m := msg.GrantAnswer{Pool: h.pool, Decision: d, TTL: grantTTL, Number: h.entries[d.Attempt].lastAsk}
 	if d.Kind == placement.Granted {
 		up, _ := i.view.Member(d.Upstream)
 		m.Address = up.Address
 		m.Boot = h.boots[d.Upstream]
-		h.guard.granted(d.Attempt, d.Upstream)
+		h.guard.markGranted(d.Attempt, d.Upstream)
 	}
 	i.count("decisions_total", d.Kind.String())
 	i.send(h.entries[d.Attempt].name, m)
@@ -128,13 +133,13 @@
 	for _, v := range h.guard.verdicts {
 		v.drop(m.Attempt)
 	}
-	h.failing.ended(now, m.Upstream, m.Failed)
-	if !i.keepFailed(now, h, m) {
-		i.endGranted(now, h, m)
+	h.failures.attemptEnded(now, m.Upstream, m.Failed)
+	if !i.holdFailedGrant(now, h, m) {
+		i.releaseGrant(now, h, m)
 	}
 }
 
-func (i *Instance) endGranted(now time.Time, h *poolHome, m msg.GrantEnd) {
+func (i *Instance) releaseGrant(now time.Time, h *poolHome, m msg.GrantEnd) {
 	h.guard.forget(m.Attempt)
 	i.answerGrants(now, h, h.home.End(now, m.Attempt, m.Tokens, !m.Failed && !m.Cut))
 }
@@ -145,11 +150,11 @@
 	}
 	h := i.poolHomeFor(now, m.Pool)
 	for _, a := range m.Running {
-		h.entries[a.Ask.Attempt] = asker{name: from, asks: h.entries[a.Ask.Attempt].asks}
+		h.entries[a.Ask.Attempt] = requester{name: from, lastAsk: h.entries[a.Ask.Attempt].lastAsk}
 		h.home.Running(now, a.Ask, a.Upstream, placement.Sighting{Tokens: a.Tokens})
-		if h.boots[a.Upstream] != "" { // else it has crashed, or is not known yet
-			h.guard.note(now, a.Ask)
-			h.guard.granted(a.Ask.Attempt, a.Upstream)
+		if h.boots[a.Upstream] != "" { // otherwise the upstream has crashed or has not reported yet
+			h.guard.track(now, a.Ask)
+			h.guard.markGranted(a.Ask.Attempt, a.Upstream)
 		}
 	}
 }
@@ -159,10 +164,10 @@
 		h := i.pools[name]
 		i.answerGrants(now, h, h.home.Tick(now))
 		i.tickVerdicts(now, h)
-		if now.Sub(h.polled) < pollInterval {
+		if now.Sub(h.lastPolled) < pollInterval {
 			continue
 		}
-		if now.Sub(h.asked) > homeIdle {
+		if now.Sub(h.lastAsked) > homeIdleTimeout {
 			delete(i.pools, name)
 			i.poolNames = sortedNames(i.pools)
 			continue
@@ -175,7 +180,7 @@
 }
 
 func (i *Instance) pollPool(now time.Time, h *poolHome) {
-	h.polled = now
+	h.lastPolled = now
 	p := i.version.Pool(h.pool)
 	if p == nil {
 		return
@@ -201,7 +206,7 @@
 		i.upstreamCrashed(now, h, name)
 	}
 	h.boots[name] = e.Report.Boot
-	h.sighted(now, e.Report)
+	h.recordGenerations(now, e.Report)
 	if m, ok := i.view.Member(name); ok && m.State == membership.Leaving {
 		e.Report.Leaving = true
 	}
@@ -210,9 +215,9 @@
 		e.Report.DataCentre = u.DataCentre
 	}
 	if i.orderOnReport(now, h, e.Report) {
-		e.Report.Leaving = true // about to load another version
+		e.Report.Leaving = true // it gets no new work before it loads another version
 	}
-	i.judge(now, h, name, e.Report.Boot, e.Asked)
+	i.resolveVerdict(now, h, name, e.Report.Boot, e.Asked)
 	i.answerGrants(now, h, h.home.Report(now, e.Asked, e.Report))
 }
 
@@ -223,10 +228,11 @@
 	}
 	i.count("polls_failed_total", e.Upstream)
 	if e.Refused {
-		i.upstreamGone(now, h, e.Upstream)
+		i.onConnectionRefused(now, h, e.Upstream)
 	}
 }
 
+// homeOf returns the home of the upstream's pool, nil if it is not at this instance.
 func (i *Instance) homeOf(upstream string) *poolHome {
 	if i.version == nil {
 		return nil
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -9,19 +9,19 @@
 	"mulberrylug.example/mulberrylug/internal/core/stream"
 )
 
-// phase is a request's state.
+// phase is the state of a request at its entry.
 type phase int
 
 const (
-	reserving phase = iota + 1
-	placing
-	claiming
-	running
-	recording
-	backingOff
-	fencing
-	awaiting
-	lookingUp
+	phaseReserving phase = iota + 1
+	phasePlacing
+	phaseClaiming
+	phaseRunning
+	phaseRecording
+	phaseBackingOff
+	phaseFencing
+	phaseAwaiting
+	phaseLookingUp
 )
 
 // request is a caller's request at its entry.
@@ -32,13 +32,13 @@
 	version *config.Version
 	phase   phase
 	started time.Time
-	// wake is when onWake is due; zero means never.
+	// wake is the time at which onWake runs next; zero means never.
 	wake time.Time
 
-	// attempt is the id of the current attempt, tries their number.
-	attempt string
-	tries   int
-	exclude []string
+	// attempt is the id of the current attempt, tries the number of attempts so far.
+	attempt  string
+	tries    int
+	excluded []string
 
 	reserve reserveState
 	place   placeState
@@ -47,87 +47,90 @@
 
 	seq  stream.Sequencer
 	text []byte
-	// ran is set once an earlier attempt may have reached an upstream.
-	ran bool
-	// gone is set once the caller's connection ended, at goneAt.
-	gone   bool
-	goneAt time.Time
+	// earlierSent is set if an earlier attempt may have reached an upstream.
+	earlierSent bool
+	// disconnected is set once the caller's connection has ended, at disconnectedAt.
+	disconnected   bool
+	disconnectedAt time.Time
 }
 
-// reserveState is the reservation of the organisation's budget.
+// reserveState is the state of the reservation from the organisation's budget.
 type reserveState struct {
-	home   string
-	asks   int
-	amount config.Money
-	held   bool
+	home       string
+	homesAsked int
+	amount     config.Money
+	held       bool
 }
 
-// placeState is the search for an upstream.
+// placeState is the state of the request for a grant.
 type placeState struct {
-	pools []*config.Pool
-	pool  int
-	home  string
-	asked time.Time
-	// sent holds the time of each ask by its number from 1.
-	sent   []time.Time
-	heard  time.Time
-	missed int
-	// failed and failedBoot identify where the previous attempt failed.
-	failed     string
-	failedBoot string
-	// toldCordons is set once the home was told that it grants cordoned upstreams.
-	toldCordons bool
+	pools     []*config.Pool
+	poolIndex int
+	home      string
+	askedAt   time.Time
+	// askTimes holds the send times of all asks; ask number n is at index n-1.
+	askTimes   []time.Time
+	repliedAt  time.Time
+	unanswered int
+	// failedUpstream and failedBoot identify the upstream, and the run of its process, on which
+	// the previous attempt failed.
+	failedUpstream string
+	failedBoot     string
+	// cordonsSent is set once the cordons were sent to a home that granted a cordoned upstream.
+	cordonsSent bool
 }
 
-// runState is the running attempt.
+// runState is the state of the running attempt.
 type runState struct {
 	upstream string
 	address  string
-	// boot is the upstream's run, as stated by its home or its answer.
+	// boot identifies the run of the upstream's process, as stated by the pool's home or by a
+	// resume handle.
 	boot string
-	// handle is signed with the first delivered token.
-	handle   string
-	priority int
-	before   time.Time
-	progress time.Time
-	// link numbers the attempt's connections.
+	// handle is the signed resume handle, created with the first delivered token.
+	handle       string
+	priority     int
+	sendBefore   time.Time
+	lastProgress time.Time
+	// link is the number of the attempt's current connection.
 	link int
-	// resumes counts consecutive connections without progress, resumesAll all of them.
-	resumes    int
-	resumesAll int
-	// sent is set once the attempt was dispatched, failed once its upstream broke it off.
+	// resumes counts consecutive resumes without a token, totalResumes all resumes.
+	resumes      int
+	totalResumes int
+	// sent is set once the attempt was dispatched, failed once it failed at its upstream.
 	sent   bool
 	failed bool
-	// readAt is when reading continues after a backoff; zero if there is none.
-	readAt time.Time
-	// produced is the upstream's count of tokens, if counted.
-	produced int
-	counted  bool
+	// resumeAt is the end of the backoff before the next resume; zero if there is none.
+	resumeAt time.Time
+	// produced is the number of tokens that the upstream reported, valid if producedKnown is set.
+	produced      int
+	producedKnown bool
 }
 
-// bookState is the claim of a call that may not be repeated.
+// bookState is the state of the claim of a call that may not be repeated.
 type bookState struct {
-	// base is the row's version that the claim requires, version the one
-	// that it wrote, tries how often it was made.
-	base    int64
-	version int64
-	tries   int
-	record  booking.Record
-	// answer waits for the record, or for the look-up before a refusal.
-	answer   Finish
-	looked   bool
-	awaitEnd time.Time
-	pause    time.Duration
+	// baseVersion is the version of the row that the claim requires, version the version that
+	// the claim wrote, claims the number of claims made.
+	baseVersion int64
+	version     int64
+	claims      int
+	record      booking.Record
+	// pendingFinish is the finish of the request once its answer is recorded, or once the
+	// look-up before a refusal has found no earlier call that may have run.
+	pendingFinish Finish
+	lookedUp      bool
+	awaitDeadline time.Time
+	awaitInterval time.Duration
 }
 
-// mayHaveRun reports whether any attempt may have reached an upstream. Without
-// it, a request whose first attempt broke and whose second found no budget
-// would be called "not run" although an engine had worked on it.
-func (r *request) mayHaveRun() bool { return r.ran || r.run.sent }
+// mayHaveRun reports whether any attempt may have reached an upstream. A request
+// whose first attempt failed and whose second attempt was refused for lack of
+// budget must not end as NotRun, as an engine has worked on it.
+func (r *request) mayHaveRun() bool { return r.earlierSent || r.run.sent }
 
 func (r *request) engine() bool { return r.service.Kind == config.KindEngine }
 
-func (r *request) currentPool() *config.Pool { return r.place.pools[r.place.pool] }
+func (r *request) currentPool() *config.Pool { return r.place.pools[r.place.poolIndex] }
 
 // wakeAt sets the request's only timer.
 func (i *Instance) wakeAt(r *request, at time.Time) {
@@ -140,37 +143,37 @@
 	r.attempt = fmt.Sprintf("%s/%d", r.ID, r.tries)
 }
 
-// onWake handles the request's timer.
+// onWake handles the expiry of the request's timer.
 func (i *Instance) onWake(now time.Time, r *request) {
 	r.wake = time.Time{}
 	switch r.phase {
-	case reserving:
-		i.reserveTimeout(now, r)
-	case placing:
-		i.placeTimeout(now, r)
-	case running:
-		i.runTimeout(now, r)
-	case backingOff:
+	case phaseReserving:
+		i.onReserveTimeout(now, r)
+	case phasePlacing:
+		i.onPlaceTimeout(now, r)
+	case phaseRunning:
+		i.onRunTimeout(now, r)
+	case phaseBackingOff:
 		i.startAttempt(now, r)
-	case awaiting:
-		i.awaitTimeout(r)
-	case claiming, recording, fencing, lookingUp:
-		// The table's own deadline ends these.
+	case phaseAwaiting:
+		i.pollAwaited(r)
+	case phaseClaiming, phaseRecording, phaseFencing, phaseLookingUp:
+		// These phases end with the result of the table call, which has its own deadline.
 	}
 }
 
-// refuse ends a request that gets no further attempt. It did not run, unless
-// an earlier attempt may have.
+// refuse ends a request that gets no further attempt. The outcome is NotRun, or
+// Unknown if an earlier attempt may have run. A booking's key is looked up first.
 func (i *Instance) refuse(now time.Time, r *request, f Finish) {
 	f.Outcome = NotRun
-	if i.lookUpFirst(now, r, &f) {
+	if i.lookUpBeforeRefusal(now, r, &f) {
 		return
 	}
 	i.count("refusals_total", f.Reason)
 	i.finish(now, r, f)
 }
 
-// finish ends a request and releases what it holds.
+// finish ends a request and releases its reservation and its grant.
 func (i *Instance) finish(now time.Time, r *request, f Finish) {
 	f.Request = r.ID
 	if f.Outcome == NotRun && r.mayHaveRun() {
@@ -180,7 +183,7 @@
 	i.endGrant(r, r.run.failed)
 	delete(i.requests, r.ID)
 	i.count("outcomes_total", string(f.Outcome))
-	i.note(now, r.ID, "finish", "outcome", f.Outcome, "reason", f.Reason, "step", f.Step, "peer", f.Peer, "tokens", f.Tokens)
+	i.recordDecision(now, r.ID, "finish", "outcome", f.Outcome, "reason", f.Reason, "step", f.Step, "peer", f.Peer, "tokens", f.Tokens)
 	i.emit(Log{Event: "request", Pairs: []any{
 		"request", r.ID, "outcome", f.Outcome, "reason", f.Reason, "step", f.Step,
 		"peer", f.Peer, "attempts", r.tries, "tokens", f.Tokens, "ms", now.Sub(r.started).Milliseconds(),
--- a/internal/core/reserve.go
+++ b/internal/core/reserve.go
@@ -10,18 +10,19 @@
 )
 
 const (
-	// askTimeout is how long a home may be silent before the next one in rendezvous order is
-	// asked.
-	askTimeout = 400 * time.Millisecond
-	// debitTimeout is how long a live home may take for a debit, including a retry of the
-	// table. A slow table must not make its home look dead: the next home would debit another
-	// chunk.
+	// homeTimeout is how long an entry waits for the reply of an organisation's home before it
+	// asks the next one in rendezvous order.
+	homeTimeout = 400 * time.Millisecond
+	// debitTimeout is how long an entry waits for a home that has replied that it is waiting for
+	// a debit. It covers one retry of the call to the table. A slow table must not make the home
+	// look dead, as the next home would debit another chunk.
 	debitTimeout = 2500 * time.Millisecond
-	// maxHomes is the number of homes asked before the request is refused.
+	// maxHomes is the number of homes that are asked before the request is refused.
 	maxHomes = 3
-	// retryNoHome is the Retry-After when no home answered.
-	retryNoHome = 2 * time.Second
-	// ReasonNoBudgetHome: no home of the organisation answered.
+	// retryAfterNoHome is the Retry-After when no home replied, and the default Retry-After of other
+	// temporary failures.
+	retryAfterNoHome = 2 * time.Second
+	// ReasonNoBudgetHome: no home of the organisation replied.
 	ReasonNoBudgetHome = "no_budget_home"
 )
 
@@ -30,20 +31,21 @@
 	return i.view.Homes(now, "org/"+org, maxHomes, func(string) int { return 0 })
 }
 
-// startAttempt starts an attempt by reserving its maximum cost.
+// startAttempt starts a new attempt, which begins with the reservation of its maximum cost.
 func (i *Instance) startAttempt(now time.Time, r *request) {
 	i.newAttempt(r)
 	r.reserve = reserveState{amount: r.maxCost()}
-	r.phase = reserving
+	r.phase = phaseReserving
 	i.askReserve(now, r)
 }
 
-// longest bounds how long an attempt can hold its reservation.
-func (r *request) longest() time.Duration {
+// maxHoldTime returns the maximum time for which an attempt can hold its reservation.
+func (r *request) maxHoldTime() time.Duration {
 	const slack = time.Minute
 	return r.service.MaxWait.D() + r.service.Timeout.D() + r.version.Config.Deployment.ResumeWindow.D() + slack
 }
 
+// maxCost returns the price of a plain call, or of a generation that produces MaxTokens tokens.
 func (r *request) maxCost() config.Money {
 	if !r.engine() {
 		return r.service.CallPrice
@@ -53,41 +55,42 @@
 
 // cost returns the price of a generation with the given number of output tokens.
 func (r *request) cost(tokens int) config.Money {
-	const per = 1000
+	const tokensPerPrice = 1000 // prices are per 1000 tokens; the cost is rounded up
 	m := r.version.Model(r.service.Model)
 	micros := int64(m.PromptPrice)*int64(r.Prompt) + int64(m.OutputPrice)*int64(tokens)
-	return config.Money((micros + per - 1) / per)
+	return config.Money((micros + tokensPerPrice - 1) / tokensPerPrice)
 }
 
 func (i *Instance) askReserve(now time.Time, r *request) {
 	homes := i.orgHomes(now, r.org.Name)
-	if len(homes) == 0 || r.reserve.asks >= maxHomes {
+	if len(homes) == 0 || r.reserve.homesAsked >= maxHomes {
 		i.refuse(now, r, Finish{
 			Status: status.ServiceUnavailable, Reason: ReasonNoBudgetHome,
-			Step: "reserve", Peer: r.reserve.home, RetryAfter: retryNoHome,
+			Step: "reserve", Peer: r.reserve.home, RetryAfter: retryAfterNoHome,
 		})
 		return
 	}
 	r.reserve.home = homes[0]
-	r.reserve.asks++
-	i.wakeAt(r, now.Add(askTimeout))
+	r.reserve.homesAsked++
+	i.wakeAt(r, now.Add(homeTimeout))
 	i.send(r.reserve.home, msg.ReserveAsk{Ask: budget.Ask{
 		Request: r.attempt, Org: r.org.Name, Entry: i.self, Boot: i.boot,
 		Version: r.version.Number, Limits: r.org.Limits,
-		Amount: r.reserve.amount, Tokens: r.MaxTokens, Hold: r.longest(),
+		Amount: r.reserve.amount, Tokens: r.MaxTokens, Hold: r.maxHoldTime(),
 	}})
 }
 
-func (i *Instance) reserveTimeout(now time.Time, r *request) {
+// onReserveTimeout marks the home as silent and asks the next one.
+func (i *Instance) onReserveTimeout(now time.Time, r *request) {
 	i.count("retries_total", "budget_home_silent")
-	i.giveUpOn(now, r.reserve.home)
-	// The silent home may have granted: settle there, so that nothing stays held.
+	i.markSilent(now, r.reserve.home)
+	// The silent home may have granted the reservation: settle it, so that it does not stay held.
 	i.send(r.reserve.home, msg.Settle{Org: r.org.Name, Request: r.attempt})
 	i.askReserve(now, r)
 }
 
-// giveUpOn marks an instance that did not answer.
-func (i *Instance) giveUpOn(now time.Time, name string) {
+// markSilent marks an instance that did not reply as suspected and resets the connection to it.
+func (i *Instance) markSilent(now time.Time, name string) {
 	if name == i.self {
 		return
 	}
@@ -96,10 +99,10 @@
 }
 
 func (i *Instance) onReserveAnswer(now time.Time, from string, m msg.ReserveAnswer) {
-	r := i.byAttempt(m.Answer.Request)
-	if r == nil || r.phase != reserving || from != r.reserve.home {
+	r := i.requestByAttempt(m.Answer.Request)
+	if r == nil || r.phase != phaseReserving || from != r.reserve.home {
 		if m.Answer.Granted {
-			i.returnLate(from, m.Answer)
+			i.returnLateReservation(from, m.Answer)
 		}
 		return
 	}
@@ -118,17 +121,17 @@
 	i.startPlacing(now, r)
 }
 
-// returnLate returns a reservation that is no longer needed.
-func (i *Instance) returnLate(home string, a budget.Answer) {
-	if r := i.byAttempt(a.Request); r != nil && r.reserve.held && r.reserve.home == home {
-		return // a repeated answer to a reservation that is in use
+// returnLateReservation returns a reservation that is no longer needed.
+func (i *Instance) returnLateReservation(home string, a budget.Answer) {
+	if r := i.requestByAttempt(a.Request); r != nil && r.reserve.held && r.reserve.home == home {
+		return // a repeat of the reply for the reservation in use
 	}
 	i.count("late_answers_total", "reserve")
 	i.send(home, msg.Settle{Org: a.Org, Request: a.Request})
 }
 
-// settle ends the reservation. An unknown cost counts as the maximum, so that spending cannot
-// exceed the limit.
+// settle ends the reservation with the cost of the attempt. An unknown cost counts as the reserved
+// maximum, so that spending cannot exceed the limit.
 func (i *Instance) settle(r *request, f Finish) {
 	if !r.reserve.held {
 		return
@@ -140,7 +143,7 @@
 		used = 0
 	case f.Outcome == Done && r.engine():
 		used = r.cost(f.Tokens)
-	case r.run.counted:
+	case r.run.producedKnown:
 		used = min(used, r.cost(r.run.produced))
 	}
 	i.send(r.reserve.home, msg.Settle{
--- a/internal/core/resume.go
+++ b/internal/core/resume.go
@@ -12,29 +12,31 @@
 )
 
 const (
-	// resumeTries is the number of consecutive connections without progress after which the
-	// upstream counts as failed.
-	resumeTries = 5
-	// resumeBackoff multiplies the delays between them: from none to 2 s, so that a link may
-	// be down for some seconds.
-	resumeBackoff = 2
-	// maxResumes bounds the connections of one attempt in total.
-	maxResumes = 30
-	// cancelGrace is how much longer than the resume window an entry follows a generation
-	// without a caller. The pool's home cancels it in the meantime, which reveals its cost.
+	// maxResumesInRow is the maximum number of consecutive resumes without a new token. After it,
+	// the attempt has failed.
+	maxResumesInRow = 5
+	// resumeBackoffOffset is added to the retry number in the backoff between these resumes. The
+	// delays range from none to 2 s, so that a link may be down for some seconds.
+	resumeBackoffOffset = 2
+	// maxTotalResumes is the maximum number of resumes of one attempt in total.
+	maxTotalResumes = 30
+	// cancelGrace is added to the resume window for the time that an entry follows a generation
+	// without a caller. The pool's home cancels the generation in this time, and the engine then
+	// reports the number of tokens, which gives the cost.
 	cancelGrace = 15 * time.Second
 )
 
 // Reasons of streams that end early.
 const (
-	// ReasonElsewhere: the stream continues on another connection.
+	// ReasonElsewhere: the caller has resumed the stream on another connection.
 	ReasonElsewhere = "resumed_elsewhere"
 	// ReasonCancelled: the generation was cancelled.
 	ReasonCancelled = "cancelled"
-	// ReasonCallerGone: the caller did not come back.
+	// ReasonCallerGone: the caller disconnected and did not resume.
 	ReasonCallerGone = "caller_gone"
 )
 
+// signHandle returns the signed handle with which the caller can resume the stream at any instance.
 func (i *Instance) signHandle(r *request) string {
 	h := stream.Handle{
 		Request: r.ID, Organisation: r.org.Name, Service: r.service.Name, Upstream: r.run.upstream,
@@ -50,8 +52,8 @@
 
 // onResume continues a stream for a caller that lost its connection.
 func (i *Instance) onResume(now time.Time, e CallerResume) {
-	// The generation has run: a refusal to read on must not say otherwise.
-	r := &request{CallerRequest: CallerRequest{ID: e.ID, APIKey: e.APIKey, Stream: true}, version: i.version, started: now, ran: true}
+	// The generation has run, so a refusal of the resume must not end as NotRun.
+	r := &request{CallerRequest: CallerRequest{ID: e.ID, APIKey: e.APIKey, Stream: true}, version: i.version, started: now, earlierSent: true}
 	i.requests[r.ID] = r
 	if f := r.authenticate(); f != nil {
 		i.refuse(now, r, *f)
@@ -67,16 +69,16 @@
 		i.refuse(now, r, badHandle())
 		return
 	}
-	i.adopt(now, r, h, last+1)
+	i.adoptGeneration(now, r, h, last+1)
 }
 
 func badHandle() Finish {
 	return Finish{Status: status.BadRequest, Reason: ReasonBadHandle, Step: "resume"}
 }
 
-// adopt takes over a generation started by another entry or this one. Its events get a handle
-// that names this entry, which the next adopter notifies.
-func (i *Instance) adopt(now time.Time, r *request, h stream.Handle, next int) {
+// adoptGeneration takes over a generation that another entry or this one has started. Its events
+// get a new handle with this request's id, so that the entry of the next resume notifies this one.
+func (i *Instance) adoptGeneration(now time.Time, r *request, h stream.Handle, next int) {
 	r.service = r.version.Service(h.Service)
 	r.attempt = h.Generation
 	r.tries = 1
@@ -84,25 +86,25 @@
 	r.seq = stream.Resume(stream.Generation{ID: h.Generation, Boot: h.Boot}, next)
 	r.reserve = reserveState{home: h.BudgetHome, amount: config.Money(h.Reserved), held: true}
 	member, _ := i.view.Member(h.Upstream)
-	r.run = runState{upstream: h.Upstream, address: member.Address, boot: h.Boot, sent: true, progress: now, link: 1}
-	r.phase = running
+	r.run = runState{upstream: h.Upstream, address: member.Address, boot: h.Boot, sent: true, lastProgress: now, link: 1}
+	r.phase = phaseRunning
 	i.count("retries_total", "caller_resumed")
-	i.note(now, r.ID, "adopted", "generation", h.Generation, "from", next)
-	i.tellAdopted(now, r, h)
+	i.recordDecision(now, r.ID, "adopted", "generation", h.Generation, "from", next)
+	i.notifyPreviousEntry(now, r, h)
 	if pool := r.version.Pool(r.version.PoolOf(h.Upstream)); pool != nil {
 		r.place.pools = []*config.Pool{pool}
 		r.place.home = i.poolHomeName(now, pool)
 		i.announce(now, r)
 	}
-	i.readOn(now, r)
+	i.resumeReading(now, r)
 }
 
-// tellAdopted tells the previous entry to let go of the generation. If the message is lost,
-// that entry settles the reservation at its maximum after the resume window.
-func (i *Instance) tellAdopted(now time.Time, r *request, h stream.Handle) {
+// notifyPreviousEntry notifies the previous entry that this one has adopted the generation. If the
+// message is lost, that entry settles the reservation at its maximum after the resume window.
+func (i *Instance) notifyPreviousEntry(now time.Time, r *request, h stream.Handle) {
 	for _, old := range i.requests {
 		if old != r && old.attempt == r.attempt {
-			i.letGo(now, old)
+			i.releaseAdopted(now, old)
 		}
 	}
 	owner, _, _ := strings.Cut(h.Request, ":")
@@ -112,14 +114,14 @@
 }
 
 func (i *Instance) onAdopted(now time.Time, m msg.Adopted) {
-	if r := i.requests[m.Request]; r != nil && r.attempt == m.Attempt && r.phase == running {
-		i.letGo(now, r)
+	if r := i.requests[m.Request]; r != nil && r.attempt == m.Attempt && r.phase == phaseRunning {
+		i.releaseAdopted(now, r)
 	}
 }
 
-// letGo ends a request whose generation another entry follows. It settles nothing, ends no
-// grant and cancels nothing.
-func (i *Instance) letGo(now time.Time, r *request) {
+// releaseAdopted ends a request whose generation another request has adopted. The reservation, the
+// grant and the generation itself now belong to that request and are left as they are.
+func (i *Instance) releaseAdopted(now time.Time, r *request) {
 	i.emit(CloseUpstream{Attempt: r.attempt})
 	r.reserve.held = false
 	r.place.home = ""
@@ -128,9 +130,9 @@
 	})
 }
 
-// readOn reads the generation from its next token on a new connection. The service's timeout
-// bounds all connections together.
-func (i *Instance) readOn(now time.Time, r *request) {
+// resumeReading reads the generation from its next token on a new connection. The service's timeout
+// bounds the time of all connections together.
+func (i *Instance) resumeReading(now time.Time, r *request) {
 	left := r.service.Timeout.D() - now.Sub(r.started)
 	if left <= 0 {
 		i.attemptFailed(now, r, UpstreamFailed{Sent: true, Step: "resume", Err: "timeout"})
@@ -140,12 +142,12 @@
 		r.run.address = m.Address
 	}
 	if r.run.address == "" {
-		// The list here may lack for a moment what another instance's has.
+		// The instance list here may lag behind that of the previous entry.
 		i.resumeOrFail(now, r, "unlisted")
 		return
 	}
-	r.run.progress = now
-	r.run.readAt = time.Time{}
+	r.run.lastProgress = now
+	r.run.resumeAt = time.Time{}
 	r.run.link++
 	i.wakeAt(r, i.nextCheck(r, progressTimeout))
 	i.emit(Dispatch{
@@ -154,47 +156,47 @@
 	})
 }
 
-// resumeOrFail reads on over a new connection, as the old one may be dead while the generation
-// is well.
+// resumeOrFail resumes on a new connection, as the old connection may be dead while the generation
+// is still running. After too many resumes, the attempt has failed.
 func (i *Instance) resumeOrFail(now time.Time, r *request, reason string) {
 	r.run.resumes++
-	r.run.resumesAll++
-	if r.run.resumes > resumeTries || r.run.resumesAll > maxResumes {
+	r.run.totalResumes++
+	if r.run.resumes > maxResumesInRow || r.run.totalResumes > maxTotalResumes {
 		i.attemptFailed(now, r, UpstreamFailed{Sent: true, Step: "resume", Err: reason})
 		return
 	}
 	i.count("retries_total", "resume_"+reason)
-	i.note(now, r.ID, "resume", "reason", reason, "from", r.seq.Next())
+	i.recordDecision(now, r.ID, "resume", "reason", reason, "from", r.seq.Next())
 	if r.run.resumes == 1 {
-		i.readOn(now, r)
+		i.resumeReading(now, r)
 		return
 	}
 	i.emit(CloseUpstream{Attempt: r.attempt})
-	r.run.link++ // what the closed connection still brings is late
-	r.run.readAt = now.Add(i.retries.Backoff(r.run.resumes + resumeBackoff))
-	i.wakeAt(r, r.run.readAt)
+	r.run.link++ // events of the closed connection are now late
+	r.run.resumeAt = now.Add(i.retries.Backoff(r.run.resumes + resumeBackoffOffset))
+	i.wakeAt(r, r.run.resumeAt)
 }
 
-// onCallerGone handles the end of a caller's connection. A stream is kept for the resume
-// window and a call that may not be repeated is followed to its end; anything else is given
-// up.
+// onCallerGone handles the end of a caller's connection. A stream that has delivered tokens is kept
+// for the resume window, and a claimed call that may not be repeated is followed to its end. Any
+// other request is ended, and its generation cancelled.
 func (i *Instance) onCallerGone(now time.Time, id string) {
 	r := i.requests[id]
 	if r == nil {
 		return
 	}
-	r.gone = true
-	r.goneAt = now
-	i.note(now, r.ID, "caller_gone")
-	if r.NotRepeatable && r.phase >= claiming {
+	r.disconnected = true
+	r.disconnectedAt = now
+	i.recordDecision(now, r.ID, "caller_gone")
+	if r.NotRepeatable && r.phase >= phaseClaiming {
 		return
 	}
-	if r.phase == running && r.Stream && r.seq.Bound() {
-		i.wakeAt(r, i.nextCheck(r, i.quietLimit(r)))
+	if r.phase == phaseRunning && r.Stream && r.seq.Bound() {
+		i.wakeAt(r, i.nextCheck(r, i.silenceTimeout(r)))
 		return
 	}
-	if r.phase == running && r.engine() {
-		// No event id has left, so that nobody can resume this.
+	if r.phase == phaseRunning && r.engine() {
+		// The caller has received no event id, so that nobody can resume the generation.
 		i.emit(CloseUpstream{Attempt: r.attempt})
 		i.emit(Cancel{Address: r.run.address, Attempt: r.attempt})
 	}
@@ -205,16 +207,16 @@
 	i.finish(now, r, Finish{Outcome: outcome, Status: status.ServiceUnavailable, Reason: ReasonCallerGone, Step: fmt.Sprint(r.phase)})
 }
 
-// abandonAfter returns how long the entry follows a generation without a caller.
-func (i *Instance) abandonAfter(r *request) time.Duration {
+// abandonTimeout returns how long the entry follows a generation without a caller.
+func (i *Instance) abandonTimeout(r *request) time.Duration {
 	return r.version.Config.Deployment.ResumeWindow.D() + cancelGrace
 }
 
-// abandon stops following a generation whose caller did not come back and that the home has
-// not cancelled. It does not cancel either: the caller may have resumed elsewhere.
+// abandon stops following a generation whose caller did not come back and that the pool's home has
+// not cancelled. It does not cancel the generation, as the caller may have resumed at another entry.
 func (i *Instance) abandon(now time.Time, r *request) {
 	i.emit(CloseUpstream{Attempt: r.attempt})
-	r.place.home = "" // the home finds out by itself that nobody follows this
+	r.place.home = "" // no GrantEnd is sent: the home detects by itself that no entry follows the generation
 	i.finish(now, r, Finish{
 		Outcome: Partial, Status: status.Gone, Reason: ReasonCallerGone, Step: "stream", Tokens: r.seq.Next(),
 	})
