--- a/internal/core/run.go
+++ b/internal/core/run.go
@@ -8,35 +8,36 @@
 	"mulberrylug.example/mulberrylug/internal/core/stream"
 )
 
-// progressTimeout is how long an attempt's connection may be silent. Engines send a keep-alive
-// every second.
+// progressTimeout is how long an engine's connection may carry neither a token nor a keep-alive.
+// Engines send a keep-alive every second.
 const progressTimeout = 4 * time.Second
 
 // dispatch sends the attempt to its upstream.
 func (i *Instance) dispatch(now time.Time, r *request) {
-	r.phase = running
+	r.phase = phaseRunning
 	r.run.sent = true
-	r.run.progress = now
+	r.run.lastProgress = now
 	r.run.link++
 	i.count("attempts_total", r.service.Name)
-	i.wakeAt(r, now.Add(i.quietLimit(r)))
+	i.wakeAt(r, now.Add(i.silenceTimeout(r)))
 	i.emit(Dispatch{
 		Request: r.ID, Attempt: r.attempt, Upstream: r.run.upstream, Address: r.run.address, Link: r.run.link,
 		Engine: r.engine(), Method: r.Method, Path: r.Path, Body: r.Body, MaxToken: r.MaxTokens, Key: r.IdempotencyKey,
-		Priority: r.run.priority, Before: r.run.before, Timeout: r.service.Timeout.D(),
+		Priority: r.run.priority, Before: r.run.sendBefore, Timeout: r.service.Timeout.D(),
 	})
 }
 
-// quietLimit returns how long the upstream may be silent. Plain services answer whole, within
-// their timeout.
-func (i *Instance) quietLimit(r *request) time.Duration {
+// silenceTimeout returns how long the upstream may be silent. Plain services send their complete
+// answer at once, within the service's timeout.
+func (i *Instance) silenceTimeout(r *request) time.Duration {
 	if r.engine() {
 		return progressTimeout
 	}
 	return r.service.Timeout.D()
 }
 
-func (i *Instance) byAttempt(attempt string) *request {
+// requestByAttempt returns the request whose current attempt has the given id, or nil.
+func (i *Instance) requestByAttempt(attempt string) *request {
 	id, _, _ := strings.Cut(attempt, "/")
 	if r := i.requests[id]; r != nil && r.attempt == attempt {
 		return r
@@ -44,20 +45,22 @@
 	return nil
 }
 
-// current returns the request if the event belongs to its current attempt.
-func (i *Instance) current(id, attempt, kind string) *request {
+// currentRequest returns the request if the event belongs to its current, running attempt.
+// Otherwise it counts the event as late and returns nil.
+func (i *Instance) currentRequest(id, attempt, kind string) *request {
 	r := i.requests[id]
-	if r == nil || r.attempt != attempt || r.phase != running {
+	if r == nil || r.attempt != attempt || r.phase != phaseRunning {
 		i.count("late_answers_total", kind)
 		return nil
 	}
 	return r
 }
 
-// reading returns the request if the event arrived over its current connection. Late events of
-// an earlier one must not count as failures: one gap would use up every resume.
-func (i *Instance) reading(id, attempt string, link int, kind string) *request {
-	r := i.current(id, attempt, kind)
+// requestOnLink returns the request if the event arrived over its attempt's current connection, or
+// nil. Late events of an earlier connection must not count as failures, as the remaining events
+// after a single gap would use up all resumes.
+func (i *Instance) requestOnLink(id, attempt string, link int, kind string) *request {
+	r := i.currentRequest(id, attempt, kind)
 	if r == nil {
 		return nil
 	}
@@ -69,13 +72,13 @@
 }
 
 func (i *Instance) onToken(now time.Time, e UpstreamToken) {
-	r := i.reading(e.Request, e.Attempt, e.Link, "token")
+	r := i.requestOnLink(e.Request, e.Attempt, e.Link, "token")
 	if r == nil {
 		return
 	}
-	r.run.progress = now
+	r.run.lastProgress = now
 	if e.Index >= r.MaxTokens && r.seq.Next() >= r.MaxTokens {
-		i.overrun(now, r)
+		i.truncate(now, r)
 		return
 	}
 	switch r.seq.Accept(stream.Generation{ID: e.Attempt, Boot: e.Boot}, e.Index) {
@@ -84,7 +87,7 @@
 	case stream.Duplicate:
 		i.count("tokens_dropped_total", "duplicate")
 	case stream.Foreign:
-		i.foreign(now, r)
+		i.failForeign(now, r)
 	case stream.Gap:
 		i.count("tokens_dropped_total", "gap")
 		i.resumeOrFail(now, r, "gap")
@@ -95,7 +98,7 @@
 	r.run.resumes = 0
 	if !r.Stream {
 		r.text = append(r.text, e.Text...)
-	} else if !r.gone {
+	} else if !r.disconnected {
 		if r.run.handle == "" {
 			r.run.handle = i.signHandle(r)
 		}
@@ -103,69 +106,71 @@
 	}
 }
 
-// overrun ends an answer that exceeds its limit: its cost was not reserved.
-func (i *Instance) overrun(now time.Time, r *request) {
+// truncate ends an answer that exceeds its token limit, as the cost of further tokens is not
+// reserved.
+func (i *Instance) truncate(now time.Time, r *request) {
 	i.emit(CloseUpstream{Attempt: r.attempt})
 	i.emit(Cancel{Address: r.run.address, Attempt: r.attempt})
-	i.done(now, r, "length")
+	i.complete(now, r, "length")
 }
 
-// foreign gives up a generation whose id the engine has reused after a restart.
-func (i *Instance) foreign(now time.Time, r *request) {
+// failForeign fails the attempt because the engine, restarted, uses its id for another generation.
+func (i *Instance) failForeign(now time.Time, r *request) {
 	i.count("tokens_dropped_total", "foreign")
 	i.emit(CloseUpstream{Attempt: r.attempt})
 	i.attemptFailed(now, r, UpstreamFailed{Sent: true, Gone: true, Step: "stream", Err: "another generation"})
 }
 
 func (i *Instance) onAlive(now time.Time, e UpstreamAlive) {
-	if r := i.reading(e.Request, e.Attempt, e.Link, "alive"); r != nil {
-		r.run.progress = now
+	if r := i.requestOnLink(e.Request, e.Attempt, e.Link, "alive"); r != nil {
+		r.run.lastProgress = now
 	}
 }
 
 func (i *Instance) onEnd(now time.Time, e UpstreamEnd) {
-	r := i.reading(e.Request, e.Attempt, e.Link, "end")
+	r := i.requestOnLink(e.Request, e.Attempt, e.Link, "end")
 	if r == nil {
 		return
 	}
 	g := stream.Generation{ID: e.Attempt, Boot: e.Boot}
 	switch {
 	case r.seq.Bound() && r.seq.Generation() != g:
-		i.foreign(now, r)
+		i.failForeign(now, r)
 	case e.Reason == FinishCancelled:
-		i.cancelled(now, r, e)
+		i.onCancelled(now, r, e)
 	case r.seq.Next() != e.Tokens:
 		i.count("tokens_dropped_total", "short_end")
 		i.resumeOrFail(now, r, "short_end")
 	default:
-		i.done(now, r, e.Reason)
+		i.complete(now, r, e.Reason)
 	}
 }
 
-func (i *Instance) done(now time.Time, r *request, reason string) {
+func (i *Instance) complete(now time.Time, r *request, reason string) {
 	i.retries.Success(r.org.Name)
 	i.finish(now, r, Finish{
 		Outcome: Done, Status: status.OK, Text: string(r.text), Tokens: r.seq.Next(), FinishReason: reason,
 	})
 }
 
-// cancelled ends a request whose generation the pool's home cancelled after the resume window.
-// The engine reports the tokens produced, so the cost is known.
-func (i *Instance) cancelled(now time.Time, r *request, e UpstreamEnd) {
+// onCancelled handles the end of a cancelled generation. The engine reports the number of tokens
+// produced, so the cost is known. The pool's home cancels a generation after the resume window; a
+// request whose caller is still connected and has received no token is retried.
+func (i *Instance) onCancelled(now time.Time, r *request, e UpstreamEnd) {
 	r.run.produced = e.Tokens
-	r.run.counted = true
-	if !r.gone && !(r.Stream && r.seq.Bound()) {
+	r.run.producedKnown = true
+	if !r.disconnected && !(r.Stream && r.seq.Bound()) {
 		i.attemptFailed(now, r, UpstreamFailed{Sent: true, Gone: true, Step: "stream", Err: "cancelled"})
 		return
 	}
 	i.finish(now, r, Finish{
 		Outcome: Partial, Status: status.BadGateway, Reason: ReasonCancelled, Step: "stream",
-		Peer: r.run.upstream, Tokens: r.seq.Next(), RetryAfter: retryNoHome,
+		Peer: r.run.upstream, Tokens: r.seq.Next(), RetryAfter: retryAfterNoHome,
 	})
 }
 
 func (i *Instance) onAnswer(now time.Time, e UpstreamAnswer) {
-	r := i.current(e.Request, e.Attempt, "answer")
+	r := i.currentRequest(e.Request, e.Attempt, "answer")
 	if r == nil {
 		return
 	}
@@ -178,18 +183,19 @@
 	i.finish(now, r, f)
 }
 
-// runTimeout checks whether an attempt has been silent for too long.
-func (i *Instance) runTimeout(now time.Time, r *request) {
-	if r.gone && now.Sub(r.goneAt) >= i.abandonAfter(r) {
+// onRunTimeout resumes after a backoff, resumes or fails an attempt that has been silent for too
+// long, and abandons a generation without a caller.
+func (i *Instance) onRunTimeout(now time.Time, r *request) {
+	if r.disconnected && now.Sub(r.disconnectedAt) >= i.abandonTimeout(r) {
 		i.abandon(now, r)
 		return
 	}
-	if !r.run.readAt.IsZero() {
-		i.readOn(now, r)
+	if !r.run.resumeAt.IsZero() {
+		i.resumeReading(now, r)
 		return
 	}
-	limit := i.quietLimit(r)
-	if quiet := now.Sub(r.run.progress); quiet < limit {
+	limit := i.silenceTimeout(r)
+	if silence := now.Sub(r.run.lastProgress); silence < limit {
 		i.wakeAt(r, i.nextCheck(r, limit))
 		return
 	}
@@ -201,11 +207,11 @@
 	i.resumeOrFail(now, r, "silent")
 }
 
-// nextCheck returns when runTimeout is due again.
+// nextCheck returns the time at which onRunTimeout must run next.
 func (i *Instance) nextCheck(r *request, limit time.Duration) time.Time {
-	at := r.run.progress.Add(limit)
-	if r.gone {
-		if end := r.goneAt.Add(i.abandonAfter(r)); end.Before(at) {
+	at := r.run.lastProgress.Add(limit)
+	if r.disconnected {
+		if end := r.disconnectedAt.Add(i.abandonTimeout(r)); end.Before(at) {
 			return end
 		}
 	}
@@ -213,12 +219,12 @@
 }
 
 func (i *Instance) onFailed(now time.Time, e UpstreamFailed) {
-	r := i.reading(e.Request, e.Attempt, e.Link, "failure")
+	r := i.requestOnLink(e.Request, e.Attempt, e.Link, "failure")
 	if r == nil {
 		return
 	}
-	i.note(now, r.ID, "failed", "upstream", r.run.upstream, "step", e.Step, "error", e.Err, "sent", e.Sent)
-	// The first connection of a generation that is read on had sent it.
+	i.recordDecision(now, r.ID, "failed", "upstream", r.run.upstream, "step", e.Step, "error", e.Err, "sent", e.Sent)
+	// A resumed generation was sent over its first connection.
 	e.Sent = e.Sent || r.run.link > 1
 	if r.engine() && e.Sent && !e.Gone {
 		i.resumeOrFail(now, r, "broken")
--- a/internal/core/strikes.go
+++ b/internal/core/strikes.go
@@ -10,28 +10,29 @@
 const (
 	// strikeTTL is how long a crash counts against a fingerprint.
 	strikeTTL = 10 * time.Minute
-	// strikeSyncInterval is the interval at which an instance asks another one, in turn, for
-	// its strikes; strikesFirst is the number asked at the start.
+	// strikeSyncInterval is the interval at which an instance asks one other instance, in turn,
+	// for its strikes. initialStrikeSyncs is the number of instances that it asks at its start.
 	strikeSyncInterval = 5 * time.Second
-	strikesFirst       = 3
-	// maxStrikes bounds the strikes in an answer.
+	initialStrikeSyncs = 3
+	// maxStrikes is the maximum number of strikes in a reply.
 	maxStrikes = 512
 )
 
-// strikeSync distributes strikes to instances that missed them. Without it, each home that
-// takes over would allow a request two more crashes.
+// strikeSync is the state of fetching strikes that this instance has missed from others. Without
+// the missed strikes, each new home of a pool would allow a request two more crashes. nextIndex
+// selects the next instance to ask.
 type strikeSync struct {
-	asked time.Time
-	next  int
+	lastAsked time.Time
+	nextIndex int
 }
 
-// strike records a crash against a fingerprint and tells every instance.
-func (i *Instance) strike(now time.Time, print uint64, c suspect.Crash) {
-	if print == 0 || !i.suspects.Strike(now, suspect.Strike{Fingerprint: print, Crash: c, At: now}) {
+// strike records a crash against a fingerprint and announces it to every instance.
+func (i *Instance) strike(now time.Time, fingerprint uint64, c suspect.Crash) {
+	if fingerprint == 0 || !i.suspects.Strike(now, suspect.Strike{Fingerprint: fingerprint, Crash: c, At: now}) {
 		return
 	}
 	i.count("strikes_total", c.Upstream)
-	i.broadcast(msg.Strike{Fingerprint: print, Upstream: c.Upstream, Boot: c.Boot})
+	i.broadcast(msg.Strike{Fingerprint: fingerprint, Upstream: c.Upstream, Boot: c.Boot})
 }
 
 func (i *Instance) onStrike(now time.Time, m msg.Strike) {
@@ -41,27 +42,27 @@
 }
 
 func (i *Instance) tickStrikes(now time.Time) {
-	if !i.strikes.asked.IsZero() && now.Sub(i.strikes.asked) < strikeSyncInterval {
+	if !i.strikes.lastAsked.IsZero() && now.Sub(i.strikes.lastAsked) < strikeSyncInterval {
 		return
 	}
-	others := i.others()
+	others := i.otherInstances()
 	if len(others) == 0 {
 		return
 	}
 	n := 1
-	if i.strikes.asked.IsZero() {
-		n = min(strikesFirst, len(others))
+	if i.strikes.lastAsked.IsZero() {
+		n = min(initialStrikeSyncs, len(others))
 	}
-	i.strikes.asked = now
+	i.strikes.lastAsked = now
 	for range n {
-		i.send(others[i.strikes.next%len(others)], msg.StrikesAsk{})
-		i.strikes.next++
+		i.send(others[i.strikes.nextIndex%len(others)], msg.StrikesAsk{})
+		i.strikes.nextIndex++
 	}
 }
 
-// others lists the other live instances, starting after this one by name, so that not all ask
-// the same one.
-func (i *Instance) others() []string {
+// otherInstances lists the other live instances in the order of their names, rotated to start after
+// this one, so that not all instances ask the same one.
+func (i *Instance) otherInstances() []string {
 	var before, after []string
 	for _, name := range i.view.Entries() {
 		switch {
--- a/internal/core/sweep.go
+++ b/internal/core/sweep.go
@@ -7,41 +7,43 @@
 )
 
 const (
-	// sweepPage is the number of rows per read, sweepEvery the interval between reads and
-	// sweepPause that between sweeps: at most 2 reads a second in all.
-	sweepPage  = 200
-	sweepEvery = 500 * time.Millisecond
-	sweepPause = 10 * time.Minute
-	// sweepKey selects the instance that sweeps.
+	// sweepPage is the number of rows per read, sweepReadInterval the interval between the reads
+	// of one sweep, and sweepInterval the time from the end of a sweep to the next one. Sweeping
+	// therefore takes at most 2 reads of the table per second.
+	sweepPage         = 200
+	sweepReadInterval = 500 * time.Millisecond
+	sweepInterval     = 10 * time.Minute
+	// sweepKey is the key whose home sweeps.
 	sweepKey = "sweep/bookings"
 )
 
-// sweeper deletes the expired rows of bookings.
+// sweeper is the state of the deletion of expired booking rows. after is the last key read in the
+// current sweep.
 type sweeper struct {
-	due   time.Time
-	after string
+	nextRead time.Time
+	after    string
 }
 
 func (i *Instance) tickSweep(now time.Time) {
-	if i.sweep.due.IsZero() {
-		i.sweep.due = now.Add(sweepPause)
+	if i.sweep.nextRead.IsZero() {
+		i.sweep.nextRead = now.Add(sweepInterval)
 	}
-	if now.Before(i.sweep.due) || i.store.down() || !i.sweeps(now) {
+	if now.Before(i.sweep.nextRead) || i.tableHealth.down() || !i.isSweeper(now) {
 		return
 	}
-	i.sweep.due = now.Add(sweepEvery)
+	i.sweep.nextRead = now.Add(sweepReadInterval)
 	i.emit(Scan{Op: opSweep, Prefix: booking.Prefix, After: i.sweep.after, Limit: sweepPage})
 }
 
-// sweeps reports whether this instance sweeps. Two at once are harmless: each deletion
-// requires the version that was read.
-func (i *Instance) sweeps(now time.Time) bool {
+// isSweeper reports whether this instance sweeps. Two sweepers at the same time are harmless, as
+// each deletion requires the row version that was read.
+func (i *Instance) isSweeper(now time.Time) bool {
 	homes := i.view.Homes(now, sweepKey, 1, func(string) int { return 0 })
 	return len(homes) > 0 && homes[0] == i.self
 }
 
 func (i *Instance) onScan(now time.Time, e ScanResult) {
-	i.store.heard(e.OK)
+	i.tableHealth.observe(e.OK)
 	if !e.OK {
 		return
 	}
@@ -50,7 +52,7 @@
 		i.emit(Commit{Op: opSweep, Tx: tx})
 	}
 	if len(e.Rows) < sweepPage {
-		i.sweep = sweeper{due: now.Add(sweepPause)}
+		i.sweep = sweeper{nextRead: now.Add(sweepInterval)}
 		return
 	}
 	i.sweep.after = e.Rows[len(e.Rows)-1].Key
--- a/internal/core/tableops.go
+++ b/internal/core/tableops.go
@@ -7,23 +7,24 @@
 	"mulberrylug.example/mulberrylug/internal/core/table"
 )
 
-// Prefixes of operation ids: the rest of the id is the request's.
+// Prefixes of operation ids. The rest of an id identifies the request, write, move, query or upstream
+// that the operation belongs to.
 const (
-	opClaim  = "claim:"
-	opFence  = "fence:"
-	opRecord = "record:"
-	opLookUp = "lookup:"
-	opAwait  = "await:"
-	opBack   = "back:"
-	opSweep  = "sweep:"
-	opDebit  = "debit:"
-	opBudget = "budget:"
-	opConfig = "config:"
-	opOrder  = "order:"
+	opClaim     = "claim:"
+	opFence     = "fence:"
+	opRecord    = "record:"
+	opLookUp    = "lookup:"
+	opAwait     = "await:"
+	opWriteBack = "back:"
+	opSweep     = "sweep:"
+	opDebit     = "debit:"
+	opBudget    = "budget:"
+	opConfig    = "config:"
+	opOrder     = "order:"
 )
 
 func (i *Instance) onCommit(now time.Time, e CommitResult) {
-	i.store.heard(e.Result.Status != table.Unknown)
+	i.tableHealth.observe(e.Result.Status != table.Unknown)
 	kind, id, _ := strings.Cut(e.Op, ":")
 	switch kind + ":" {
 	case opClaim:
@@ -32,8 +33,8 @@
 		i.onFence(now, id, e.Result)
 	case opRecord:
 		i.onRecorded(now, id, e.Result)
-	case opBack:
-		i.onWrittenBack(now, id, e.Result)
+	case opWriteBack:
+		i.onWriteBackResult(now, id, e.Result)
 	case opDebit:
 		i.onDebited(now, id, e.Result)
 	case opOrder:
@@ -42,7 +43,7 @@
 }
 
 func (i *Instance) onRead(now time.Time, e ReadResult) {
-	i.store.heard(e.OK)
+	i.tableHealth.observe(e.OK)
 	kind, id, _ := strings.Cut(e.Op, ":")
 	switch kind + ":" {
 	case opLookUp:
--- a/internal/core/target_test.go
+++ b/internal/core/target_test.go
@@ -14,12 +14,12 @@
 	"mulberrylug.example/mulberrylug/internal/core/table"
 )
 
-// targetSize is a deployment to measure at. Workers are spread over the models
-// and data centres as docs/CAPACITY.md has it: 19 models, 2 regions,
-// 5 data centres.
+// targetSize is the size of a simulated deployment. Upstreams are spread over models and
+// data centres as in docs/CAPACITY.md: 19 models, 2 regions, 5 data centres.
 type targetSize struct{ instances, upstreams, orgs int }
 
-// The sizes of the slopes: today's deployments, ten times that, the target.
+// Sizes for comparing the growth of costs: today's deployments, ten times as many instances
+// and upstreams, and the target.
 var (
 	sizeToday  = targetSize{instances: 12, upstreams: 12, orgs: 10}
 	sizeMiddle = targetSize{instances: 120, upstreams: 120, orgs: 1_000}
@@ -34,12 +34,13 @@
 const (
 	targetModels = 19
 	selfName     = "entry-0"
-	// gensPerEngine is the target's 1.8 M tokens/s at 38 ms between tokens,
-	// spread over 870 workers.
+	// gensPerEngine is the number of running generations per engine at the target:
+	// 1.8 M tokens/s at 38 ms between tokens, spread over 870 engines.
 	gensPerEngine = 78
-	// runningPerInstance is the same over 390 instances.
+	// runningPerInstance is the same total number of running generations, spread over 390
+	// instances.
 	runningPerInstance = 175
-	// maxOutput is more tokens than any benchmark delivers.
+	// maxOutput is the token limit, larger than the number that any benchmark delivers.
 	maxOutput = 1 << 30
 )
 
@@ -51,7 +52,7 @@
 
 func apiKey(n int) string { return fmt.Sprintf("key-%05d", n) }
 
-// config returns a configuration of the size, as apply publishes it.
+// config returns a configuration for a deployment of this size.
 func (s targetSize) config() *config.Config {
 	c := &config.Config{Deployment: config.Deployment{
 		Name:    "target",
@@ -88,7 +89,7 @@
 
 func upstreamName(n int) string { return fmt.Sprintf("engine-%03d", n) }
 
-// members returns the platform's instance list at the size.
+// members returns the platform's instance list for a deployment of this size.
 func (s targetSize) members() []membership.Member {
 	var out []membership.Member
 	for n := range s.instances {
@@ -106,56 +107,58 @@
 	return out
 }
 
-// targetWorld drives one instance and answers for everybody else.
-type targetWorld struct {
+// targetWorld drives one instance and simulates all other instances, the table and the
+// upstreams.
+type targetHarness struct {
 	inst   *core.Instance
 	now    time.Time
 	object []byte
 	hash   string
 	number int64
-	// decoded is what the shell decoded of the object, nil for none.
-	decoded *config.Config
-	polls   bool
-	granted string // the upstream that other homes grant
+	// decodedConfig is passed along with the object; nil makes the core decode the object.
+	decodedConfig *config.Config
+	// answersPolls makes handle answer each poll of an upstream with a report.
+	answersPolls    bool
+	grantedUpstream string // the upstream in all grants of other homes
 }
 
-func newTargetWorld(tb testing.TB, s targetSize) *targetWorld {
+func newTargetHarness(tb testing.TB, s targetSize) *targetHarness {
 	tb.Helper()
-	w := &targetWorld{now: time.Unix(1_800_000_000, 0), number: 1, polls: true, granted: upstreamName(0)}
-	w.inst = core.New(core.Options{Self: s.members()[0], Boot: "boot", Seed: 1})
-	w.publish(tb, s.config())
-	w.do(core.InstanceList{Members: s.members()})
-	w.tick(time.Second)
-	if w.inst.ConfigNumber() != 1 || w.inst.Instances() != s.instances {
-		tb.Fatalf("instance did not start: configuration %d, %d instances", w.inst.ConfigNumber(), w.inst.Instances())
+	h := &targetHarness{now: time.Unix(1_800_000_000, 0), number: 1, answersPolls: true, grantedUpstream: upstreamName(0)}
+	h.inst = core.New(core.Options{Self: s.members()[0], Boot: "boot", Seed: 1})
+	h.publish(tb, s.config())
+	h.handle(core.InstanceList{Members: s.members()})
+	h.tick(time.Second)
+	if h.inst.ConfigNumber() != 1 || h.inst.Instances() != s.instances {
+		tb.Fatalf("after the start, configuration version = %d, known instances = %d; want 1 and all", h.inst.ConfigNumber(), h.inst.Instances())
 	}
-	return w
+	return h
 }
 
-func (w *targetWorld) publish(tb testing.TB, c *config.Config) {
+func (h *targetHarness) publish(tb testing.TB, c *config.Config) {
 	tb.Helper()
 	var err error
-	if w.object, w.hash, err = c.Encode(); err != nil {
+	if h.object, h.hash, err = c.Encode(); err != nil {
 		tb.Fatal(err)
 	}
 }
 
-func (w *targetWorld) tick(d time.Duration) {
-	w.now = w.now.Add(d)
-	w.do(core.Tick{})
+func (h *targetHarness) tick(d time.Duration) {
+	h.now = h.now.Add(d)
+	h.handle(core.Tick{})
 }
 
-// do handles an event and all that follows from it.
-func (w *targetWorld) do(ev core.Event) {
-	for _, a := range w.inst.Handle(w.now, ev) {
-		w.answer(a)
+// handle passes an event to the instance and responds to all resulting actions.
+func (h *targetHarness) handle(ev core.Event) {
+	for _, a := range h.inst.Handle(h.now, ev) {
+		h.respond(a)
 	}
 }
 
-func (w *targetWorld) answer(a core.Action) {
+func (h *targetHarness) respond(a core.Action) {
 	switch a := a.(type) {
 	case core.Send:
-		w.answerPeer(a)
+		h.respondToPeer(a)
 	case core.Commit:
 		res := table.Result{Status: table.Committed}
 		for _, c := range a.Tx.Conds {
@@ -167,35 +170,35 @@
 			}
 			res.Rows = append(res.Rows, row)
 		}
-		w.do(core.CommitResult{Op: a.Op, Result: res})
+		h.handle(core.CommitResult{Op: a.Op, Result: res})
 	case core.Read:
-		value := fmt.Appendf(nil, `{"number":%d,"hash":%q,"apply_id":"a","operator":"o"}`, w.number, w.hash)
-		row := table.Row{Key: core.ConfigRow, Version: w.number, Value: value}
-		w.do(core.ReadResult{Op: a.Op, OK: true, Rows: []table.Row{row}})
+		value := fmt.Appendf(nil, `{"number":%d,"hash":%q,"apply_id":"a","operator":"o"}`, h.number, h.hash)
+		row := table.Row{Key: core.ConfigRow, Version: h.number, Value: value}
+		h.handle(core.ReadResult{Op: a.Op, OK: true, Rows: []table.Row{row}})
 	case core.Fetch:
-		w.do(core.ObjectResult{Hash: a.Hash, OK: true, Data: w.object, Config: w.decoded})
+		h.handle(core.ObjectResult{Hash: a.Hash, OK: true, Data: h.object, Config: h.decodedConfig})
 	case core.Poll:
-		if w.polls {
-			w.do(core.UpstreamReport{Asked: w.now, Report: report(a.Upstream, 0)})
+		if h.answersPolls {
+			h.handle(core.UpstreamReport{Asked: h.now, Report: report(a.Upstream, 0)})
 		}
 	}
 }
 
-func (w *targetWorld) answerPeer(a core.Send) {
+func (h *targetHarness) respondToPeer(a core.Send) {
 	switch m := a.Msg.(type) {
 	case msg.ReserveAsk:
-		w.do(core.PeerMessage{From: a.To, Msg: msg.ReserveAnswer{
+		h.handle(core.PeerMessage{From: a.To, Msg: msg.ReserveAnswer{
 			Answer: budget.Answer{Org: m.Ask.Org, Request: m.Ask.Request, Granted: true},
 		}})
 	case msg.GrantAsk:
-		w.do(core.PeerMessage{From: a.To, Msg: msg.GrantAnswer{
+		h.handle(core.PeerMessage{From: a.To, Msg: msg.GrantAnswer{
 			Pool: m.Pool, Address: "127.2.0.0:8000", TTL: time.Second, Number: m.Number,
-			Decision: placement.Decision{Attempt: m.Ask.Attempt, Kind: placement.Granted, Upstream: w.granted},
+			Decision: placement.Decision{Attempt: m.Ask.Attempt, Kind: placement.Granted, Upstream: h.grantedUpstream},
 		}})
 	}
 }
 
-// report is an engine's load report with a number of running generations.
+// report returns an engine's load report with the given number of running generations.
 func report(name string, gens int) placement.Report {
 	r := placement.Report{
 		Upstream: name, Boot: "0123456789abcdef", Capacity: 400_000, Used: 250 * gens, MaxBatch: 512, Running: gens,
@@ -208,7 +211,7 @@
 
 func attemptName(n int) string { return fmt.Sprintf("entry-%d:0123abcd:%d/1", n%390, 100_000+n) }
 
-// request is a caller's request of usual size.
+// request returns the n-th caller's request, with a body and prompt of typical size.
 func request(n, orgs int) core.CallerRequest {
 	return core.CallerRequest{
 		ID: fmt.Sprintf("%s:0123abcd:%d", selfName, n), APIKey: apiKey(n % orgs), Model: "model-00",
@@ -217,9 +220,9 @@
 	}
 }
 
-// start brings a request to the point where its attempt runs.
-func (w *targetWorld) start(n, orgs int) (id, attempt string) {
+// startRequest sends a request whose attempt the harness then lets run up to its dispatch.
+func (h *targetHarness) startRequest(n, orgs int) (id, attempt string) {
 	r := request(n, orgs)
-	w.do(r)
+	h.handle(r)
 	return r.ID, r.ID + "/1"
 }
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// timers is a heap of requests' wake-up times. Rescheduling leaves the old entry, which is
-// compared with request.wake when it fires.
+// timers is a min-heap of the requests' wake-up times. Rescheduling a request adds an entry and
+// leaves the old one in the heap. When an entry fires, request.wake shows whether it is still valid.
 type timers struct{ h timerHeap }
 
 type timer struct {
@@ -29,6 +29,7 @@
 
 func (t *timers) add(at time.Time, id string) { heap.Push(&t.h, timer{at: at, id: id}) }
 
+// fire removes the entries that are due and calls f with the request id of each.
 func (t *timers) fire(now time.Time, f func(id string)) {
 	for len(t.h) > 0 && !t.h[0].at.After(now) {
 		f(heap.Pop(&t.h).(timer).id)
--- a/internal/core/verdict.go
+++ b/internal/core/verdict.go
@@ -12,53 +12,56 @@
 )
 
 const (
-	// verdictTimeout is how long a retry waits for the home to find out whether the failed
+	// verdictTimeout is how long a retry waits until the home has detected whether the failed
 	// upstream has crashed.
 	verdictTimeout = time.Second
-	// verdictTTL is how long a home remembers what ran on an upstream that failed and fell
-	// silent: a machine that went down refuses no connection and shows a new boot only once it
-	// is back.
+	// verdictTTL is how long a home keeps the fingerprints of attempts that failed on a silent
+	// upstream. An upstream whose host went down does not refuse connections, and shows a new boot
+	// only once it is back.
 	verdictTTL = 2 * time.Minute
 )
 
-// verdict is a home's knowledge of an upstream that failed attempts, until it is known whether
-// it crashed.
+// verdict collects the failed attempts of an upstream until the home knows whether the upstream has
+// crashed.
 type verdict struct {
-	// opened is when the first attempt failed, since when the last one did: only a poll sent
-	// after it can clear the upstream.
-	opened time.Time
-	since  time.Time
-	// asks are the waiting retries, ended the failed attempts whose grants are kept so that
-	// the fingerprint counts as running there.
-	asks  []heldAsk
-	ended []msg.GrantEnd
-	// ran holds the fingerprints of the failed attempts.
-	ran  map[uint64]string
-	over bool
+	// openedAt is the time of the first failure, lastFailedAt that of the last one. Only a poll that
+	// was sent after lastFailedAt can show that the upstream has not crashed.
+	openedAt     time.Time
+	lastFailedAt time.Time
+	// heldAsks are the asks of retries that wait for the verdict. heldEnds are the ends of failed
+	// attempts whose grants are kept, so that their fingerprints still count as running there.
+	heldAsks []heldAsk
+	heldEnds []msg.GrantEnd
+	// fingerprints maps the fingerprints of the failed attempts to the run (boot) of the upstream.
+	fingerprints map[uint64]string
+	timedOut     bool
 }
 
+// heldAsk is an ask and the entry that sent it.
 type heldAsk struct {
 	from string
 	ask  msg.GrantAsk
 }
 
-func (g *guard) verdict(now time.Time, upstream string) *verdict {
+// verdictFor returns the pending verdict on an upstream and creates it if needed.
+func (g *crashGuard) verdictFor(now time.Time, upstream string) *verdict {
 	v := g.verdicts[upstream]
 	if v == nil {
-		v = &verdict{opened: now, ran: map[uint64]string{}}
+		v = &verdict{openedAt: now, fingerprints: map[uint64]string{}}
 		g.verdicts[upstream] = v
 	}
 	return v
 }
 
-// joins records that an attempt with the fingerprint failed on a run.
-func (v *verdict) joins(now time.Time, print uint64, boot string) {
-	v.since = now
-	v.ran[print] = boot
+// addFailure records that an attempt with the fingerprint failed on a run of the upstream.
+func (v *verdict) addFailure(now time.Time, fingerprint uint64, boot string) {
+	v.lastFailedAt = now
+	v.fingerprints[fingerprint] = boot
 }
 
-// awaitVerdict holds a retry until it is known whether the previous upstream crashed.
-// Otherwise a request that crashes upstreams would reach the next one before its first strike.
+// awaitVerdict reports whether it holds a retry until the verdict on the upstream of the previous
+// attempt. Without the wait, a request that crashes upstreams would reach the next upstream before
+// its first strike.
 func (i *Instance) awaitVerdict(now time.Time, h *poolHome, from string, m msg.GrantAsk) bool {
 	if m.Failed == "" {
 		return false
@@ -67,12 +70,12 @@
 		i.pollUpstream(m.Failed)
 		return false
 	}
-	if boot := h.boots[m.Failed]; boot != "" && boot != m.FailedBoot || h.crashed[m.Failed] == m.FailedBoot {
+	if boot := h.boots[m.Failed]; boot != "" && boot != m.FailedBoot || h.crashedBoots[m.Failed] == m.FailedBoot {
 		i.strike(now, m.Ask.Fingerprint, suspect.Crash{Upstream: m.Failed, Boot: m.FailedBoot})
 		return false
 	}
-	v := h.guard.verdict(now, m.Failed)
-	if v.over {
+	v := h.guard.verdictFor(now, m.Failed)
+	if v.timedOut {
 		return false
 	}
 	v.hold(now, from, m)
@@ -81,58 +84,61 @@
 	return true
 }
 
+// hold adds the ask of a retry, or replaces it if the entry repeats its ask.
 func (v *verdict) hold(now time.Time, from string, m msg.GrantAsk) {
-	held := len(v.asks)
+	held := len(v.heldAsks)
 	v.drop(m.Ask.Attempt)
-	if len(v.asks) == held { // not one that asks again
-		v.joins(now, m.Ask.Fingerprint, m.FailedBoot)
+	if len(v.heldAsks) == held { // not a repeat of a held ask
+		v.addFailure(now, m.Ask.Fingerprint, m.FailedBoot)
 	}
-	v.asks = append(v.asks, heldAsk{from: from, ask: m})
+	v.heldAsks = append(v.heldAsks, heldAsk{from: from, ask: m})
 }
 
 func (v *verdict) drop(attempt string) {
-	v.asks = slices.DeleteFunc(v.asks, func(a heldAsk) bool { return a.ask.Ask.Attempt == attempt })
+	v.heldAsks = slices.DeleteFunc(v.heldAsks, func(a heldAsk) bool { return a.ask.Ask.Attempt == attempt })
 }
 
-// keepFailed keeps a failed attempt's grant until the verdict and reports whether it did.
-func (i *Instance) keepFailed(now time.Time, h *poolHome, m msg.GrantEnd) bool {
+// holdFailedGrant reports whether it keeps the grant of a failed attempt until the verdict on the
+// upstream.
+func (i *Instance) holdFailedGrant(now time.Time, h *poolHome, m msg.GrantEnd) bool {
 	if !m.Failed || m.Boot == "" || i.version.PoolOf(m.Upstream) != h.pool {
 		return false
 	}
-	if h.crashed[m.Upstream] == m.Boot || h.boots[m.Upstream] != m.Boot {
-		return false // judged already: what ran there has its strike
+	if h.crashedBoots[m.Upstream] == m.Boot || h.boots[m.Upstream] != m.Boot {
+		return false // the verdict on that run is known, and its attempts have their strikes
 	}
-	v := h.guard.verdict(now, m.Upstream)
-	v.joins(now, m.Fingerprint, m.Boot)
-	if v.over {
+	v := h.guard.verdictFor(now, m.Upstream)
+	v.addFailure(now, m.Fingerprint, m.Boot)
+	if v.timedOut {
 		return false
 	}
-	v.ended = append(v.ended, m)
+	v.heldEnds = append(v.heldEnds, m)
 	i.pollUpstream(m.Upstream)
 	return true
 }
 
-// judge settles what waited for an upstream's report. A different run than the one that failed
-// means a crash, even to a home that has just taken over.
-func (i *Instance) judge(now time.Time, h *poolHome, upstream, boot string, asked time.Time) {
+// resolveVerdict resolves the verdict on an upstream with its report. If the upstream now has a
+// different boot than the one on which an attempt failed, it has crashed. This also holds at a new
+// home that has no earlier report.
+func (i *Instance) resolveVerdict(now time.Time, h *poolHome, upstream, boot string, asked time.Time) {
 	v := h.guard.verdicts[upstream]
-	if v == nil || asked.Before(v.since) {
+	if v == nil || asked.Before(v.lastFailedAt) {
 		return
 	}
 	delete(h.guard.verdicts, upstream)
-	for _, print := range sortedPrints(v.ran, func(on string) bool { return on != boot }) {
-		h.crashed[upstream] = v.ran[print]
-		i.strike(now, print, suspect.Crash{Upstream: upstream, Boot: v.ran[print]})
+	for _, fingerprint := range sortedFingerprints(v.fingerprints, func(on string) bool { return on != boot }) {
+		h.crashedBoots[upstream] = v.fingerprints[fingerprint]
+		i.strike(now, fingerprint, suspect.Crash{Upstream: upstream, Boot: v.fingerprints[fingerprint]})
 	}
-	i.letOn(now, h, v)
+	i.releaseHeld(now, h, v)
 }
 
-// letOn releases what waited for a verdict.
-func (i *Instance) letOn(now time.Time, h *poolHome, v *verdict) {
-	ended, asks := v.ended, v.asks
-	v.ended, v.asks = nil, nil
+// releaseHeld ends the grants and places the asks that a verdict has held.
+func (i *Instance) releaseHeld(now time.Time, h *poolHome, v *verdict) {
+	ended, asks := v.heldEnds, v.heldAsks
+	v.heldEnds, v.heldAsks = nil, nil
 	for _, m := range ended {
-		i.endGranted(now, h, m)
+		i.releaseGrant(now, h, m)
 	}
 	for _, a := range asks {
 		a.ask.Failed, a.ask.FailedBoot = "", ""
@@ -140,25 +146,25 @@
 	}
 }
 
-// tickVerdicts ends waits after verdictTimeout. A frozen or silent upstream has not crashed,
-// but the retries run beside no other suspect, and what failed there is remembered in case it
-// returns with a new run.
+// tickVerdicts ends the wait for a verdict after verdictTimeout. A frozen or silent upstream has not
+// crashed as far as the home knows, so the retries may run, but not on an upstream that runs another
+// suspect. The fingerprints are kept for verdictTTL in case the upstream returns with a new boot.
 func (i *Instance) tickVerdicts(now time.Time, h *poolHome) {
 	for _, name := range sortedNames(h.guard.verdicts) {
 		v := h.guard.verdicts[name]
 		switch {
-		case now.Sub(v.opened) > verdictTTL:
+		case now.Sub(v.openedAt) > verdictTTL:
 			delete(h.guard.verdicts, name)
-		case !v.over && now.Sub(v.opened) > verdictTimeout:
-			v.over = true
-			i.letOn(now, h, v)
+		case !v.timedOut && now.Sub(v.openedAt) > verdictTimeout:
+			v.timedOut = true
+			i.releaseHeld(now, h, v)
 		}
 	}
 }
 
-// upstreamGone handles an upstream that refuses connections: it has crashed unless it had
-// announced its shutdown.
-func (i *Instance) upstreamGone(now time.Time, h *poolHome, name string) {
+// onConnectionRefused handles an upstream that refuses connections. It has crashed unless it had
+// announced that it is leaving.
+func (i *Instance) onConnectionRefused(now time.Time, h *poolHome, name string) {
 	if m, ok := i.view.Member(name); !h.leaving[name] && (!ok || m.State != membership.Leaving) {
 		i.upstreamCrashed(now, h, name)
 		return
@@ -170,46 +176,46 @@
 	delete(h.boots, name)
 	if v := h.guard.verdicts[name]; v != nil {
 		delete(h.guard.verdicts, name)
-		i.letOn(now, h, v)
+		i.releaseHeld(now, h, v)
 	}
 }
 
-// upstreamCrashed gives every request that ran there a strike, at every instance.
+// upstreamCrashed gives every request that ran on the upstream a strike, at every instance.
 func (i *Instance) upstreamCrashed(now time.Time, h *poolHome, name string) {
 	boot := h.boots[name]
-	ran := map[uint64]string{}
+	fingerprints := map[uint64]string{}
 	for _, ask := range h.home.Remove(name) {
 		h.guard.forget(ask.Attempt)
 		delete(h.entries, ask.Attempt)
-		ran[ask.Fingerprint] = boot
+		fingerprints[ask.Fingerprint] = boot
 	}
 	v := h.guard.verdicts[name]
 	if v != nil {
 		delete(h.guard.verdicts, name)
-		maps.Copy(ran, v.ran)
+		maps.Copy(fingerprints, v.fingerprints)
 	}
 	if boot != "" {
-		h.crashed[name] = boot
+		h.crashedBoots[name] = boot
 	}
 	delete(h.boots, name)
-	if len(ran) > 0 {
-		i.emit(Log{Event: "upstream_crashed", Pairs: []any{"upstream", name, "boot", boot, "fingerprints", len(ran)}})
+	if len(fingerprints) > 0 {
+		i.emit(Log{Event: "upstream_crashed", Pairs: []any{"upstream", name, "boot", boot, "fingerprints", len(fingerprints)}})
 	}
-	for _, print := range sortedPrints(ran, func(on string) bool { return on != "" }) {
-		h.crashed[name] = ran[print]
-		i.strike(now, print, suspect.Crash{Upstream: name, Boot: ran[print]})
+	for _, fingerprint := range sortedFingerprints(fingerprints, func(on string) bool { return on != "" }) {
+		h.crashedBoots[name] = fingerprints[fingerprint]
+		i.strike(now, fingerprint, suspect.Crash{Upstream: name, Boot: fingerprints[fingerprint]})
 	}
 	if v != nil {
-		i.letOn(now, h, v)
+		i.releaseHeld(now, h, v)
 	}
 }
 
-// sortedPrints lists the fingerprints whose run passes a test, in order.
-func sortedPrints(ran map[uint64]string, ok func(boot string) bool) []uint64 {
+// sortedFingerprints lists the fingerprints whose boot passes a test, in ascending order.
+func sortedFingerprints(boots map[uint64]string, ok func(boot string) bool) []uint64 {
 	var out []uint64
-	for print, boot := range ran {
+	for fingerprint, boot := range boots {
 		if ok(boot) {
-			out = append(out, print)
+			out = append(out, fingerprint)
 		}
 	}
 	slices.Sort(out)
