--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -84,8 +84,8 @@
 	}
 }
 
-// grantAsk returns the n-th request for a grant in a pool.
-func grantAsk(pool string, n int) msg.GrantAsk {
+// grantRequest returns the n-th grant request to the home of a pool.
+func grantRequest(pool string, n int) msg.GrantAsk {
 	return msg.GrantAsk{Pool: pool, Ask: placement.Ask{
 		Attempt: attemptName(n), Org: orgName(n % 1000), Fingerprint: uint64(n) + 1, Prompt: 250, MaxOutput: 500,
 		Prefix: make([]uint64, 8), MaxWait: 20 * time.Second,
@@ -103,7 +103,7 @@
 	}
 	n := 0
 	for range len(p.Upstreams) * gensPerEngine {
-		h.handle(core.PeerMessage{From: "entry-1", Msg: grantAsk(p.Name, n)})
+		h.handle(core.PeerMessage{From: "entry-1", Msg: grantRequest(p.Name, n)})
 		n++
 	}
 	return h, p.Name, p.Upstreams
@@ -116,9 +116,9 @@
 	n := len(upstreams) * gensPerEngine
 	b.ReportAllocs()
 	for b.Loop() {
-		ask := grantAsk(pool, n)
-		h.inst.Handle(h.now, core.PeerMessage{From: "entry-1", Msg: ask})
-		h.inst.Handle(h.now, core.PeerMessage{From: "entry-1", Msg: msg.GrantEnd{Pool: pool, Attempt: ask.Ask.Attempt, Tokens: 250}})
+		req := grantRequest(pool, n)
+		h.inst.Handle(h.now, core.PeerMessage{From: "entry-1", Msg: req})
+		h.inst.Handle(h.now, core.PeerMessage{From: "entry-1", Msg: msg.GrantEnd{Pool: pool, Attempt: req.Ask.Attempt, Tokens: 250}})
 		n++
 	}
 }
@@ -140,7 +140,7 @@
 	h, pool, upstreams := newPoolHomeHarness(b)
 	m := msg.Announce{Pool: pool}
 	for n := range runningPerInstance {
-		m.Running = append(m.Running, msg.RunningAttempt{Ask: grantAsk(pool, n).Ask, Upstream: upstreams[0], Tokens: n})
+		m.Running = append(m.Running, msg.RunningAttempt{Ask: grantRequest(pool, n).Ask, Upstream: upstreams[0], Tokens: n})
 	}
 	b.ReportAllocs()
 	for b.Loop() {
@@ -158,9 +158,9 @@
 			b.ReportAllocs()
 			n := 0
 			for b.Loop() {
-				ask := budget.Ask{Request: attemptName(n), Org: orgName(n % orgs), Limits: limits, Amount: 1000, Tokens: 500}
-				h.handle(core.PeerMessage{From: "entry-1", Msg: msg.ReserveAsk{Ask: ask}})
-				h.handle(core.PeerMessage{From: "entry-1", Msg: msg.Settle{Org: ask.Org, Request: ask.Request, Used: 500, Tokens: 250}})
+				req := budget.Ask{Request: attemptName(n), Org: orgName(n % orgs), Limits: limits, Amount: 1000, Tokens: 500}
+				h.handle(core.PeerMessage{From: "entry-1", Msg: msg.ReserveAsk{Ask: req}})
+				h.handle(core.PeerMessage{From: "entry-1", Msg: msg.Settle{Org: req.Org, Request: req.Request, Used: 500, Tokens: 250}})
 				n++
 			}
 		})
--- a/internal/core/book.go
+++ b/internal/core/book.go
@@ -81,13 +81,13 @@
 		i.undoClaim(now, r, table.Row{Key: row.Key, Version: r.book.baseVersion})
 		i.refuse(now, r, notRunFinish(ReasonStore, retryAfterStore))
 	default:
-		i.answerFromRow(now, r, step, row)
+		i.finishFromRow(now, r, step, row)
 	}
 }
 
-// answerFromRow finishes a request whose key another attempt has used, or holds the request while
+// finishFromRow finishes a request whose key another attempt has used, or holds the request while
 // that attempt is running.
-func (i *Instance) answerFromRow(now time.Time, r *request, step booking.Step, row table.Row) {
+func (i *Instance) finishFromRow(now time.Time, r *request, step booking.Step, row table.Row) {
 	switch step {
 	case booking.Replay:
 		i.count("bookings_total", "replayed")
@@ -97,7 +97,7 @@
 		}
 		i.finish(now, r, Finish{Outcome: Done, Status: rec.Status, Body: rec.Body})
 	case booking.Await:
-		i.await(now, r, row)
+		i.awaitFirstCall(now, r, row)
 	case booking.Refuse:
 		f := notRunFinish(ReasonKeyReused, 0)
 		f.Status = status.UnprocessableEntity
@@ -138,15 +138,15 @@
 // table was slow or this instance was frozen, it releases the claim and the call has not run.
 func (i *Instance) dispatchClaimed(now time.Time, r *request) {
 	if now.After(r.run.sendBefore) {
-		i.release(now, r)
+		i.releaseKey(now, r)
 		i.refuse(now, r, notRunFinish(ReasonGrantLapsed, retryAfterReleased))
 		return
 	}
 	i.dispatch(now, r)
 }
 
-// release frees the key of an attempt that will never be dispatched.
-func (i *Instance) release(now time.Time, r *request) {
+// releaseKey frees the key of an attempt that will never be dispatched.
+func (i *Instance) releaseKey(now time.Time, r *request) {
 	rec := r.book.record
 	rec.State = booking.Released
 	i.writeBack(now, pendingWrite{tx: booking.Put(r.bookingRow(), r.book.version, rec)})
@@ -160,8 +160,8 @@
 	}
 }
 
-// record stores the service's answer for repeats of the key, before the caller receives it.
-func (i *Instance) record(now time.Time, r *request, f Finish) {
+// recordAnswer stores the service's answer for repeats of the key, before the caller receives it.
+func (i *Instance) recordAnswer(now time.Time, r *request, f Finish) {
 	r.phase = phaseRecording
 	r.book.pendingFinish = f
 	r.book.record.State, r.book.record.Status, r.book.record.Body = booking.Done, f.Status, f.Body
@@ -190,7 +190,7 @@
 func (i *Instance) bookingFailed(now time.Time, r *request, e UpstreamFailed) {
 	f := Finish{Status: status.BadGateway, Reason: ReasonUpstreamCut, Step: e.Step, Peer: r.run.upstream}
 	if !e.Sent {
-		i.release(now, r)
+		i.releaseKey(now, r)
 		f.Status, f.RetryAfter = status.ServiceUnavailable, retryAfterNoHome
 		i.refuse(now, r, f)
 		return
--- a/internal/core/bookwait.go
+++ b/internal/core/bookwait.go
@@ -17,9 +17,9 @@
 	awaitTimeout = 5 * time.Second
 )
 
-// await holds a repeat of a key whose first call may still be running, until the outcome is
+// awaitFirstCall holds a repeat of a key whose first call may still be running, until the outcome is
 // recorded or awaitTimeout has passed. The repeat holds no reservation and no grant meanwhile.
-func (i *Instance) await(now time.Time, r *request, row table.Row) {
+func (i *Instance) awaitFirstCall(now time.Time, r *request, row table.Row) {
 	if r.phase != phaseAwaiting {
 		i.settle(r, Finish{Outcome: NotRun})
 		i.endGrant(r, false)
@@ -29,16 +29,16 @@
 		i.count("bookings_total", "awaited")
 	}
 	if !now.Before(r.book.awaitDeadline) {
-		i.answerInProgress(now, r, row)
+		i.finishInProgress(now, r, row)
 		return
 	}
 	i.wakeAt(r, now.Add(r.book.awaitInterval))
 	r.book.awaitInterval = min(2*r.book.awaitInterval, awaitMax)
 }
 
-// answerInProgress ends a repeat with the time until the first call must have ended as its
+// finishInProgress ends a repeat with the time until the first call must have ended as its
 // Retry-After.
-func (i *Instance) answerInProgress(now time.Time, r *request, row table.Row) {
+func (i *Instance) finishInProgress(now time.Time, r *request, row table.Row) {
 	after := awaitMax
 	if rec, err := booking.Decode(row.Value); err == nil {
 		after = max(after, time.UnixMilli(rec.Until).Sub(now))
@@ -60,7 +60,7 @@
 	}
 	row := table.Result{Rows: e.Rows}.Find(r.bookingRow())
 	if !e.OK {
-		i.answerInProgress(now, r, row)
+		i.finishInProgress(now, r, row)
 		return
 	}
 	step := booking.AfterRow(now, row, r.attempt, r.BodyHash)
@@ -68,7 +68,7 @@
 		i.refuse(now, r, notRunFinish(ReasonReleased, retryAfterReleased))
 		return
 	}
-	i.answerFromRow(now, r, step, row)
+	i.finishFromRow(now, r, step, row)
 }
 
 // lookUpBeforeRefusal reads the row of a booking that is about to be refused before its claim,
@@ -107,6 +107,6 @@
 	case step == booking.ClaimAgain:
 		i.refuse(now, r, r.book.pendingFinish)
 	default:
-		i.answerFromRow(now, r, step, row)
+		i.finishFromRow(now, r, step, row)
 	}
 }
--- a/internal/core/configadopt.go
+++ b/internal/core/configadopt.go
@@ -30,12 +30,12 @@
 	received []byte
 }
 
-func (w *pendingConfig) newer(number int64) bool { return w.Number > number }
+func (next *pendingConfig) newer(number int64) bool { return next.Number > number }
 
 // observeVersion handles the information that a version was in force at a time, zero if that
 // time is unknown.
 func (i *Instance) observeVersion(now time.Time, p ConfigPointer, at time.Time, from string) {
-	w := &i.configs.pending
+	next := &i.configs.pending
 	switch held := i.ConfigNumber(); {
 	case p.Number == 0:
 		return
@@ -43,12 +43,12 @@
 		// Version numbers only increase, so a late reply cannot bring back an old
 		// version. It still confirms that no newer version was in force at that time.
 		i.confirm(at)
-	case p.Number < w.Number:
+	case p.Number < next.Number:
 		return
-	case p.Number == w.Number:
-		w.confirmedAt = laterTime(w.confirmedAt, at)
+	case p.Number == next.Number:
+		next.confirmedAt = laterTime(next.confirmedAt, at)
 	default:
-		*w = pendingConfig{ConfigPointer: p, confirmedAt: at, from: from}
+		*next = pendingConfig{ConfigPointer: p, confirmedAt: at, from: from}
 		if p.Hash == i.ConfigHash() {
 			i.renumber(now)
 			return
@@ -80,14 +80,14 @@
 // retryFetch fetches the pending version's object again, from the object store and from another
 // instance.
 func (i *Instance) retryFetch(now time.Time) {
-	w := &i.configs.pending
-	if !w.newer(i.ConfigNumber()) {
+	next := &i.configs.pending
+	if !next.newer(i.ConfigNumber()) {
 		return
 	}
-	w.tries++
-	if w.tries > 1 {
+	next.tries++
+	if next.tries > 1 {
 		i.count("retries_total", "config_object")
-		i.emit(Fetch{Hash: w.Hash})
+		i.emit(Fetch{Hash: next.Hash})
 		i.requestObject(now)
 	}
 }
@@ -95,24 +95,24 @@
 // requestObject requests the next part of the pending object. Each call uses a different
 // instance; the instance that announced the version comes first in the rotation.
 func (i *Instance) requestObject(time.Time) {
-	w := &i.configs.pending
+	next := &i.configs.pending
 	var others []string
-	if w.from != i.self {
-		others = append(others, w.from)
+	if next.from != i.self {
+		others = append(others, next.from)
 	}
 	for _, name := range i.view.Entries() {
-		if name != i.self && name != w.from {
+		if name != i.self && name != next.from {
 			others = append(others, name)
 		}
 	}
 	if len(others) > 0 {
-		i.requestObjectPart(others[w.tries%len(others)])
+		i.requestObjectPart(others[next.tries%len(others)])
 	}
 }
 
 func (i *Instance) requestObjectPart(from string) {
-	w := &i.configs.pending
-	i.send(from, msg.ConfigObjectAsk{Hash: w.Hash, Offset: len(w.received), Address: i.selfMember().PeerAddress})
+	next := &i.configs.pending
+	i.send(from, msg.ConfigObjectAsk{Hash: next.Hash, Offset: len(next.received), Address: i.selfMember().PeerAddress})
 }
 
 func (i *Instance) onConfigObjectAsk(from string, m msg.ConfigObjectAsk) {
@@ -127,23 +127,23 @@
 }
 
 func (i *Instance) onConfigObjectPart(now time.Time, from string, m msg.ConfigObjectPart) {
-	w := &i.configs.pending
-	if m.Hash != w.Hash || m.Offset != len(w.received) || len(m.Data) == 0 {
+	next := &i.configs.pending
+	if m.Hash != next.Hash || m.Offset != len(next.received) || len(m.Data) == 0 {
 		return
 	}
-	w.received = append(w.received, m.Data...)
-	if len(w.received) < m.Size {
+	next.received = append(next.received, m.Data...)
+	if len(next.received) < m.Size {
 		i.requestObjectPart(from)
 		return
 	}
-	object := w.received
-	w.received = nil
-	i.decodeAndActivate(now, w.Hash, object)
+	object := next.received
+	next.received = nil
+	i.decodeAndActivate(now, next.Hash, object)
 }
 
 func (i *Instance) onObject(now time.Time, e ObjectResult) {
-	w := &i.configs.pending
-	if e.Hash != w.Hash || !w.newer(i.ConfigNumber()) {
+	next := &i.configs.pending
+	if e.Hash != next.Hash || !next.newer(i.ConfigNumber()) {
 		return
 	}
 	if !e.OK {
@@ -160,14 +160,14 @@
 
 // decodeAndActivate decodes the object of the pending version and activates the version.
 func (i *Instance) decodeAndActivate(now time.Time, hash string, object []byte) {
-	w := i.configs.pending
-	if hash != w.Hash || !w.newer(i.ConfigNumber()) {
+	next := i.configs.pending
+	if hash != next.Hash || !next.newer(i.ConfigNumber()) {
 		return
 	}
 	cfg, err := config.Decode(object, hash)
 	if err != nil {
 		i.count("config_reads_failed_total", "decode")
-		i.emit(Log{Event: "config_rejected", Pairs: []any{"number", w.Number, "error", err}})
+		i.emit(Log{Event: "config_rejected", Pairs: []any{"number", next.Number, "error", err}})
 		return
 	}
 	i.activate(now, hash, object, cfg)
@@ -175,11 +175,11 @@
 
 // activate puts the pending version in force. Requests in progress keep their version.
 func (i *Instance) activate(now time.Time, hash string, object []byte, cfg *config.Config) {
-	w := i.configs.pending
-	if hash != w.Hash || !w.newer(i.ConfigNumber()) {
+	next := i.configs.pending
+	if hash != next.Hash || !next.newer(i.ConfigNumber()) {
 		return
 	}
-	i.version = config.Compile(w.Number, w.Hash, cfg)
+	i.version = config.Compile(next.Number, next.Hash, cfg)
 	i.configs.object = object
 	i.afterActivation(now)
 }
@@ -187,11 +187,11 @@
 // afterActivation applies the confirmation and the cordons of the pending version, which is now
 // in force, and announces the version in this data centre if this instance read it.
 func (i *Instance) afterActivation(now time.Time) {
-	w := &i.configs.pending
-	i.confirm(w.confirmedAt)
-	i.emit(Log{Event: "config_in_force", Pairs: []any{"number", w.Number, "hash", w.Hash, "from", w.from}})
-	i.setCordons(now, cordon.NewSet(w.Number, w.Cordoned))
-	if w.from == i.self {
+	next := &i.configs.pending
+	i.confirm(next.confirmedAt)
+	i.emit(Log{Event: "config_in_force", Pairs: []any{"number", next.Number, "hash", next.Hash, "from", next.from}})
+	i.setCordons(now, cordon.NewSet(next.Number, next.Cordoned))
+	if next.from == i.self {
 		i.announceInDataCentre(now)
 	}
 }
--- a/internal/core/configpoll.go
+++ b/internal/core/configpoll.go
@@ -19,7 +19,7 @@
 // configReply is the last reply of a polled instance: when its query was sent, and whether that
 // instance cannot reach the table either.
 type configReply struct {
-	askedAt   time.Time
+	queriedAt time.Time
 	tableDown bool
 }
 
@@ -44,7 +44,7 @@
 
 // pollAllDataCentres polls the readers of every data centre.
 func (i *Instance) pollAllDataCentres(now time.Time) {
-	asked := map[string]bool{i.self: true}
+	polled := map[string]bool{i.self: true}
 	seen := map[string]bool{}
 	for _, name := range i.view.Entries() {
 		m, _ := i.view.Member(name)
@@ -53,8 +53,8 @@
 		}
 		seen[m.DataCentre] = true
 		for _, reader := range i.otherReaders(now, m.DataCentre) {
-			if !asked[reader] {
-				asked[reader] = true
+			if !polled[reader] {
+				polled[reader] = true
 				i.pollReader(now, reader)
 			}
 		}
@@ -80,10 +80,10 @@
 
 // startQuery registers a query and returns its number.
 func (i *Instance) startQuery(now time.Time, to string) int64 {
-	f := &i.configs
-	f.lastQuery++
-	f.queries[f.lastQuery] = configQuery{to: to, sentAt: now}
-	return f.lastQuery
+	s := &i.configs
+	s.lastQuery++
+	s.queries[s.lastQuery] = configQuery{to: to, sentAt: now}
+	return s.lastQuery
 }
 
 func (i *Instance) readConfigRow(now time.Time) {
@@ -101,24 +101,24 @@
 // not reply is marked as silent, which also resets the connection to it.
 func (i *Instance) expireQueries(now time.Time) {
 	for _, n := range slices.Sorted(maps.Keys(i.configs.queries)) {
-		c := i.configs.queries[n]
-		if now.Sub(c.sentAt) < pollTimeout {
+		q := i.configs.queries[n]
+		if now.Sub(q.sentAt) < pollTimeout {
 			continue
 		}
-		if c.to != "" {
+		if q.to != "" {
 			delete(i.configs.queries, n)
-			i.count("config_asks_lost_total", c.to)
-			i.markSilent(now, c.to)
-		} else if now.Sub(c.sentAt) > confirmTTL {
+			i.count("config_asks_lost_total", q.to)
+			i.markSilent(now, q.to)
+		} else if now.Sub(q.sentAt) > confirmTTL {
 			delete(i.configs.queries, n)
 		}
 	}
 	recent := map[string]bool{}
 	for name, a := range i.configs.replies {
-		if m, _ := i.view.Member(name); now.Sub(a.askedAt) <= staleAfter {
+		if m, _ := i.view.Member(name); now.Sub(a.queriedAt) <= staleAfter {
 			recent[m.DataCentre] = true
 		}
-		if now.Sub(a.askedAt) > confirmTTL {
+		if now.Sub(a.queriedAt) > confirmTTL {
 			delete(i.configs.replies, name)
 		}
 	}
@@ -127,11 +127,11 @@
 
 // takeQuery removes the query with a number that was sent to an instance, and returns its send
 // time. ok is false if there is no such query.
-func (f *configSync) takeQuery(n int64, from string) (at time.Time, ok bool) {
-	c, ok := f.queries[n]
-	if !ok || c.to != from {
+func (s *configSync) takeQuery(n int64, from string) (at time.Time, ok bool) {
+	q, ok := s.queries[n]
+	if !ok || q.to != from {
 		return time.Time{}, false
 	}
-	delete(f.queries, n)
-	return c.sentAt, true
+	delete(s.queries, n)
+	return q.sentAt, true
 }
--- a/internal/core/configsync.go
+++ b/internal/core/configsync.go
@@ -55,6 +55,7 @@
 // arrival. If the age counted from the arrival, a reply from before a change
 // would let the instance continue with the version that the change replaced.
 type configSync struct {
+	// lastRound is the time of the last round.
 	lastRound time.Time
 	// confirmed is the latest time at which certainly no newer version was in force.
 	confirmed time.Time
@@ -74,6 +75,7 @@
 	// appliedAt is the time of the last change that was accepted through this instance.
 	appliedAt time.Time
 
+	// pending is the newer version being fetched; object is the encoded configuration in force.
 	pending pendingConfig
 	object  []byte
 }
@@ -110,8 +112,8 @@
 // tableDown reports whether this instance's reads of the table fail and it gets no confirmation from
 // another instance.
 func (i *Instance) tableDown(now time.Time) bool {
-	f := &i.configs
-	return now.Sub(f.lastFailedRead) <= confirmTTL && now.Sub(f.confirmed) > staleAfter
+	s := &i.configs
+	return now.Sub(s.lastFailedRead) <= confirmTTL && now.Sub(s.confirmed) > staleAfter
 }
 
 // tableDownEverywhere reports whether the table is unavailable to this instance and,
@@ -130,7 +132,7 @@
 	}
 	responding := map[string]bool{}
 	for name, a := range i.configs.replies {
-		if now.Sub(a.askedAt) > confirmTTL {
+		if now.Sub(a.queriedAt) > confirmTTL {
 			continue
 		}
 		if !a.tableDown {
@@ -160,19 +162,19 @@
 // the platform's two thousand reads per second. Two readers in each of five data
 // centres make 20.
 func (i *Instance) tickConfig(now time.Time) {
-	f := &i.configs
-	if now.Sub(f.lastRound) < configRoundInterval {
+	s := &i.configs
+	if now.Sub(s.lastRound) < configRoundInterval {
 		return
 	}
-	f.lastRound = now
+	s.lastRound = now
 	i.expireQueries(now)
 	own := i.readers(now, i.selfMember().DataCentre)
-	stale := now.Sub(f.confirmed) > staleAfter
+	stale := now.Sub(s.confirmed) > staleAfter
 	switch {
-	case slices.Contains(own, i.self), stale && now.Sub(f.lastRead) >= staleReadInterval:
+	case slices.Contains(own, i.self), stale && now.Sub(s.lastRead) >= staleReadInterval:
 		i.readConfigRow(now)
 	case !stale:
-		i.pollReader(now, own[f.lastQuery%int64(len(own))])
+		i.pollReader(now, own[s.lastQuery%int64(len(own))])
 	}
 	if stale {
 		i.pollAllDataCentres(now)
@@ -210,25 +212,25 @@
 	i.emit(Send{To: from, Address: m.Address, Msg: i.configUpdate(now, m.Ask)})
 }
 
-func (i *Instance) configUpdate(now time.Time, ask int64) msg.ConfigTold {
+func (i *Instance) configUpdate(now time.Time, query int64) msg.ConfigTold {
 	return msg.ConfigTold{
 		Number: i.ConfigNumber(), Hash: i.ConfigHash(), Cordoned: i.cordons.DataCentres,
-		Confirmed: now.Sub(i.configs.confirmed), Ask: ask, Down: i.tableDown(now),
+		Confirmed: now.Sub(i.configs.confirmed), Ask: query, Down: i.tableDown(now),
 	}
 }
 
 func (i *Instance) onConfigTold(now time.Time, from string, m msg.ConfigTold) {
 	p := ConfigPointer{Number: m.Number, Hash: m.Hash, Cordoned: m.Cordoned}
-	asked, ok := i.configs.takeQuery(m.Ask, from)
+	sentAt, ok := i.configs.takeQuery(m.Ask, from)
 	if !ok { // an announcement or a late reply: its version may be new, but it confirms nothing
 		i.observeVersion(now, p, time.Time{}, from)
 		return
 	}
-	i.configs.replies[from] = configReply{askedAt: asked, tableDown: m.Down}
+	i.configs.replies[from] = configReply{queriedAt: sentAt, tableDown: m.Down}
 	if member, _ := i.view.Member(from); i.configs.respondingSince[member.DataCentre].IsZero() {
 		i.configs.respondingSince[member.DataCentre] = now
 	}
-	i.observeVersion(now, p, asked.Add(-m.Confirmed), from)
+	i.observeVersion(now, p, sentAt.Add(-m.Confirmed), from)
 }
 
 // ConfirmedAge returns the time since the last confirmation that no newer version was in force.
--- a/internal/core/cordons.go
+++ b/internal/core/cordons.go
@@ -21,7 +21,7 @@
 	}})
 	for _, name := range i.poolNames {
 		h := i.pools[name]
-		i.answerGrants(now, h, h.home.SetCordons(now, s))
+		i.sendDecisions(now, h, h.home.SetCordons(now, s))
 	}
 }
 
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -66,23 +66,24 @@
 
 	pools map[string]*poolHome
 	// poolNames lists the pools in a fixed order.
-	poolNames      []string
-	lengths        *placement.Lengths
-	orgs           *budget.Home
-	suspects       *suspect.List
-	strikes        strikeSync
-	ring           ring
-	drain          drainer
-	announcer      announcer
-	tableHealth    tableHealth
-	writeBacks     writeBacks
-	sweep          sweeper
+	poolNames   []string
+	lengths     *placement.Lengths
+	orgs        *budget.Home
+	suspects    *suspect.List
+	strikes     strikeSync
+	ring        ring
+	drain       drainer
+	announcer   announcer
+	tableHealth tableHealth
+	writeBacks  writeBacks
+	sweep       sweeper
+	// budgetsChecked is the time of the last check of the budget accounts.
 	budgetsChecked time.Time
 
-	// out collects the actions of the current event, local the messages that
-	// this instance sends to itself.
-	out   []Action
-	local []msg.Message
+	// actions collects the actions of the current event, localMessages the messages that this
+	// instance sends to itself.
+	actions       []Action
+	localMessages []msg.Message
 }
 
 // New returns an instance without any state.
@@ -103,13 +104,13 @@
 // Handle processes one event and returns the resulting actions.
 func (i *Instance) Handle(now time.Time, ev Event) []Action {
 	i.handle(now, ev)
-	for len(i.local) > 0 {
-		m := i.local[0]
-		i.local = i.local[1:]
+	for len(i.localMessages) > 0 {
+		m := i.localMessages[0]
+		i.localMessages = i.localMessages[1:]
 		i.onPeer(now, i.self, m)
 	}
-	out := i.out
-	i.out = nil
+	out := i.actions
+	i.actions = nil
 	return out
 }
 
@@ -222,7 +223,7 @@
 	i.tickDrain(now)
 }
 
-func (i *Instance) emit(a Action) { i.out = append(i.out, a) }
+func (i *Instance) emit(a Action) { i.actions = append(i.actions, a) }
 
 func (i *Instance) count(group, name string) { i.emit(Count{Group: group, Name: name}) }
 
@@ -230,7 +231,7 @@
 // Handle returns.
 func (i *Instance) send(to string, m msg.Message) {
 	if to == i.self {
-		i.local = append(i.local, m)
+		i.localMessages = append(i.localMessages, m)
 		return
 	}
 	if member, ok := i.view.Member(to); ok {
--- a/internal/core/explain.go
+++ b/internal/core/explain.go
@@ -89,8 +89,8 @@
 		return []Action{Explained{ID: id, Lines: i.Explain(request)}}
 	}
 	i.send(owner, msg.ExplainAsk{ID: id, Request: request})
-	out := i.out
-	i.out = nil
+	out := i.actions
+	i.actions = nil
 	return out
 }
 
--- a/internal/core/footprint_test.go
+++ b/internal/core/footprint_test.go
@@ -67,8 +67,8 @@
 func (h *targetHarness) fillAccounts(s targetSize) {
 	limits := s.config().Organisations[0].Limits
 	for n := range s.orgs {
-		ask := budget.Ask{Request: attemptName(n), Org: orgName(n), Limits: limits, Amount: 1000, Tokens: 500}
-		h.handle(core.PeerMessage{From: "entry-1", Msg: msg.ReserveAsk{Ask: ask}})
+		req := budget.Ask{Request: attemptName(n), Org: orgName(n), Limits: limits, Amount: 1000, Tokens: 500}
+		h.handle(core.PeerMessage{From: "entry-1", Msg: msg.ReserveAsk{Ask: req}})
 	}
 }
 
@@ -81,8 +81,8 @@
 		h.handle(core.UpstreamReport{Asked: h.now, Report: report(name, gensPerEngine)})
 		m := msg.Announce{Pool: v.PoolOf(name)}
 		for n := range gensPerEngine {
-			ask := grantAsk(m.Pool, u*gensPerEngine+n).Ask
-			m.Running = append(m.Running, msg.RunningAttempt{Ask: ask, Upstream: name})
+			req := grantRequest(m.Pool, u*gensPerEngine+n).Ask
+			m.Running = append(m.Running, msg.RunningAttempt{Ask: req, Upstream: name})
 		}
 		h.handle(core.PeerMessage{From: "entry-1", Msg: m})
 		h.handle(core.UpstreamReport{Asked: h.now, Report: report(name, gensPerEngine)})
--- a/internal/core/guard.go
+++ b/internal/core/guard.go
@@ -20,7 +20,8 @@
 	running  map[uint64][]string
 }
 
-// guardedAttempt is an attempt's fingerprint and the time of its last ask or announcement.
+// guardedAttempt is an attempt's fingerprint and the time of its last grant request or
+// announcement.
 type guardedAttempt struct {
 	fingerprint uint64
 	lastSeen    time.Time
@@ -33,10 +34,10 @@
 }
 
 // track records an attempt and that its entry is alive.
-func (g *crashGuard) track(now time.Time, ask placement.Ask) {
-	p := g.attempts[ask.Attempt]
-	p.fingerprint, p.lastSeen = ask.Fingerprint, now
-	g.attempts[ask.Attempt] = p
+func (g *crashGuard) track(now time.Time, req placement.Ask) {
+	p := g.attempts[req.Attempt]
+	p.fingerprint, p.lastSeen = req.Fingerprint, now
+	g.attempts[req.Attempt] = p
 }
 
 // expire drops attempts that no entry has announced within the window. They were cancelled or
@@ -101,7 +102,8 @@
 	return out
 }
 
-// screen reports whether an ask may proceed to placement. If not, it answers or holds the ask.
+// screen reports whether a grant request may proceed to placement. If not, it replies to the request
+// or holds it.
 func (i *Instance) screen(now time.Time, h *poolHome, from string, m *msg.GrantAsk) bool {
 	if i.awaitVerdict(now, h, from, *m) {
 		return false
@@ -111,13 +113,13 @@
 	}
 	switch i.classify(now, h, m.Ask.Fingerprint) {
 	case suspect.Refused:
-		i.answerGrant(h, i.refusePoison(now, m.Ask))
+		i.sendDecision(h, i.refusePoison(now, m.Ask))
 		return false
 	case suspect.Suspected:
 		m.Ask.Suspect = true
 		m.Ask.Exclude = append(slices.Clone(m.Ask.Exclude), i.upstreamsToAvoid(now, h, m.Ask.Fingerprint)...)
 		if i.suspectMustWait(now, h, m.Ask) || !h.hasOther(i.version, m.Ask.Exclude) {
-			i.answerGrant(h, queueSuspect(m.Ask))
+			i.sendDecision(h, queueSuspect(m.Ask))
 			return false
 		}
 	case suspect.Clean:
@@ -141,10 +143,10 @@
 
 // suspectMustWait reports whether a suspect may not run yet. A request with one crash could reach
 // three crashes if two attempts of it ran at once. A new home does not know the running attempts
-// until the entries have announced them, within a second. The entry repeats its ask.
-func (i *Instance) suspectMustWait(now time.Time, h *poolHome, ask placement.Ask) bool {
-	return h.guard.otherRuns(ask.Attempt, ask.Fingerprint) || h.guard.hasPendingVerdict(ask.Fingerprint) ||
-		now.Sub(h.createdAt) < 2*announceInterval || i.mayReachMaxStrikes(h, ask.Fingerprint)
+// until the entries have announced them, within a second. The entry repeats its request.
+func (i *Instance) suspectMustWait(now time.Time, h *poolHome, req placement.Ask) bool {
+	return h.guard.otherRuns(req.Attempt, req.Fingerprint) || h.guard.hasPendingVerdict(req.Fingerprint) ||
+		now.Sub(h.createdAt) < 2*announceInterval || i.mayReachMaxStrikes(h, req.Fingerprint)
 }
 
 // mayReachMaxStrikes reports whether the strikes and unconfirmed strikes of a fingerprint together
@@ -162,20 +164,20 @@
 
 // queueSuspect returns the decision for a suspect that may not run yet: queued if its request can
 // wait, otherwise refused.
-func queueSuspect(ask placement.Ask) placement.Decision {
-	if ask.MaxWait > 0 {
-		return placement.Decision{Attempt: ask.Attempt, Kind: placement.Queued}
+func queueSuspect(req placement.Ask) placement.Decision {
+	if req.MaxWait > 0 {
+		return placement.Decision{Attempt: req.Attempt, Kind: placement.Queued}
 	}
 	return placement.Decision{
-		Attempt: ask.Attempt, Kind: placement.Refused, Reason: placement.ReasonQueueFull, RetryAfter: retryAfterNoHome,
+		Attempt: req.Attempt, Kind: placement.Refused, Reason: placement.ReasonQueueFull, RetryAfter: retryAfterNoHome,
 	}
 }
 
 // refusePoison returns the refusal of an attempt whose fingerprint has too many strikes.
-func (i *Instance) refusePoison(now time.Time, ask placement.Ask) placement.Decision {
+func (i *Instance) refusePoison(now time.Time, req placement.Ask) placement.Decision {
 	return placement.Decision{
-		Attempt: ask.Attempt, Kind: placement.Refused, Reason: placement.ReasonPoison,
-		RetryAfter: i.suspects.Until(ask.Fingerprint).Sub(now),
+		Attempt: req.Attempt, Kind: placement.Refused, Reason: placement.ReasonPoison,
+		RetryAfter: i.suspects.Until(req.Fingerprint).Sub(now),
 	}
 }
 
@@ -187,12 +189,12 @@
 	if !ok || d.Kind != placement.Granted || fingerprint == 0 {
 		return d, false
 	}
-	ask := placement.Ask{Attempt: d.Attempt, Fingerprint: fingerprint}
+	req := placement.Ask{Attempt: d.Attempt, Fingerprint: fingerprint}
 	switch i.classify(now, h, fingerprint) {
 	case suspect.Refused:
-		return i.refusePoison(now, ask), true
+		return i.refusePoison(now, req), true
 	case suspect.Suspected:
-		if i.suspectMustWait(now, h, ask) || slices.Contains(i.upstreamsToAvoid(now, h, fingerprint), d.Upstream) {
+		if i.suspectMustWait(now, h, req) || slices.Contains(i.upstreamsToAvoid(now, h, fingerprint), d.Upstream) {
 			return placement.Decision{Attempt: d.Attempt, Kind: placement.Queued}, true
 		}
 	case suspect.Clean:
--- a/internal/core/orphans.go
+++ b/internal/core/orphans.go
@@ -16,8 +16,10 @@
 	maxProbes = 256
 )
 
-// orphans is the state of a home's search for generations that no entry follows
-// any more: the entry died, or the caller disconnected and did not come back.
+// orphans is the state of a home's search for orphans, which are generations that no
+// entry follows any more. An entry follows a generation while it reads the tokens
+// for a caller; it no longer does so if the entry died, or if the caller
+// disconnected and did not come back.
 //
 // Only the home cancels such generations. An entry that lost its caller must not
 // do so, as the caller may have resumed at another entry. The home first probes
@@ -97,7 +99,7 @@
 // message, and cancels the generations for which no reply is missing.
 func (i *Instance) sendProbes(now time.Time, h *poolHome) {
 	instances := i.view.Instances()
-	asks := map[string][]string{}
+	queries := map[string][]string{}
 	for _, attempt := range sortedNames(h.orphans.probes) {
 		p := h.orphans.probes[attempt]
 		if p.unanswered == nil {
@@ -120,11 +122,11 @@
 		}
 		p.sentAt = now
 		for name := range p.unanswered {
-			asks[name] = append(asks[name], attempt)
+			queries[name] = append(queries[name], attempt)
 		}
 	}
 	for _, name := range instances {
-		if list := asks[name]; len(list) > 0 {
+		if list := queries[name]; len(list) > 0 {
 			i.send(name, msg.FollowAsk{Pool: h.pool, Attempts: list})
 		}
 	}
@@ -183,9 +185,9 @@
 }
 
 func (r *request) announcement(i *Instance, now time.Time) msg.RunningAttempt {
-	ask := r.placementAsk(i, now)
-	ask.Prefix = nil
-	return msg.RunningAttempt{Ask: ask, Upstream: r.run.upstream, Tokens: r.seq.Next()}
+	req := r.placementRequest(i, now)
+	req.Prefix = nil
+	return msg.RunningAttempt{Ask: req, Upstream: r.run.upstream, Tokens: r.seq.Next()}
 }
 
 // announce announces a request's attempt to its pool's home immediately.
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// grantTTL is the validity of a grant, counted from the time at which its ask was sent. With
-	// the age of the load report behind the grant, it bounds how long an upstream that has begun
-	// to leave can get new work.
+	// grantTTL is the validity of a grant, counted from the time at which the entry sent the
+	// request for it. With the age of the load report behind the grant, it bounds how long an
+	// upstream that has begun to leave can get new work.
 	grantTTL = time.Second
-	// askRetryInterval is the interval at which a queued request repeats its ask. The repeats also
-	// serve as heartbeats between the entry and the home.
-	askRetryInterval = 400 * time.Millisecond
-	// maxUnanswered is the number of consecutive asks without a reply after which the home is
-	// marked as silent.
+	// grantRetryInterval is the interval at which an entry repeats the grant request of a queued
+	// request. The repeats also serve as heartbeats between the entry and the home.
+	grantRetryInterval = 400 * time.Millisecond
+	// maxUnanswered is the number of consecutive grant requests without a reply after which the
+	// home is marked as silent.
 	maxUnanswered = 2
 	// ReasonNoPoolHome: no home of the pool replied.
 	ReasonNoPoolHome = "no_pool_home"
@@ -64,11 +64,11 @@
 		})
 		return
 	}
-	i.askGrant(now, r)
+	i.requestGrant(now, r)
 }
 
-// askGrant requests a grant from the current home of the current pool.
-func (i *Instance) askGrant(now time.Time, r *request) {
+// requestGrant requests a grant from the current home of the current pool.
+func (i *Instance) requestGrant(now time.Time, r *request) {
 	pool := r.currentPool()
 	home := i.poolHomeName(now, pool)
 	if home == "" {
@@ -82,26 +82,26 @@
 		i.send(r.place.home, msg.GrantEnd{Pool: pool.Name, Attempt: r.attempt})
 	}
 	r.place.home = home
-	r.place.askedAt = now
-	r.place.askTimes = append(r.place.askTimes, now)
-	i.wakeAt(r, now.Add(askRetryInterval))
+	r.place.requestedAt = now
+	r.place.requestTimes = append(r.place.requestTimes, now)
+	i.wakeAt(r, now.Add(grantRetryInterval))
 	i.send(home, msg.GrantAsk{
-		Pool: pool.Name, Ask: r.placementAsk(i, now), Number: len(r.place.askTimes),
+		Pool: pool.Name, Ask: r.placementRequest(i, now), Number: len(r.place.requestTimes),
 		Failed: r.place.failedUpstream, FailedBoot: r.place.failedBoot,
 	})
 }
 
-// grantExpiry returns when a grant expires. The validity counts from the ask to which the home
-// replied. If it counted from a later ask, a grant that is delayed in a link would stay valid as
-// long as the entry repeats its ask, while the upstream may have begun to leave.
+// grantExpiry returns when a grant expires. The validity counts from the grant request to which the
+// home replied. If it counted from a later request, a grant that is delayed in a link would stay
+// valid as long as the entry repeats its request, while the upstream may have begun to leave.
 func (r *request) grantExpiry(m msg.GrantAnswer) time.Time {
-	if m.Number < 1 || m.Number > len(r.place.askTimes) {
+	if m.Number < 1 || m.Number > len(r.place.requestTimes) {
 		return time.Time{}
 	}
-	return r.place.askTimes[m.Number-1].Add(m.TTL)
+	return r.place.requestTimes[m.Number-1].Add(m.TTL)
 }
 
-func (r *request) placementAsk(i *Instance, now time.Time) placement.Ask {
+func (r *request) placementRequest(i *Instance, now time.Time) placement.Ask {
 	return placement.Ask{
 		Attempt: r.attempt, Org: r.org.Name, Fingerprint: r.Fingerprint,
 		Prompt: r.Prompt, MaxOutput: r.MaxTokens, Prefix: r.Prefix, Exclude: r.excluded,
@@ -110,10 +110,10 @@
 	}
 }
 
-// onPlaceTimeout repeats the ask, after marking a home that did not reply as silent. It refuses the
-// request once its maximum wait is over.
+// onPlaceTimeout repeats the grant request, after marking a home that did not reply as silent. It
+// refuses the caller's request once its maximum wait is over.
 func (i *Instance) onPlaceTimeout(now time.Time, r *request) {
-	if r.place.repliedAt.Before(r.place.askedAt) {
+	if r.place.repliedAt.Before(r.place.requestedAt) {
 		r.place.unanswered++
 	}
 	if r.place.unanswered >= maxUnanswered {
@@ -128,7 +128,7 @@
 		})
 		return
 	}
-	i.askGrant(now, r)
+	i.requestGrant(now, r)
 }
 
 func (i *Instance) onGrantAnswer(now time.Time, from string, m msg.GrantAnswer) {
@@ -168,7 +168,7 @@
 	if !now.Before(expiry) {
 		i.count("retries_total", "grant_lapsed")
 		i.send(r.place.home, msg.GrantEnd{Pool: m.Pool, Attempt: r.attempt})
-		i.askGrant(now, r)
+		i.requestGrant(now, r)
 		return
 	}
 	if i.cordoned(m.Decision.Upstream) {
@@ -188,8 +188,9 @@
 }
 
 // returnCordonedGrant returns a grant for a cordoned upstream. The home has not applied the cordon
-// yet, so the entry sends it the cordons and asks once more. If the home grants a cordoned upstream
-// again, the request is refused, as the home may take a while to apply the cordons.
+// yet, so the entry sends it the cordons and requests a grant once more. If the home grants a
+// cordoned upstream again, the caller's request is refused, as the home may take a while to apply
+// the cordons.
 func (i *Instance) returnCordonedGrant(now time.Time, r *request, m msg.GrantAnswer) {
 	i.count("retries_total", "grant_cordoned")
 	i.send(r.place.home, msg.GrantEnd{Pool: m.Pool, Attempt: r.attempt})
@@ -202,7 +203,7 @@
 	}
 	r.place.cordonsSent = true
 	i.send(r.place.home, i.configUpdate(now, 0))
-	i.askGrant(now, r)
+	i.requestGrant(now, r)
 }
 
 // onGrantRefused requests a grant in the next pool of the service. After the last pool, and for
@@ -212,7 +213,7 @@
 		i.count("retries_total", "pool_"+d.Reason)
 		r.place.poolIndex++
 		r.place.home = ""
-		i.askGrant(now, r)
+		i.requestGrant(now, r)
 		return
 	}
 	code := status.ServiceUnavailable
--- a/internal/core/poolhome.go
+++ b/internal/core/poolhome.go
@@ -13,7 +13,8 @@
 const (
 	// pollInterval is the interval at which a home polls the load of each upstream.
 	pollInterval = 250 * time.Millisecond
-	// homeIdleTimeout is how long a home without asks and announcements continues to poll.
+	// homeIdleTimeout is how long a home continues to poll without grant requests and
+	// announcements.
 	homeIdleTimeout = 10 * time.Second
 )
 
@@ -22,9 +23,10 @@
 	pool string
 	home *placement.Home
 	// version is the number of the configuration version from which home has its settings.
-	version    int64
-	createdAt  time.Time
-	lastAsked  time.Time
+	version   int64
+	createdAt time.Time
+	// lastUsed is the time of the last grant request or announcement.
+	lastUsed   time.Time
 	lastPolled time.Time
 	// entries maps attempts to the entries that requested or announced them.
 	entries map[string]requester
@@ -41,15 +43,15 @@
 	orphans  orphans
 }
 
-// requester is an entry and the number of its last ask for an attempt.
+// requester is an entry and the number of its last grant request for an attempt.
 type requester struct {
-	name    string
-	lastAsk int
+	name       string
+	lastNumber int
 }
 
-// poolHomeFor returns the home of a pool and creates it if needed. An instance serves asks whether
-// or not it considers itself the home: two homes at the same time overcommit the upstreams slightly
-// but break no promise.
+// poolHomeFor returns the home of a pool and creates it if needed. An instance serves grant requests
+// whether or not it considers itself the home: two homes at the same time overcommit the upstreams
+// slightly but break no promise.
 func (i *Instance) poolHomeFor(now time.Time, name string) *poolHome {
 	h := i.pools[name]
 	if h == nil {
@@ -69,7 +71,7 @@
 		h.version = i.version.Number
 		h.home.Configure(i.placementSettings(i.version.Pool(name)))
 	}
-	h.lastAsked = now
+	h.lastUsed = now
 	return h
 }
 
@@ -87,29 +89,29 @@
 
 func (i *Instance) onGrantAsk(now time.Time, from string, m msg.GrantAsk) {
 	if i.version == nil || i.version.Pool(m.Pool) == nil {
-		return // the version with this pool is not in force here yet; the entry repeats its ask
+		return // the version with this pool is not in force here yet; the entry repeats its request
 	}
 	h := i.poolHomeFor(now, m.Pool)
-	h.entries[m.Ask.Attempt] = requester{name: from, lastAsk: max(h.entries[m.Ask.Attempt].lastAsk, m.Number)}
+	h.entries[m.Ask.Attempt] = requester{name: from, lastNumber: max(h.entries[m.Ask.Attempt].lastNumber, m.Number)}
 	if i.screen(now, h, from, &m) {
-		i.answerGrants(now, h, h.home.Ask(now, m.Ask))
+		i.sendDecisions(now, h, h.home.Ask(now, m.Ask))
 	}
 }
 
-// answerGrants sends decisions to their entries. The end of a withdrawn grant may lead to further
+// sendDecisions sends decisions to their entries. The end of a withdrawn grant may lead to further
 // decisions.
-func (i *Instance) answerGrants(now time.Time, h *poolHome, ds []placement.Decision) {
+func (i *Instance) sendDecisions(now time.Time, h *poolHome, ds []placement.Decision) {
 	for _, d := range ds {
-		d, vetoed := i.recheckGrant(now, h, d)
-		i.answerGrant(h, d)
-		if vetoed {
-			i.answerGrants(now, h, h.home.End(now, d.Attempt, 0, false))
+		d, withdrawn := i.recheckGrant(now, h, d)
+		i.sendDecision(h, d)
+		if withdrawn {
+			i.sendDecisions(now, h, h.home.End(now, d.Attempt, 0, false))
 		}
 	}
 }
 
-func (i *Instance) answerGrant(h *poolHome, d placement.Decision) {
-	m := msg.GrantAnswer{Pool: h.pool, Decision: d, TTL: grantTTL, Number: h.entries[d.Attempt].lastAsk}
+func (i *Instance) sendDecision(h *poolHome, d placement.Decision) {
+	m := msg.GrantAnswer{Pool: h.pool, Decision: d, TTL: grantTTL, Number: h.entries[d.Attempt].lastNumber}
 	if d.Kind == placement.Granted {
 		up, _ := i.view.Member(d.Upstream)
 		m.Address = up.Address
@@ -131,7 +133,7 @@
 	}
 	delete(h.entries, m.Attempt)
 	for _, v := range h.guard.verdicts {
-		v.drop(m.Attempt)
+		v.dropRequest(m.Attempt)
 	}
 	h.failures.attemptEnded(now, m.Upstream, m.Failed)
 	if !i.holdFailedGrant(now, h, m) {
@@ -141,7 +143,7 @@
 
 func (i *Instance) releaseGrant(now time.Time, h *poolHome, m msg.GrantEnd) {
 	h.guard.forget(m.Attempt)
-	i.answerGrants(now, h, h.home.End(now, m.Attempt, m.Tokens, !m.Failed && !m.Cut))
+	i.sendDecisions(now, h, h.home.End(now, m.Attempt, m.Tokens, !m.Failed && !m.Cut))
 }
 
 func (i *Instance) onAnnounce(now time.Time, from string, m msg.Announce) {
@@ -150,7 +152,7 @@
 	}
 	h := i.poolHomeFor(now, m.Pool)
 	for _, a := range m.Running {
-		h.entries[a.Ask.Attempt] = requester{name: from, lastAsk: h.entries[a.Ask.Attempt].lastAsk}
+		h.entries[a.Ask.Attempt] = requester{name: from, lastNumber: h.entries[a.Ask.Attempt].lastNumber}
 		h.home.Running(now, a.Ask, a.Upstream, placement.Sighting{Tokens: a.Tokens})
 		if h.boots[a.Upstream] != "" { // otherwise the upstream has crashed or has not reported yet
 			h.guard.track(now, a.Ask)
@@ -162,12 +164,12 @@
 func (i *Instance) tickPools(now time.Time) {
 	for _, name := range i.poolNames {
 		h := i.pools[name]
-		i.answerGrants(now, h, h.home.Tick(now))
+		i.sendDecisions(now, h, h.home.Tick(now))
 		i.tickVerdicts(now, h)
 		if now.Sub(h.lastPolled) < pollInterval {
 			continue
 		}
-		if now.Sub(h.lastAsked) > homeIdleTimeout {
+		if now.Sub(h.lastUsed) > homeIdleTimeout {
 			delete(i.pools, name)
 			i.poolNames = sortedNames(i.pools)
 			continue
@@ -218,7 +220,7 @@
 		e.Report.Leaving = true // it gets no new work before it loads another version
 	}
 	i.resolveVerdict(now, h, name, e.Report.Boot, e.Asked)
-	i.answerGrants(now, h, h.home.Report(now, e.Asked, e.Report))
+	i.sendDecisions(now, h, h.home.Report(now, e.Asked, e.Report))
 }
 
 func (i *Instance) onSilent(now time.Time, e UpstreamSilent) {
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -36,8 +36,9 @@
 	wake time.Time
 
 	// attempt is the id of the current attempt, tries the number of attempts so far.
-	attempt  string
-	tries    int
+	attempt string
+	tries   int
+	// excluded lists the upstreams on which earlier attempts failed.
 	excluded []string
 
 	reserve reserveState
@@ -67,11 +68,13 @@
 	pools     []*config.Pool
 	poolIndex int
 	home      string
-	askedAt   time.Time
-	// askTimes holds the send times of all asks; ask number n is at index n-1.
-	askTimes   []time.Time
-	repliedAt  time.Time
-	unanswered int
+	// requestedAt is the send time of the last grant request, repliedAt the time of the home's last
+	// reply, unanswered the number of consecutive grant requests without a reply.
+	requestedAt time.Time
+	// requestTimes holds the send times of all grant requests; request number n is at index n-1.
+	requestTimes []time.Time
+	repliedAt    time.Time
+	unanswered   int
 	// failedUpstream and failedBoot identify the upstream, and the run of its process, on which
 	// the previous attempt failed.
 	failedUpstream string
@@ -118,7 +121,10 @@
 	// pendingFinish is the finish of the request once its answer is recorded, or once the
 	// look-up before a refusal has found no earlier call that may have run.
 	pendingFinish Finish
-	lookedUp      bool
+	// lookedUp is set once the look-up before a refusal was made.
+	lookedUp bool
+	// awaitDeadline ends the wait for the first call with the key; awaitInterval is the time until
+	// the next read of its row.
 	awaitDeadline time.Time
 	awaitInterval time.Duration
 }
--- a/internal/core/reserve.go
+++ b/internal/core/reserve.go
@@ -11,13 +11,13 @@
 
 const (
 	// homeTimeout is how long an entry waits for the reply of an organisation's home before it
-	// asks the next one in rendezvous order.
+	// turns to the next one in rendezvous order.
 	homeTimeout = 400 * time.Millisecond
 	// debitTimeout is how long an entry waits for a home that has replied that it is waiting for
 	// a debit. It covers one retry of the call to the table. A slow table must not make the home
 	// look dead, as the next home would debit another chunk.
 	debitTimeout = 2500 * time.Millisecond
-	// maxHomes is the number of homes that are asked before the request is refused.
+	// maxHomes is the maximum number of homes that are tried before the request is refused.
 	maxHomes = 3
 	// retryAfterNoHome is the Retry-After when no home replied, and the default Retry-After of other
 	// temporary failures.
@@ -36,7 +36,7 @@
 	i.newAttempt(r)
 	r.reserve = reserveState{amount: r.maxCost()}
 	r.phase = phaseReserving
-	i.askReserve(now, r)
+	i.requestReservation(now, r)
 }
 
 // maxHoldTime returns the maximum time for which an attempt can hold its reservation.
@@ -61,7 +61,7 @@
 	return config.Money((micros + tokensPerPrice - 1) / tokensPerPrice)
 }
 
-func (i *Instance) askReserve(now time.Time, r *request) {
+func (i *Instance) requestReservation(now time.Time, r *request) {
 	homes := i.orgHomes(now, r.org.Name)
 	if len(homes) == 0 || r.reserve.homesAsked >= maxHomes {
 		i.refuse(now, r, Finish{
@@ -80,13 +80,13 @@
 	}})
 }
 
-// onReserveTimeout marks the home as silent and asks the next one.
+// onReserveTimeout marks the home as silent and requests the reservation from the next one.
 func (i *Instance) onReserveTimeout(now time.Time, r *request) {
 	i.count("retries_total", "budget_home_silent")
 	i.markSilent(now, r.reserve.home)
 	// The silent home may have granted the reservation: settle it, so that it does not stay held.
 	i.send(r.reserve.home, msg.Settle{Org: r.org.Name, Request: r.attempt})
-	i.askReserve(now, r)
+	i.requestReservation(now, r)
 }
 
 // markSilent marks an instance that did not reply as suspected and resets the connection to it.
--- a/internal/core/resume.go
+++ b/internal/core/resume.go
@@ -12,9 +12,9 @@
 )
 
 const (
-	// maxResumesInRow is the maximum number of consecutive resumes without a new token. After it,
+	// maxConsecutiveResumes is the maximum number of consecutive resumes without a new token. After it,
 	// the attempt has failed.
-	maxResumesInRow = 5
+	maxConsecutiveResumes = 5
 	// resumeBackoffOffset is added to the retry number in the backoff between these resumes. The
 	// delays range from none to 2 s, so that a link may be down for some seconds.
 	resumeBackoffOffset = 2
@@ -161,7 +161,7 @@
 func (i *Instance) resumeOrFail(now time.Time, r *request, reason string) {
 	r.run.resumes++
 	r.run.totalResumes++
-	if r.run.resumes > maxResumesInRow || r.run.totalResumes > maxTotalResumes {
+	if r.run.resumes > maxConsecutiveResumes || r.run.totalResumes > maxTotalResumes {
 		i.attemptFailed(now, r, UpstreamFailed{Sent: true, Step: "resume", Err: reason})
 		return
 	}
--- a/internal/core/run.go
+++ b/internal/core/run.go
@@ -177,7 +177,7 @@
 	i.retries.Success(r.org.Name)
 	f := Finish{Outcome: Done, Status: e.Status, Body: e.Body}
 	if r.NotRepeatable {
-		i.record(now, r, f)
+		i.recordAnswer(now, r, f)
 		return
 	}
 	i.finish(now, r, f)
--- a/internal/core/simulation_test.go
+++ b/internal/core/simulation_test.go
@@ -21,8 +21,10 @@
 // simTick is the interval between two ticks of the instances.
 const simTick = 50 * time.Millisecond
 
+// simKey is the API key of the organisation in simConfig.
 const simKey = "depot-key"
 
+// simConfig is the configuration, with placeholders for the hash of simKey and the spend limit.
 const simConfig = `deployment:
   name: test
   regions: {kerala-south: [kochi-a]}
@@ -58,7 +60,8 @@
 	tableDown bool
 	// slowDebits makes commits of debits wait for resolveCall, as those of bookings always do.
 	slowDebits bool
-	commits    int
+	// commits and reads count the calls to the table.
+	commits int
 	// exitCount counts instances that exited after a drain; cutOff lists the requests that they
 	// left unfinished.
 	exitCount int
@@ -71,6 +74,7 @@
 	// lateTxs are transactions that the table applies after it reported their result as unknown.
 	lateTxs []table.Tx
 
+	// executions are the executions at the booking service. The maps are by request id.
 	executions  []execution
 	requests    map[string]core.CallerRequest
 	submittedAt map[string]time.Time
@@ -80,6 +84,7 @@
 	endedAt      map[string]time.Time
 }
 
+// simInstance is an instance in the simulation. inbox queues its events while it is frozen.
 type simInstance struct {
 	name   string
 	inst   *core.Instance
@@ -101,6 +106,7 @@
 	at                 time.Time
 }
 
+// newSimulation returns a simulation of a number of instances and an organisation with a spend limit.
 func newSimulation(instances int, spend string) *simulation {
 	sim := &simulation{
 		trace: io.Discard,
--- a/internal/core/strikes.go
+++ b/internal/core/strikes.go
@@ -22,12 +22,12 @@
 // the missed strikes, each new home of a pool would allow a request two more crashes. nextIndex
 // selects the next instance to ask.
 type strikeSync struct {
-	lastAsked time.Time
+	lastSync  time.Time
 	nextIndex int
 }
 
-// strike records a crash against a fingerprint and announces it to every instance.
-func (i *Instance) strike(now time.Time, fingerprint uint64, c suspect.Crash) {
+// recordStrike records a crash against a fingerprint and announces it to every instance.
+func (i *Instance) recordStrike(now time.Time, fingerprint uint64, c suspect.Crash) {
 	if fingerprint == 0 || !i.suspects.Strike(now, suspect.Strike{Fingerprint: fingerprint, Crash: c, At: now}) {
 		return
 	}
@@ -42,7 +42,7 @@
 }
 
 func (i *Instance) tickStrikes(now time.Time) {
-	if !i.strikes.lastAsked.IsZero() && now.Sub(i.strikes.lastAsked) < strikeSyncInterval {
+	if !i.strikes.lastSync.IsZero() && now.Sub(i.strikes.lastSync) < strikeSyncInterval {
 		return
 	}
 	others := i.otherInstances()
@@ -50,10 +50,10 @@
 		return
 	}
 	n := 1
-	if i.strikes.lastAsked.IsZero() {
+	if i.strikes.lastSync.IsZero() {
 		n = min(initialStrikeSyncs, len(others))
 	}
-	i.strikes.lastAsked = now
+	i.strikes.lastSync = now
 	for range n {
 		i.send(others[i.strikes.nextIndex%len(others)], msg.StrikesAsk{})
 		i.strikes.nextIndex++
--- a/internal/core/sweep.go
+++ b/internal/core/sweep.go
@@ -17,11 +17,11 @@
 	sweepKey = "sweep/bookings"
 )
 
-// sweeper is the state of the deletion of expired booking rows. after is the last key read in the
-// current sweep.
+// sweeper is the state of the deletion of expired booking rows. afterKey is the last key read in
+// the current sweep.
 type sweeper struct {
 	nextRead time.Time
-	after    string
+	afterKey string
 }
 
 func (i *Instance) tickSweep(now time.Time) {
@@ -32,7 +32,7 @@
 		return
 	}
 	i.sweep.nextRead = now.Add(sweepReadInterval)
-	i.emit(Scan{Op: opSweep, Prefix: booking.Prefix, After: i.sweep.after, Limit: sweepPage})
+	i.emit(Scan{Op: opSweep, Prefix: booking.Prefix, After: i.sweep.afterKey, Limit: sweepPage})
 }
 
 // isSweeper reports whether this instance sweeps. Two sweepers at the same time are harmless, as
@@ -55,5 +55,5 @@
 		i.sweep = sweeper{nextRead: now.Add(sweepInterval)}
 		return
 	}
-	i.sweep.after = e.Rows[len(e.Rows)-1].Key
+	i.sweep.afterKey = e.Rows[len(e.Rows)-1].Key
 }
--- a/internal/core/verdict.go
+++ b/internal/core/verdict.go
@@ -28,19 +28,20 @@
 	// was sent after lastFailedAt can show that the upstream has not crashed.
 	openedAt     time.Time
 	lastFailedAt time.Time
-	// heldAsks are the asks of retries that wait for the verdict. heldEnds are the ends of failed
-	// attempts whose grants are kept, so that their fingerprints still count as running there.
-	heldAsks []heldAsk
-	heldEnds []msg.GrantEnd
+	// heldRequests are the grant requests of retries that wait for the verdict. heldEnds are the
+	// ends of failed attempts whose grants are kept, so that their fingerprints still count as
+	// running on the upstream.
+	heldRequests []heldRequest
+	heldEnds     []msg.GrantEnd
 	// fingerprints maps the fingerprints of the failed attempts to the run (boot) of the upstream.
 	fingerprints map[uint64]string
 	timedOut     bool
 }
 
-// heldAsk is an ask and the entry that sent it.
-type heldAsk struct {
-	from string
-	ask  msg.GrantAsk
+// heldRequest is a grant request and the entry that sent it.
+type heldRequest struct {
+	from    string
+	request msg.GrantAsk
 }
 
 // verdictFor returns the pending verdict on an upstream and creates it if needed.
@@ -59,8 +60,8 @@
 	v.fingerprints[fingerprint] = boot
 }
 
-// awaitVerdict reports whether it holds a retry until the verdict on the upstream of the previous
-// attempt. Without the wait, a request that crashes upstreams would reach the next upstream before
+// awaitVerdict holds a retry until the verdict on the upstream of its previous attempt is known, and
+// reports whether it does so. Without the wait, a request that crashes upstreams would reach the next upstream before
 // its first strike.
 func (i *Instance) awaitVerdict(now time.Time, h *poolHome, from string, m msg.GrantAsk) bool {
 	if m.Failed == "" {
@@ -71,7 +72,7 @@
 		return false
 	}
 	if boot := h.boots[m.Failed]; boot != "" && boot != m.FailedBoot || h.crashedBoots[m.Failed] == m.FailedBoot {
-		i.strike(now, m.Ask.Fingerprint, suspect.Crash{Upstream: m.Failed, Boot: m.FailedBoot})
+		i.recordStrike(now, m.Ask.Fingerprint, suspect.Crash{Upstream: m.Failed, Boot: m.FailedBoot})
 		return false
 	}
 	v := h.guard.verdictFor(now, m.Failed)
@@ -80,26 +81,26 @@
 	}
 	v.hold(now, from, m)
 	i.pollUpstream(m.Failed)
-	i.answerGrant(h, placement.Decision{Attempt: m.Ask.Attempt, Kind: placement.Queued})
+	i.sendDecision(h, placement.Decision{Attempt: m.Ask.Attempt, Kind: placement.Queued})
 	return true
 }
 
-// hold adds the ask of a retry, or replaces it if the entry repeats its ask.
+// hold adds the grant request of a retry, or replaces it if the entry repeats the request.
 func (v *verdict) hold(now time.Time, from string, m msg.GrantAsk) {
-	held := len(v.heldAsks)
-	v.drop(m.Ask.Attempt)
-	if len(v.heldAsks) == held { // not a repeat of a held ask
+	held := len(v.heldRequests)
+	v.dropRequest(m.Ask.Attempt)
+	if len(v.heldRequests) == held { // not a repeat of a held grant request
 		v.addFailure(now, m.Ask.Fingerprint, m.FailedBoot)
 	}
-	v.heldAsks = append(v.heldAsks, heldAsk{from: from, ask: m})
+	v.heldRequests = append(v.heldRequests, heldRequest{from: from, request: m})
 }
 
-func (v *verdict) drop(attempt string) {
-	v.heldAsks = slices.DeleteFunc(v.heldAsks, func(a heldAsk) bool { return a.ask.Ask.Attempt == attempt })
+func (v *verdict) dropRequest(attempt string) {
+	v.heldRequests = slices.DeleteFunc(v.heldRequests, func(a heldRequest) bool { return a.request.Ask.Attempt == attempt })
 }
 
-// holdFailedGrant reports whether it keeps the grant of a failed attempt until the verdict on the
-// upstream.
+// holdFailedGrant keeps the grant of a failed attempt until the verdict on the upstream is known, and
+// reports whether it does so.
 func (i *Instance) holdFailedGrant(now time.Time, h *poolHome, m msg.GrantEnd) bool {
 	if !m.Failed || m.Boot == "" || i.version.PoolOf(m.Upstream) != h.pool {
 		return false
@@ -120,29 +121,29 @@
 // resolveVerdict resolves the verdict on an upstream with its report. If the upstream now has a
 // different boot than the one on which an attempt failed, it has crashed. This also holds at a new
 // home that has no earlier report.
-func (i *Instance) resolveVerdict(now time.Time, h *poolHome, upstream, boot string, asked time.Time) {
+func (i *Instance) resolveVerdict(now time.Time, h *poolHome, upstream, boot string, polledAt time.Time) {
 	v := h.guard.verdicts[upstream]
-	if v == nil || asked.Before(v.lastFailedAt) {
+	if v == nil || polledAt.Before(v.lastFailedAt) {
 		return
 	}
 	delete(h.guard.verdicts, upstream)
 	for _, fingerprint := range sortedFingerprints(v.fingerprints, func(on string) bool { return on != boot }) {
 		h.crashedBoots[upstream] = v.fingerprints[fingerprint]
-		i.strike(now, fingerprint, suspect.Crash{Upstream: upstream, Boot: v.fingerprints[fingerprint]})
+		i.recordStrike(now, fingerprint, suspect.Crash{Upstream: upstream, Boot: v.fingerprints[fingerprint]})
 	}
 	i.releaseHeld(now, h, v)
 }
 
-// releaseHeld ends the grants and places the asks that a verdict has held.
+// releaseHeld ends the grants and processes the grant requests that a verdict has held.
 func (i *Instance) releaseHeld(now time.Time, h *poolHome, v *verdict) {
-	ended, asks := v.heldEnds, v.heldAsks
-	v.heldEnds, v.heldAsks = nil, nil
-	for _, m := range ended {
+	ends, requests := v.heldEnds, v.heldRequests
+	v.heldEnds, v.heldRequests = nil, nil
+	for _, m := range ends {
 		i.releaseGrant(now, h, m)
 	}
-	for _, a := range asks {
-		a.ask.Failed, a.ask.FailedBoot = "", ""
-		i.onGrantAsk(now, a.from, a.ask)
+	for _, a := range requests {
+		a.request.Failed, a.request.FailedBoot = "", ""
+		i.onGrantAsk(now, a.from, a.request)
 	}
 }
 
@@ -169,9 +170,9 @@
 		i.upstreamCrashed(now, h, name)
 		return
 	}
-	for _, ask := range h.home.Remove(name) {
-		h.guard.forget(ask.Attempt)
-		delete(h.entries, ask.Attempt)
+	for _, req := range h.home.Remove(name) {
+		h.guard.forget(req.Attempt)
+		delete(h.entries, req.Attempt)
 	}
 	delete(h.boots, name)
 	if v := h.guard.verdicts[name]; v != nil {
@@ -184,10 +185,10 @@
 func (i *Instance) upstreamCrashed(now time.Time, h *poolHome, name string) {
 	boot := h.boots[name]
 	fingerprints := map[uint64]string{}
-	for _, ask := range h.home.Remove(name) {
-		h.guard.forget(ask.Attempt)
-		delete(h.entries, ask.Attempt)
-		fingerprints[ask.Fingerprint] = boot
+	for _, req := range h.home.Remove(name) {
+		h.guard.forget(req.Attempt)
+		delete(h.entries, req.Attempt)
+		fingerprints[req.Fingerprint] = boot
 	}
 	v := h.guard.verdicts[name]
 	if v != nil {
@@ -203,7 +204,7 @@
 	}
 	for _, fingerprint := range sortedFingerprints(fingerprints, func(on string) bool { return on != "" }) {
 		h.crashedBoots[name] = fingerprints[fingerprint]
-		i.strike(now, fingerprint, suspect.Crash{Upstream: name, Boot: fingerprints[fingerprint]})
+		i.recordStrike(now, fingerprint, suspect.Crash{Upstream: name, Boot: fingerprints[fingerprint]})
 	}
 	if v != nil {
 		i.releaseHeld(now, h, v)
