--- a/internal/core/configadopt.go
+++ b/internal/core/configadopt.go
@@ -26,7 +26,7 @@
 	from string
 	// tries counts the rounds in which the object was still missing.
 	tries int
-	// received is the part of the object received so far from other instances.
+	// received is the beginning of the object, as far as it was received from other instances.
 	received []byte
 }
 
--- a/internal/core/configpoll.go
+++ b/internal/core/configpoll.go
@@ -125,8 +125,8 @@
 	maps.DeleteFunc(i.configs.respondingSince, func(dc string, _ time.Time) bool { return !recent[dc] })
 }
 
-// takeQuery removes the query with a number that was sent to an instance, and returns its send
-// time. ok is false if there is no such query.
+// takeQuery removes the pending query with number n and returns its send time. ok is false if there
+// is no such query, or if it was not sent to the instance from.
 func (s *configSync) takeQuery(n int64, from string) (at time.Time, ok bool) {
 	q, ok := s.queries[n]
 	if !ok || q.to != from {
--- a/internal/core/cordon_test.go
+++ b/internal/core/cordon_test.go
@@ -12,7 +12,7 @@
 // pool's home does, so the home still grants an upstream in the cordoned data centre. The entry
 // must return the grant, and refuse the request as soon as the home has the cordon, too.
 func TestGrantForCordonedUpstreamIsReturned(t *testing.T) {
-	runsBeforeUpdate := 0
+	otherWithoutCordon := 0
 	for k := range 2 {
 		sim := newSimulation(2, "1.00")
 		sim.warmUpEngines()
@@ -28,7 +28,7 @@
 			t.Errorf("request dispatched to %s in a cordoned data centre, want no dispatch", d.Upstream)
 		}
 		if !other.inst.Cordons().Has("kochi-a") {
-			runsBeforeUpdate++
+			otherWithoutCordon++
 		}
 		sim.handle(other, core.PeerMessage{From: entry.name, Msg: update})
 		sim.advance(time.Second)
@@ -36,7 +36,7 @@
 			t.Errorf("finish = %+v, want outcome not_run, reason cordoned and a Retry-After", f)
 		}
 	}
-	if runsBeforeUpdate == 0 {
+	if otherWithoutCordon == 0 {
 		t.Error("the other instance had the cordon right after the request in both runs, want at least one run without it: otherwise the test shows nothing")
 	}
 }
--- a/internal/core/event.go
+++ b/internal/core/event.go
@@ -155,8 +155,8 @@
 	OK   bool
 	Data []byte
 	// Config is the decoded Data if the daemon has decoded it and checked it against
-	// Hash. Nil leaves both to the core. In the largest supported deployment, decoding takes
-	// longer than a token may be delayed.
+	// Hash. Nil leaves both to the core. In a deployment of the target's size, decoding takes longer
+	// than a token may be delayed.
 	Config *config.Config
 }
 
--- a/internal/core/guard.go
+++ b/internal/core/guard.go
@@ -33,7 +33,7 @@
 	return crashGuard{verdicts: map[string]*verdict{}, attempts: map[string]guardedAttempt{}, running: map[uint64][]string{}}
 }
 
-// track records an attempt and that its entry is alive.
+// track records an attempt's fingerprint and the time at which its entry was last seen.
 func (g *crashGuard) track(now time.Time, req placement.Ask) {
 	p := g.attempts[req.Attempt]
 	p.fingerprint, p.lastSeen = req.Fingerprint, now
--- a/internal/core/orphans.go
+++ b/internal/core/orphans.go
@@ -28,8 +28,8 @@
 // the announcements that the other receives. It cancels a generation once every
 // instance in the list has replied that it does not follow the generation.
 type orphans struct {
-	// unclaimed maps generations in upstreams' reports that no entry has announced to the time
-	// of the first such report.
+	// unclaimed holds, by attempt, the generations that an upstream has reported but no entry has
+	// announced, with the time of the first such report.
 	unclaimed map[string]unclaimedGeneration
 	probes    map[string]*probe
 }
--- a/internal/core/outage_test.go
+++ b/internal/core/outage_test.go
@@ -226,7 +226,7 @@
 // Guards against the outcome not_run for a request that reached an engine. The engine
 // crashes before the first token, and the resume fails to connect. That failure proves
 // nothing about the first connection, over which the request reached the engine.
-func TestPromise3DialFailureOfResumeIsNotNotRun(t *testing.T) {
+func TestPromise3DialFailureOfResumeDoesNotProveNotRun(t *testing.T) {
 	sim := newSimulation(1, "0.07")
 	n := sim.instances[0]
 	sim.warmUpEngines()
@@ -302,7 +302,7 @@
 		}
 		t.Logf("%s: writes=%.2f reads=%.2f per call", name, float64(sim.commits-commits)/calls, float64(sim.reads-reads)/calls)
 		if sim.commits-commits != wantWrites*calls || sim.reads-reads != wantReads*calls {
-			t.Errorf("%s: table writes = %d, reads = %d for %d calls, not the expected number per call", name, sim.commits-commits, sim.reads-reads, calls)
+			t.Errorf("%s: table writes = %d, reads = %d for %d calls, want the given number of each per call", name, sim.commits-commits, sim.reads-reads, calls)
 		}
 	}
 	book := func(k int) { sim.book(sim.instances[0], fmt.Sprint("cost", k), "b") }
--- a/internal/core/poison_test.go
+++ b/internal/core/poison_test.go
@@ -20,12 +20,12 @@
 
 func newPoisonHome(t *testing.T) *poisonHome {
 	t.Helper()
-	w := newTargetHarness(t, sizeMiddle)
+	harness := newTargetHarness(t, sizeMiddle)
 	v := config.Compile(1, "", sizeMiddle.config())
 	p := v.Pool(v.PoolOf(upstreamName(0)))
-	h := &poisonHome{targetHarness: w, pool: p.Name, upstreams: p.Upstreams}
+	h := &poisonHome{targetHarness: harness, pool: p.Name, upstreams: p.Upstreams}
 	h.requestGrant("entry-9:a:1/1", 1, "") // creates the home, which then polls its upstreams
-	h.advance(3 * time.Second)             // a new home holds suspects at first
+	h.advance(3 * time.Second)             // a home does not grant suspects in its first two seconds
 	return h
 }
 
--- a/internal/core/simulation_test.go
+++ b/internal/core/simulation_test.go
@@ -74,7 +74,8 @@
 	// lateTxs are transactions that the table applies after it reported their result as unknown.
 	lateTxs []table.Tx
 
-	// executions are the executions at the booking service. The maps are by request id.
+	// executions are the executions at the booking service. The maps below are
+	// keyed by request id.
 	executions  []execution
 	requests    map[string]core.CallerRequest
 	submittedAt map[string]time.Time
@@ -304,7 +305,7 @@
 	callResults
 )
 
-// resolveCall gives the held call at an index its result.
+// resolveCall ends the held call at an index with a result.
 func (sim *simulation) resolveCall(index, result int) {
 	h := sim.heldCalls[index]
 	sim.heldCalls = slices.Delete(sim.heldCalls, index, index+1)
--- a/internal/core/target_test.go
+++ b/internal/core/target_test.go
@@ -220,7 +220,8 @@
 	}
 }
 
-// startRequest sends a request whose attempt the harness then lets run up to its dispatch.
+// startRequest sends the n-th request and returns the ids of the request and of its attempt, which is
+// then running.
 func (h *targetHarness) startRequest(n, orgs int) (id, attempt string) {
 	r := request(n, orgs)
 	h.handle(r)
