--- a/internal/core/action.go
+++ b/internal/core/action.go
@@ -149,7 +149,7 @@
 	Name  string
 }
 
-// Log writes a log line. Pairs alternates keys and values.
+// Log writes a log line of key=value pairs. Pairs alternates keys and values.
 type Log struct {
 	Event string
 	Pairs []any
--- a/internal/core/configpoll.go
+++ b/internal/core/configpoll.go
@@ -98,7 +98,8 @@
 }
 
 // expireQueries removes queries that timed out and replies that are too old. A reader that did
-// not reply is marked as silent, which also resets the connection to it.
+// not reply is marked as silent, which lets another instance take its place as a reader and resets the
+// connection, as the old connection may stay silent.
 func (i *Instance) expireQueries(now time.Time) {
 	for _, n := range slices.Sorted(maps.Keys(i.configs.queries)) {
 		q := i.configs.queries[n]
--- a/internal/core/guard.go
+++ b/internal/core/guard.go
@@ -109,7 +109,7 @@
 		return false
 	}
 	if !h.hasOther(i.version, m.Ask.Exclude) {
-		m.Ask.Exclude = nil // the pool has no other upstream
+		m.Ask.Exclude = nil // no other upstream: retry on the one that failed
 	}
 	switch i.classify(now, h, m.Ask.Fingerprint) {
 	case suspect.Refused:
--- a/internal/core/outage_test.go
+++ b/internal/core/outage_test.go
@@ -244,7 +244,8 @@
 }
 
 // Guards against booking records that are deleted too early or never. One instance must
-// delete them, page by page, and only once they have expired a day after their claim.
+// delete them, page by page, and only once they have expired a day after their claim. From
+// then on, a repeat of a key runs as a new call.
 func TestPromise4RecordsExpire(t *testing.T) {
 	sim := newSimulation(2, "1000.00")
 	sim.settleAll()
--- a/internal/core/simulation_test.go
+++ b/internal/core/simulation_test.go
@@ -302,6 +302,7 @@
 	callReplyLost
 	callLost
 	callLandsLate
+	// callResults is the number of results.
 	callResults
 )
 
