--- a/internal/core/target_test.go
+++ b/internal/core/target_test.go
@@ -107,7 +107,7 @@
 	return out
 }
 
-// targetWorld drives one instance and simulates all other instances, the table and the
+// targetHarness drives one instance and simulates all other instances, the table and the
 // upstreams.
 type targetHarness struct {
 	inst   *core.Instance
