--- a/internal/core/cordons.go
+++ b/internal/core/cordons.go
@@ -9,7 +9,7 @@
 	"mulberrylug.example/mulberrylug/internal/core/cordon"
 )
 
-// setCordons applies the cordons of the version in force.
+// setCordons applies the cordons of the version in force to the pools whose home this instance is.
 func (i *Instance) setCordons(now time.Time, s cordon.Set) {
 	before := i.cordons
 	i.cordons = s
@@ -21,7 +21,7 @@
 	}})
 	for _, name := range i.poolNames {
 		h := i.pools[name]
-		i.answerGrants(now, h, h.home.SetCordons(now, s))
+		i.sendDecisions(now, h, h.home.SetCordons(now, s))
 	}
 }
 
