--- a/internal/core/forward/admit.go
+++ b/internal/core/forward/admit.go
@@ -11,26 +11,27 @@
 const (
 	// defaultTimeout applies if neither the caller nor the route sets one.
 	defaultTimeout = 30 * time.Second
-	// soon is the Retry-After of refusals whose cause other instances do not share, or that
-	// passes within moments.
-	soon = 100 * time.Millisecond
-	// outageLater is the Retry-After while no instance can accept keys. Callers honour at most
-	// a third of their timeout, so that bookings can still return.
-	outageLater = 2 * time.Second
-	// restartSoon is the Retry-After of an instance that has just started. After a full
-	// restart the first configuration arrives within half a second.
-	restartSoon = 500 * time.Millisecond
-	// crashedLater is the Retry-After of requests that crash upstreams.
-	crashedLater = crashMemory
+	// briefRetryAfter is the Retry-After of refusals whose cause concerns this instance only
+	// or passes shortly.
+	briefRetryAfter = 100 * time.Millisecond
+	// outageRetryAfter is the Retry-After while no instance can accept keys. Callers wait for at
+	// most a third of their timeout, so that bookings can still be retried.
+	outageRetryAfter = 2 * time.Second
+	// startupRetryAfter is the Retry-After of an instance that has just started. After a restart
+	// of all instances the first configuration arrives within half a second.
+	startupRetryAfter = 500 * time.Millisecond
+	// crashRetryAfter is the Retry-After of requests that have crashed upstreams.
+	crashRetryAfter = strikeTTL
 )
 
-// Admit accepts a request or refuses it. An accepted one continues with Start.
+// Admit accepts a request or refuses it. Start returns the first step of an
+// accepted call.
 func (g *Gate) Admit(now time.Time, r Request) (*Call, *Refusal) {
 	if g.table == nil {
-		return nil, &Refusal{Status: status.ServiceUnavailable, Reason: NoConfig, RetryAfter: restartSoon}
+		return nil, &Refusal{Status: status.ServiceUnavailable, Reason: NoConfig, RetryAfter: startupRetryAfter}
 	}
 	if !g.cordons.Known() {
-		return nil, &Refusal{Status: status.ServiceUnavailable, Reason: NoCordons, RetryAfter: restartSoon}
+		return nil, &Refusal{Status: status.ServiceUnavailable, Reason: NoCordons, RetryAfter: startupRetryAfter}
 	}
 	rt := g.table.Find(r.Host, r.Path)
 	if rt == nil {
@@ -44,75 +45,78 @@
 			return nil, refusal
 		}
 	}
-	if refusal := confine(c, org); refusal != nil {
+	if refusal := setRegions(c, org); refusal != nil {
 		return nil, refusal
 	}
-	if most := g.table.Limits.MaxBodyBytes; most > 0 && r.Length > most {
+	if maxBody := g.table.Limits.MaxBodyBytes; maxBody > 0 && r.Length > maxBody {
 		return nil, &Refusal{Status: status.ContentTooLarge, Reason: TooLarge}
 	}
 	if g.suspects.Judge(now, r.Print) == suspect.Refused {
-		return nil, &Refusal{Status: status.ServiceUnavailable, Reason: Crashes, RetryAfter: crashedLater}
+		return nil, &Refusal{Status: status.ServiceUnavailable, Reason: Crashes, RetryAfter: crashRetryAfter}
 	}
 	if g.draining && rt.Kind == route.Stream {
-		return nil, &Refusal{Status: status.ServiceUnavailable, Reason: Draining, RetryAfter: soon}
+		return nil, &Refusal{Status: status.ServiceUnavailable, Reason: Draining, RetryAfter: briefRetryAfter}
 	}
 	c.Service = rt.Pick(g.rng.Float64())
 	if g.table.Service(c.Service) == nil {
-		return nil, &Refusal{Status: status.ServiceUnavailable, Reason: NoService, RetryAfter: restartSoon}
+		return nil, &Refusal{Status: status.ServiceUnavailable, Reason: NoService, RetryAfter: startupRetryAfter}
 	}
-	c.Deadline = now.Add(timeoutOf(rt.Timeout, r.Timeout))
-	g.budget(c.Service).request(now)
+	c.Deadline = now.Add(effectiveTimeout(rt.Timeout, r.Timeout))
+	g.budget(c.Service).addRequest(now)
 	return c, nil
 }
 
-// timeoutOf returns the time limit of a request.
-func timeoutOf(timeout, caller time.Duration) time.Duration {
-	p := timeout
-	if p <= 0 || caller > 0 && caller < p {
-		p = caller
+// effectiveTimeout returns the shorter of the route's and the caller's time limit; 0 means that
+// there is none.
+func effectiveTimeout(ofRoute, ofCaller time.Duration) time.Duration {
+	limit := ofRoute
+	if limit <= 0 || ofCaller > 0 && ofCaller < limit {
+		limit = ofCaller
 	}
-	if p <= 0 {
-		p = defaultTimeout
+	if limit <= 0 {
+		limit = defaultTimeout
 	}
-	return p
+	return limit
 }
 
-// confine sets the regions that a call is restricted to.
-func confine(c *Call, org *route.Organisation) *Refusal {
+// setRegions sets the regions that a call is restricted to, or refuses the call if there are
+// none.
+func setRegions(c *Call, org *route.Organisation) *Refusal {
 	var allowed []string
 	if org != nil {
 		allowed = org.Regions
 	}
 	ok := false
-	if c.Regions, ok = restrict(c.Route.Regions, allowed); !ok {
-		return &Refusal{Status: status.ServiceUnavailable, Reason: NoRegion, RetryAfter: restartSoon}
+	if c.Regions, ok = intersectRegions(c.Route.Regions, allowed); !ok {
+		return &Refusal{Status: status.ServiceUnavailable, Reason: NoRegion, RetryAfter: startupRetryAfter}
 	}
 	return nil
 }
 
-// deny returns a refusal that is final only if the configuration is recent: a newer version may
-// have the route or key that this one lacks.
+// deny returns the final refusal if the configuration was confirmed recently, else a temporary
+// one: a newer version may have the route or key that this one lacks.
 func (g *Gate) deny(now time.Time, final Refusal) *Refusal {
-	if g.options.ConfigGoodFor == 0 || now.Sub(g.confirmed) <= g.options.ConfigGoodFor {
+	if g.options.ConfigGoodFor == 0 || now.Sub(g.confirmedAt) <= g.options.ConfigGoodFor {
 		return &final
 	}
-	return &Refusal{Status: status.ServiceUnavailable, Reason: StaleConfig, RetryAfter: g.confirmedLater()}
+	return &Refusal{Status: status.ServiceUnavailable, Reason: StaleConfig, RetryAfter: g.unconfirmedRetryAfter()}
 }
 
-// confirmedLater returns the Retry-After while the configuration is not confirmed.
-func (g *Gate) confirmedLater() time.Duration {
+// unconfirmedRetryAfter returns the Retry-After while the configuration is not confirmed:
+// longer if no other instance could accept the request.
+func (g *Gate) unconfirmedRetryAfter() time.Duration {
 	if g.alone {
-		return outageLater
+		return outageRetryAfter
 	}
-	return soon
+	return briefRetryAfter
 }
 
 // authenticate returns the organisation that owns the request's key. Without a recent
-// confirmation of the configuration the answer is a temporary refusal rather than an unknown
-// key: the key may be valid.
+// confirmation of the configuration it returns a temporary refusal, because the key may have
+// been added or revoked since.
 func (g *Gate) authenticate(now time.Time, c *Call) (*route.Organisation, *Refusal) {
 	if !g.KeysGood(now) {
-		return nil, &Refusal{Status: status.ServiceUnavailable, Reason: StaleKeys, RetryAfter: g.confirmedLater()}
+		return nil, &Refusal{Status: status.ServiceUnavailable, Reason: StaleKeys, RetryAfter: g.unconfirmedRetryAfter()}
 	}
 	org := g.table.Organisation(c.Key)
 	if org == nil {
--- a/internal/core/forward/choose.go
+++ b/internal/core/forward/choose.go
@@ -8,26 +8,27 @@
 )
 
 const (
-	// reportFresh is how long an upstream's reported load is used. Older reports are worse
+	// reportTTL is how long an upstream's reported load is used. Older reports are less accurate
 	// than this instance's own count.
-	reportFresh = 400 * time.Millisecond
-	// failurePenalty is the load that a failure rate of 1 counts as: twice the slots of a
-	// small upstream.
+	reportTTL = 400 * time.Millisecond
+	// failurePenalty is the score of a failure rate of 1, in calls in progress: twice the slots
+	// of a small upstream.
 	failurePenalty = 12.0
-	// farPenalty breaks ties in favour of this data centre.
-	farPenalty = 0.25
-	// repeatPenalty keeps retries away from upstreams that failed the call.
-	repeatPenalty = 1000.0
-	// coldPenalty keeps calls away from cold upstreams while others have little load.
+	// remotePenalty breaks ties in favour of upstreams in this data centre.
+	remotePenalty = 0.25
+	// triedPenalty keeps retries away from upstreams that the call was already sent to.
+	triedPenalty = 1000.0
+	// coldPenalty keeps calls away from cold upstreams while other upstreams have little load.
 	coldPenalty = 2.0
-	// generationUnit is the number of tokens that counts like one plain call in progress.
-	generationUnit = 1000.0
-	// outputWeight is the cost of an output token in prompt tokens.
+	// tokensPerCall is the number of tokens that counts as much as one plain call in progress.
+	tokensPerCall = 1000.0
+	// outputWeight is the cost of one output token, in prompt tokens.
 	outputWeight = 3
 )
 
-// candidates lists the upstreams that this instance chooses from. For divided services these
-// are a few groups in its data centre, which bounds connections and the size of the list.
+// candidates lists the upstreams that this instance chooses from. If the service is divided
+// into groups, these are a few groups of its data centre, which bounds the number of
+// connections and the size of the list.
 func (g *Gate) candidates(service string) []*roster.Upstream {
 	layout, _ := g.roster.Layout()
 	if layout[service] == nil {
@@ -40,7 +41,7 @@
 	return out
 }
 
-// OwnGroups lists the groups of divided services that this instance chooses from.
+// OwnGroups lists the groups, over all divided services, that this instance chooses from.
 func (g *Gate) OwnGroups() []roster.Group {
 	layout, _ := g.roster.Layout()
 	var out []roster.Group
@@ -50,8 +51,9 @@
 	return out
 }
 
-// ownGroups lists those of one service: groups of this data centre, or of others if it is
-// cordoned, and of each other region that requests may be restricted to.
+// ownGroups lists the groups of one service that this instance chooses from: groups of its data
+// centre, or of others if that is cordoned, and groups of each other region that requests may be
+// restricted to.
 func (g *Gate) ownGroups(layout roster.Layout, service string) []roster.Group {
 	open := func(dc string) bool { return !g.cordons.Has(dc) }
 	out := layout.Own(service, g.options.DataCentre, g.options.Name, open)
@@ -72,57 +74,59 @@
 	return out
 }
 
-// choose returns the upstream with the least load for a call, or nil.
+// choose returns the upstream with the lowest score for a call, or nil if no upstream accepts
+// it at present.
 func (g *Gate) choose(now time.Time, c *Call) *roster.Upstream {
 	var best *roster.Upstream
-	least := 0.0
+	minScore := 0.0
 	for _, u := range g.candidates(c.Service) {
-		if !g.takes(c, u) || g.load(u).resting(now) || g.coldOpenAt(now, u).After(now) {
+		if !g.maySend(c, u) || g.load(u).inBackoff(now) || g.coldAllowedAt(now, u).After(now) {
 			continue
 		}
 		score := g.score(now, c, u)
-		if best == nil || score < least {
-			best, least = u, score
+		if best == nil || score < minScore {
+			best, minScore = u, score
 		}
 	}
 	if best == nil {
-		return g.anyUpstream(now, c)
+		return g.fallbackUpstream(now, c)
 	}
 	return best
 }
 
-// anyUpstream returns an upstream that is skipped after a failed dial: trying it is better
-// than refusing.
-func (g *Gate) anyUpstream(now time.Time, c *Call) *roster.Upstream {
+// fallbackUpstream returns an upstream that is in backoff after a failed dial, or nil: trying it
+// is better than refusing the call.
+func (g *Gate) fallbackUpstream(now time.Time, c *Call) *roster.Upstream {
 	for _, u := range g.roster.Of(c.Service) {
-		if g.takes(c, u) && !slices.Contains(c.tried, u) && !g.coldOpenAt(now, u).After(now) {
+		if g.maySend(c, u) && !slices.Contains(c.tried, u) && !g.coldAllowedAt(now, u).After(now) {
 			return u
 		}
 	}
 	return nil
 }
 
-// score estimates the load at an upstream in plain calls in progress.
+// score estimates the load of an upstream, in plain calls in progress. Penalties add to it; the
+// lowest score is chosen.
 func (g *Gate) score(now time.Time, c *Call, u *roster.Upstream) float64 {
 	l := g.load(u)
-	score := float64(l.calls) + float64(l.tokens)/generationUnit
-	if now.Sub(l.reported) < reportFresh {
+	score := float64(l.calls) + float64(l.tokens)/tokensPerCall
+	if now.Sub(l.reportedAt) < reportTTL {
 		score = max(score, float64(l.report.Running)) + float64(l.report.Waiting)
 	}
 	score += failurePenalty * l.Rate(now)
 	if u.DataCentre != g.options.DataCentre {
-		score += farPenalty
+		score += remotePenalty
 	}
 	if now.Before(g.ColdUntil(u)) {
 		score += coldPenalty
 	}
 	if slices.Contains(c.tried, u) {
-		score += repeatPenalty
+		score += triedPenalty
 	}
 	return score + g.rng.Float64()/10
 }
 
-// tokens estimates the work of a generation in prompt tokens.
+// tokens estimates the remaining work of a generation, in prompt tokens; 0 for plain calls.
 func (c *Call) tokens() int {
 	if !c.Route.Generation {
 		return 0
--- a/internal/core/forward/cold.go
+++ b/internal/core/forward/cold.go
@@ -11,15 +11,16 @@
 	"mulberrylug.example/mulberrylug/internal/core/roster"
 )
 
-// A cold upstream accepts a limited rate of requests, summed over all instances, and crashes
-// well above it. Pool homes enforce the rate for the work that they place. Instances that
-// choose on their own do not see each other's choices and have to share it.
+// A cold upstream, such as one that has just started, accepts a limited rate of requests, summed
+// over all instances, and crashes well above that rate. Pool homes enforce the rate for the work
+// that they place. Instances that choose an upstream without a grant do not see each other's
+// choices and have to divide the rate among them.
 const (
-	// coldAlone is the part of a cold upstream's rate that instances use which choose on their
-	// own. The rest covers instances with differing views of the fleet.
-	coldAlone = 0.8
-	// coldBesideHome is the same for engines, where pool homes use the rest.
-	coldBesideHome = 0.2
+	// coldPartPlain is the fraction of a cold upstream's rate that instances may use together
+	// without grants. The rest covers instances with differing views of the fleet.
+	coldPartPlain = 0.8
+	// coldPartEngine is the same fraction for engines, where pool homes use the rest of the rate.
+	coldPartEngine = 0.2
 )
 
 // Peer is a live instance.
@@ -35,30 +36,31 @@
 	}
 }
 
-// ColdUntil returns when an upstream will be warm. After a cordon upstreams are assumed to be
-// cold: their own reports take a heartbeat to arrive.
+// ColdUntil returns when an upstream will be warm; zero if it is not known to have been cold.
+// After a cordon is lifted its upstreams are assumed to be cold, because their own reports
+// arrive one heartbeat later.
 func (g *Gate) ColdUntil(u *roster.Upstream) time.Time {
 	until := u.ColdUntil
 	s := g.service(u.Service)
 	if s == nil || s.ColdRate <= 0 {
 		return until
 	}
-	if lifted, ok := g.lifted[u.DataCentre]; ok && lifted.Add(s.ColdFor).After(until) {
+	if lifted, ok := g.liftedAt[u.DataCentre]; ok && lifted.Add(s.ColdFor).After(until) {
 		until = lifted.Add(s.ColdFor)
 	}
 	return until
 }
 
-// paced reports whether an upstream accepts a limited rate of requests at present.
-func (g *Gate) paced(now time.Time, u *roster.Upstream) bool {
+// rateLimited reports whether an upstream accepts only a limited rate of requests at present.
+func (g *Gate) rateLimited(now time.Time, u *roster.Upstream) bool {
 	s := g.service(u.Service)
 	return s != nil && s.ColdRate > 0 && now.Before(g.ColdUntil(u))
 }
 
-// coldOpenAt returns when this instance may send its next request to an upstream on its own
-// choice; zero if at any time.
-func (g *Gate) coldOpenAt(now time.Time, u *roster.Upstream) time.Time {
-	if !g.paced(now, u) {
+// coldAllowedAt returns when this instance may send its next request to an upstream without a
+// grant; zero if at any time.
+func (g *Gate) coldAllowedAt(now time.Time, u *roster.Upstream) time.Time {
+	if !g.rateLimited(now, u) {
 		return time.Time{}
 	}
 	warm := g.ColdUntil(u)
@@ -67,7 +69,7 @@
 		l.coldShare = g.coldShare(now, u)
 	}
 	at := l.coldShare.OpenAt()
-	if l.coldShare.none || at.After(warm) {
+	if l.coldShare.empty || at.After(warm) {
 		return warm
 	}
 	return at
@@ -76,27 +78,27 @@
 // coldShare is this instance's share of a cold upstream's rate.
 type coldShare struct {
 	pace.Starts
-	// none is set if other instances hold all of it.
-	none bool
+	// empty is set if other instances hold the complete rate.
+	empty bool
 }
 
-// coldShare computes this instance's share of a cold upstream.
+// coldShare computes this instance's share of a cold upstream's rate.
 func (g *Gate) coldShare(now time.Time, u *roster.Upstream) *coldShare {
 	s := g.service(u.Service)
-	part := coldAlone
+	part := coldPartPlain
 	if s.Engine != nil {
-		part = coldBesideHome
+		part = coldPartEngine
 	}
 	starts := max(int(part*s.ColdRate), 1)
 	holders := g.holders(u, starts)
 	if !slices.Contains(holders, g.options.Name) {
-		return &coldShare{none: true}
+		return &coldShare{empty: true}
 	}
 	return &coldShare{Starts: pace.Starts{Limit: starts / len(holders)}}
 }
 
-// holders lists the n instances that may send to a cold upstream: rendezvous order, those of
-// its data centre first.
+// holders lists up to n instances that may send requests to a cold upstream without a grant:
+// in rendezvous order, those of the upstream's data centre first.
 func (g *Gate) holders(u *roster.Upstream, n int) []string {
 	key := xxhash.Sum64String(u.ID)
 	rank := func(p Peer) int {
@@ -116,31 +118,32 @@
 	return out
 }
 
-// noteCold counts a request to a cold upstream.
-func (g *Gate) noteCold(now time.Time, u *roster.Upstream) {
-	if share := g.load(u).coldShare; share != nil && g.paced(now, u) {
+// countColdSend counts a request to a cold upstream against this instance's share.
+func (g *Gate) countColdSend(now time.Time, u *roster.Upstream) {
+	if share := g.load(u).coldShare; share != nil && g.rateLimited(now, u) {
 		share.Note(now)
 	}
 }
 
-// Tick drops the shares of upstreams that are warm, since holders may differ the next time.
+// Tick drops the shares of upstreams that are warm. The holders may differ when an upstream is
+// cold again.
 func (g *Gate) Tick(now time.Time) {
 	for u, l := range g.loads {
-		if l.coldShare != nil && !g.paced(now, u) {
+		if l.coldShare != nil && !g.rateLimited(now, u) {
 			l.coldShare = nil
 		}
 	}
 }
 
-// coldLater returns the time until a cold upstream accepts the call; 0 if coldness is not what
-// prevents sending it.
-func (g *Gate) coldLater(now time.Time, c *Call) time.Duration {
+// coldRetryAfter returns the time until the first cold upstream accepts the call, or 0 if the
+// rate of cold upstreams is not the reason why it cannot be sent.
+func (g *Gate) coldRetryAfter(now time.Time, c *Call) time.Duration {
 	var first time.Time
 	for _, u := range g.candidates(c.Service) {
-		if !g.takes(c, u) {
+		if !g.maySend(c, u) {
 			continue
 		}
-		at := g.coldOpenAt(now, u)
+		at := g.coldAllowedAt(now, u)
 		if !at.After(now) {
 			return 0
 		}
@@ -151,5 +154,5 @@
 	if first.IsZero() {
 		return 0
 	}
-	return max(first.Sub(now), soon)
+	return max(first.Sub(now), briefRetryAfter)
 }
--- a/internal/core/forward/cordon.go
+++ b/internal/core/forward/cordon.go
@@ -8,26 +8,26 @@
 	"mulberrylug.example/mulberrylug/internal/core/roster"
 )
 
-// cordonedLater is the Retry-After if all upstreams are cordoned. The end of a cordon is not
-// known in advance.
-const cordonedLater = 2 * time.Second
+// cordonRetryAfter is the Retry-After if all upstreams are cordoned. It is not known in advance
+// when operators will lift a cordon.
+const cordonRetryAfter = 2 * time.Second
 
-// pickUpTimeout is how long after a cordon became known a generation may continue at an
-// upstream to which it was being moved.
-const pickUpTimeout = time.Second
+// resumeTimeout is how long after a cordon became known a moved generation may still resume at
+// an upstream in the cordoned data centre.
+const resumeTimeout = time.Second
 
-// SetCordons puts newer cordons in force and ignores older ones. It reports whether the
-// cordoned data centres changed.
+// SetCordons puts newer cordons in force and ignores older ones. It reports whether the set of
+// cordoned data centres changed or became known.
 func (g *Gate) SetCordons(now time.Time, s cordon.Set) bool {
 	if s.Version <= g.cordons.Version {
 		return false
 	}
 	changed := !g.cordons.Known() || !g.cordons.Same(s)
 	for _, dc := range g.cordons.Lifted(s) {
-		g.lifted[dc] = now
+		g.liftedAt[dc] = now
 	}
 	for _, dc := range s.Lifted(g.cordons) {
-		g.cordoned[dc] = now
+		g.cordonedAt[dc] = now
 	}
 	g.cordons = s
 	return changed
@@ -36,29 +36,31 @@
 // Cordons returns the cordons in force.
 func (g *Gate) Cordons() cordon.Set { return g.cordons }
 
-// CordonsLifted returns when the cordon of each data centre was last lifted.
-func (g *Gate) CordonsLifted() map[string]time.Time { return g.lifted }
+// CordonsLifted returns the time when the cordon of each data centre was last lifted.
+func (g *Gate) CordonsLifted() map[string]time.Time { return g.liftedAt }
 
-// takes reports whether a call may be sent to an upstream.
-func (g *Gate) takes(c *Call, u *roster.Upstream) bool {
-	return u.TakesWork() && g.open(c, u.DataCentre)
+// maySend reports whether a call may be sent to an upstream: the upstream takes new work and the
+// call may use its data centre.
+func (g *Gate) maySend(c *Call, u *roster.Upstream) bool {
+	return u.TakesWork() && g.mayUse(c, u.DataCentre)
 }
 
-// open reports whether a call may use a data centre.
-func (g *Gate) open(c *Call, dataCentre string) bool {
+// mayUse reports whether a call may use a data centre: it is not cordoned and in an allowed
+// region.
+func (g *Gate) mayUse(c *Call, dataCentre string) bool {
 	return !g.cordons.Has(dataCentre) && g.inRegion(c, dataCentre)
 }
 
-// closed returns why a call can use none of its service's data centres, or "" if it can, or if
-// they are unknown.
-func (g *Gate) closed(c *Call) Reason {
+// unavailableReason returns why a call can use none of its service's data centres. It returns ""
+// if the call can use one of them, or if no data centre of the service is known.
+func (g *Gate) unavailableReason(c *Call) Reason {
 	if g.cordons.Empty() && len(c.Regions) == 0 {
 		return ""
 	}
 	why := Reason("")
 	for _, dc := range g.dataCentres(c.Service) {
 		switch {
-		case g.open(c, dc):
+		case g.mayUse(c, dc):
 			return ""
 		case g.inRegion(c, dc):
 			why = Cordoned
@@ -84,18 +86,18 @@
 	return out
 }
 
-// MayMove reports whether a generation may be moved to a data centre.
-func (g *Gate) MayMove(c *Call, dataCentre string) bool { return g.open(c, dataCentre) }
+// MayMove reports whether a call's generation may be moved to a data centre.
+func (g *Gate) MayMove(c *Call, dataCentre string) bool { return g.mayUse(c, dataCentre) }
 
-// mayPickUp reports whether a moved generation may continue at an upstream.
-func (g *Gate) mayPickUp(now time.Time, u *roster.Upstream) bool {
-	return !g.cordons.Has(u.DataCentre) || now.Sub(g.cordoned[u.DataCentre]) < pickUpTimeout
+// mayResumeAt reports whether a moved generation may resume at an upstream.
+func (g *Gate) mayResumeAt(now time.Time, u *roster.Upstream) bool {
+	return !g.cordons.Has(u.DataCentre) || now.Sub(g.cordonedAt[u.DataCentre]) < resumeTimeout
 }
 
-// laterFor returns the Retry-After for a reason, or a default.
-func laterFor(why Reason, after time.Duration) time.Duration {
+// retryAfterFor returns the Retry-After for a refusal: cordonRetryAfter for Cordoned, else after.
+func retryAfterFor(why Reason, after time.Duration) time.Duration {
 	if why == Cordoned {
-		return cordonedLater
+		return cordonRetryAfter
 	}
 	return after
 }
--- a/internal/core/forward/cordon_test.go
+++ b/internal/core/forward/cordon_test.go
@@ -17,8 +17,9 @@
 	"mulberrylug.example/mulberrylug/internal/testkit"
 )
 
-// spreadGate returns a gate that knows upstreams in three data centres, dc-a to dc-c, one
-// of which is its own. region maps them to regions.
+// spreadGate returns a gate in dc-a with the given number of upstreams in each of the data
+// centres dc-a, dc-b and dc-c. regions maps data centres to regions; change may modify the
+// configuration.
 func spreadGate(t testing.TB, each int, regions map[string]string, change func(*route.Config)) *Gate {
 	t.Helper()
 	c := config(3)
@@ -40,20 +41,22 @@
 	return g
 }
 
-// An instance may know the configuration from another one that has not told it which data
-// centres are cordoned. It must not send: operators may have taken one out a minute ago.
+// An instance may receive the configuration from another instance before it receives the
+// cordons. It must not accept requests until then: operators may have cordoned a data centre
+// a minute ago.
 func TestNothingIsSentBeforeTheCordonsAreKnown(t *testing.T) {
 	g := New(options())
 	g.Adopt(route.NewTable(config(3)))
 	g.Confirm(start)
 	fill(g, 3)
 	if _, refusal := g.Admit(start, request("/safe/1")); refusal == nil || refusal.Reason != NoCordons || refusal.RetryAfter == 0 {
-		t.Errorf("refusal %+v, want %s and a time to come back", refusal, NoCordons)
+		t.Errorf("refusal %+v, want %s and a Retry-After", refusal, NoCordons)
 	}
 }
 
-// Operators cordon the instance's own data centre, which it prefers. First tries, retries
-// and grants of homes that have not heard of it yet must all go elsewhere.
+// Operators cordon the instance's own data centre, which it prefers. First attempts, retries
+// and calls with grants of homes that do not know the cordon yet must all go to other data
+// centres.
 func TestCordonedUpstreamsGetNothing(t *testing.T) {
 	g := spreadGate(t, 2, nil, nil)
 	g.SetCordons(start, cordon.NewSet(2, []string{"dc-a"}))
@@ -61,91 +64,91 @@
 		c := admit(t, g, request("/safe/1"))
 		s := g.Start(start, c)
 		if s.Send == nil || s.Send.Entry.DataCentre == "dc-a" {
-			t.Fatalf("step %+v", s)
+			t.Fatalf("step %+v, want an attempt outside of dc-a", s)
 		}
 		if s = g.Ended(start, c, Lost, false); s.Send == nil || s.Send.Entry.DataCentre == "dc-a" {
-			t.Fatalf("step after a failure %+v", s)
+			t.Fatalf("step after a failure: %+v, want an attempt outside of dc-a", s)
 		}
 	}
-	c := admit(t, g, request("/draft/1"))
+	c := admit(t, g, request("/stream/1"))
 	stale := msg.GrantAnswer{TTL: time.Second, Decision: placement.Decision{Kind: placement.Granted, Upstream: "u00"}}
 	if s := g.Granted(start, start, c, stale); s.Send == nil || s.Send.Entry.DataCentre == "dc-a" {
-		t.Errorf("step %+v: a grant for a cordoned upstream was used", s)
+		t.Errorf("grant for a cordoned upstream: step %+v, want an attempt outside of dc-a", s)
 	}
-	foreign := roster.Entry{ID: "unknown", Service: "desk", Address: "unknown:80", DataCentre: "dc-a"}
-	if s := g.Granted(start, start, admit(t, g, request("/draft/2")), msg.GrantAnswer{TTL: time.Second, Entry: &foreign, Decision: placement.Decision{Kind: placement.Granted, Upstream: "unknown"}}); s.Send == nil || s.Send.Entry.DataCentre == "dc-a" {
-		t.Errorf("step %+v: a grant for a cordoned upstream that only its home knows was used", s)
+	unlisted := roster.Entry{ID: "unknown", Service: "desk", Address: "unknown:80", DataCentre: "dc-a"}
+	if s := g.Granted(start, start, admit(t, g, request("/stream/2")), msg.GrantAnswer{TTL: time.Second, Entry: &unlisted, Decision: placement.Decision{Kind: placement.Granted, Upstream: "unknown"}}); s.Send == nil || s.Send.Entry.DataCentre == "dc-a" {
+		t.Errorf("grant for a cordoned upstream that is not in the roster: step %+v, want an attempt outside of dc-a", s)
 	}
 }
 
-// All data centres are cordoned. Callers must hear so at once and when to come back, be
-// served as soon as one is back, and nothing may wait for its deadline.
-func TestAllCordonedIsToldAtOnce(t *testing.T) {
+// All data centres are cordoned. Calls must be refused at once with a Retry-After instead of
+// waiting for their deadline, and be served as soon as one cordon is lifted.
+func TestAllCordonedIsRefusedAtOnce(t *testing.T) {
 	g := spreadGate(t, 2, nil, nil)
 	g.SetCordons(start, cordon.NewSet(2, []string{"dc-a", "dc-b", "dc-c"}))
-	for _, path := range []string{"/safe/1", "/once/1", "/draft/1"} {
+	for _, path := range []string{"/safe/1", "/once/1", "/stream/1"} {
 		s := g.Start(start, admit(t, g, request(path)))
 		if s.Refuse == nil || s.Refuse.Reason != Cordoned || s.Refuse.RetryAfter == 0 || !PromisesNotRun(s.Refuse.Status) {
-			t.Errorf("%s: step %+v", path, s)
+			t.Errorf("%s: step %+v, want a refusal for cordons with a Retry-After", path, s)
 		}
 	}
-	parts := largeGate(t)
-	parts.SetCordons(start, cordon.NewSet(2, []string{"dc-a", "dc-b", "dc-c"}))
-	if s := parts.Start(start, admit(t, parts, request("/draft/1"))); s.Refuse == nil || s.Refuse.Reason != Cordoned {
-		t.Errorf("step %+v: a pool's home is asked, though all is cordoned", s)
+	divided := largeGate(t)
+	divided.SetCordons(start, cordon.NewSet(2, []string{"dc-a", "dc-b", "dc-c"}))
+	if s := divided.Start(start, admit(t, divided, request("/stream/1"))); s.Refuse == nil || s.Refuse.Reason != Cordoned {
+		t.Errorf("divided service with all data centres cordoned: step %+v, want a refusal", s)
 	}
 	g.SetCordons(start, cordon.NewSet(3, []string{"dc-a", "dc-b"}))
 	if s := g.Start(start, admit(t, g, request("/safe/1"))); s.Send == nil || s.Send.Entry.DataCentre != "dc-c" {
-		t.Errorf("step %+v after dc-c is back", s)
+		t.Errorf("step %+v after the cordon of dc-c was lifted, want an attempt in dc-c", s)
 	}
 }
 
-// A move is under way to a data centre that is cordoned at that moment. The run may go on
-// there within a second, as it is stopped at its source already; later it may not.
-func TestAMoveIntoACordonEndsSoon(t *testing.T) {
+// A generation is being moved to a data centre when that is cordoned. It may resume there
+// within a second, because it is already stopped at its source, but not later.
+func TestAMoveIntoACordonMayResumeOnlyBriefly(t *testing.T) {
 	for _, c := range []struct {
 		after time.Duration
 		sent  bool
-	}{{pickUpTimeout / 2, true}, {2 * pickUpTimeout, false}} {
+	}{{resumeTimeout / 2, true}, {2 * resumeTimeout, false}} {
 		g := spreadGate(t, 1, nil, nil)
-		call := admit(t, g, request("/draft/1"))
+		call := admit(t, g, request("/stream/1"))
 		g.Start(start, call)
 		to := g.Roster().Find("u01")
 		g.SetCordons(start, cordon.NewSet(2, []string{to.DataCentre}))
 		if g.MayMove(call, to.DataCentre) {
-			t.Error("a move to it may begin")
+			t.Error("a new move into the cordoned data centre is allowed")
 		}
 		g.Redirect(call, to, "copy", nil)
 		if s := g.Ended(start.Add(c.after), call, Cut, true); (s.Send != nil) != c.sent {
-			t.Errorf("after %v: step %+v, want it picked up: %v", c.after, s, c.sent)
+			t.Errorf("after %v: step %+v, want the generation resumed: %v", c.after, s, c.sent)
 		}
 	}
 }
 
-// A divided service: the parts beside the instance are cordoned. It must use others, and
-// offer generations to the pools of other data centres.
-func TestPartsOfACordonedDataCentreAreLeft(t *testing.T) {
+// A service is divided into groups, and the groups in the instance's data centre are
+// cordoned. The instance must choose from other groups and request grants from the pools of
+// other data centres.
+func TestGroupsOfACordonedDataCentreAreNotUsed(t *testing.T) {
 	g := largeGate(t)
 	g.SetCordons(start, cordon.NewSet(2, []string{"dc-a"}))
 	for _, group := range g.OwnGroups() {
 		if group.DataCentre == "dc-a" {
-			t.Errorf("group %v is used", group)
+			t.Errorf("group %v of the cordoned data centre is used", group)
 		}
 	}
 	for range 50 {
-		c := admit(t, g, request("/draft/1"))
+		c := admit(t, g, request("/stream/1"))
 		if s := g.Start(start, c); !s.AskHome || roster.ParseGroup(c.Pool).DataCentre == "dc-a" {
-			t.Fatalf("pool %q, step %+v", c.Pool, s)
+			t.Fatalf("pool %q, step %+v, want a grant request to a pool outside of dc-a", c.Pool, s)
 		}
 	}
 }
 
-// Sources tell of cordons late, twice and in any order, and one of them lags. Whatever
-// arrives, what is in force is the newest version that was told, and nothing is sent to a
-// data centre that it names.
+// Cordons arrive late, repeatedly and in any order. The newest version received must be in
+// force, and no request may be sent to a data centre that it cordons.
 func TestPropertyTheNewestCordonsAreInForce(t *testing.T) {
 	names := []string{"dc-a", "dc-b", "dc-c"}
-	of := func(version int) []string {
+	cordonedIn := func(version int) []string {
 		var out []string
 		for k, dc := range names {
 			if version>>k&1 == 1 {
@@ -161,23 +164,23 @@
 			newest := 1
 			for step, v := range versions {
 				now := start.Add(time.Duration(step) * time.Millisecond)
-				g.SetCordons(now, cordon.NewSet(int64(v), of(v)))
+				g.SetCordons(now, cordon.NewSet(int64(v), cordonedIn(v)))
 				newest = max(newest, v)
 				c, refusal := g.Admit(now, request("/safe/1"))
 				if refusal != nil {
 					return "refused: " + string(refusal.Reason)
 				}
 				s := g.Start(now, c)
-				in := cordon.NewSet(1, of(newest))
+				inForce := cordon.NewSet(1, cordonedIn(newest))
 				if newest == 1 {
-					in = cordon.NewSet(1, nil)
+					inForce = cordon.NewSet(1, nil)
 				}
 				switch {
-				case len(in.DataCentres) == len(names) && (s.Refuse == nil || s.Refuse.Reason != Cordoned):
-					return "all are cordoned, and it is not refused for that"
-				case len(in.DataCentres) < len(names) && s.Send == nil:
-					return "refused, though some are open"
-				case s.Send != nil && in.Has(s.Send.Entry.DataCentre):
+				case len(inForce.DataCentres) == len(names) && (s.Refuse == nil || s.Refuse.Reason != Cordoned):
+					return "all data centres are cordoned, but the call is not refused as cordoned"
+				case len(inForce.DataCentres) < len(names) && s.Send == nil:
+					return "refused although some data centres are not cordoned"
+				case s.Send != nil && inForce.Has(s.Send.Entry.DataCentre):
 					return "sent to a cordoned data centre"
 				}
 			}
@@ -188,8 +191,9 @@
 	props.TestingRun(t)
 }
 
-// The upstreams of a data centre may have become cold while it was cordoned, and say so a
-// heartbeat late. They must count as cold from the moment at which the cordon is lifted.
+// The upstreams of a data centre may have become cold while it was cordoned, and their
+// reports arrive one heartbeat later. They must count as cold from the time when the cordon
+// is lifted.
 func TestLiftedCordonsLeaveColdUpstreams(t *testing.T) {
 	g := spreadGate(t, 1, nil, func(c *route.Config) { c.Services[0].ColdFor, c.Services[0].ColdRate = time.Second, 4 })
 	g.SetPeers([]Peer{{Name: "i0", DataCentre: "dc-a"}})
@@ -197,9 +201,9 @@
 	g.SetCordons(start, cordon.NewSet(2, []string{u.DataCentre}))
 	g.SetCordons(start.Add(time.Second), cordon.NewSet(3, nil))
 	if until := g.ColdUntil(u); !until.Equal(start.Add(2 * time.Second)) {
-		t.Errorf("cold until %v after the lifted cordon, want a second", until.Sub(start))
+		t.Errorf("cold until %v after start, want 2s: one second after the cordon was lifted", until.Sub(start))
 	}
 	if until := g.ColdUntil(g.Roster().Find("u00")); !until.IsZero() {
-		t.Errorf("an upstream that was not cordoned is cold until %v", until.Sub(start))
+		t.Errorf("upstream that was not cordoned is cold until %v after start, want it warm", until.Sub(start))
 	}
 }
--- a/internal/core/forward/forward_test.go
+++ b/internal/core/forward/forward_test.go
@@ -34,8 +34,8 @@
 			{Name: "once", Host: "h", Prefix: "/once/", Kind: route.Once, Timeout: time.Second, MaxAttempts: 1, Targets: target("desk")},
 			{Name: "twice", Host: "h", Prefix: "/twice/", Kind: route.Once, Timeout: time.Second, MaxAttempts: 2, Targets: target("desk")},
 			{Name: "safe", Host: "h", Prefix: "/safe/", Kind: route.Idempotent, Timeout: time.Second, MaxAttempts: 2, Targets: target("desk")},
-			{Name: "draft", Host: "h", Prefix: "/draft/", Kind: route.Stream, Timeout: 30 * time.Second, MaxAttempts: 1, Targets: target("desk")},
-			{Name: "brief", Host: "h", Prefix: "/brief/", Kind: route.Stream, Resumable: true, Timeout: 6 * time.Second, MaxAttempts: 2, Targets: target("desk")},
+			{Name: "stream", Host: "h", Prefix: "/stream/", Kind: route.Stream, Timeout: 30 * time.Second, MaxAttempts: 1, Targets: target("desk")},
+			{Name: "resumable", Host: "h", Prefix: "/resumable/", Kind: route.Stream, Resumable: true, Timeout: 6 * time.Second, MaxAttempts: 2, Targets: target("desk")},
 		},
 		Services:      []route.Service{{Name: "desk"}},
 		Organisations: []route.Organisation{{Name: "org", Keys: []string{"key"}}},
@@ -44,12 +44,13 @@
 
 func target(service string) []route.Target { return []route.Target{{Service: service, Weight: 1}} }
 
-// gate returns a gate that knows a configuration and some upstreams.
+// gate returns a gate with a configuration and a number of upstreams of the service "desk".
 func gate(t testing.TB, upstreams int) *Gate {
 	t.Helper()
 	return gateWith(options(), upstreams)
 }
 
+// gateWith is gate with other options.
 func gateWith(o Options, upstreams int) *Gate {
 	g := New(o)
 	g.Adopt(route.NewTable(config(3)))
@@ -59,7 +60,7 @@
 	return g
 }
 
-// fill lists upstreams of the one service.
+// fill adds upstreams of the service "desk" to the roster.
 func fill(g *Gate, upstreams int) {
 	for k := range upstreams {
 		id := fmt.Sprintf("u%d", k)
@@ -69,10 +70,12 @@
 	}
 }
 
+// request returns a request of the organisation "org".
 func request(path string) Request {
 	return Request{ID: "r1", Host: "h", Path: path, Key: "key", Timeout: 3 * time.Second, Replayable: true}
 }
 
+// admit admits a request, which must not be refused.
 func admit(t testing.TB, g *Gate, r Request) *Call {
 	t.Helper()
 	c, refusal := g.Admit(start, r)
@@ -83,7 +86,7 @@
 }
 
 func TestAdmission(t *testing.T) {
-	late, old := start.Add(revokeWithin), start.Add(applyWithin+time.Millisecond)
+	keysStale, configStale := start.Add(revokeWithin), start.Add(applyWithin+time.Millisecond)
 	for _, c := range []struct {
 		name   string
 		gate   *Gate
@@ -92,12 +95,12 @@
 		status int
 		reason Reason
 	}{
-		{"no configuration yet", New(options()), start, nil, 503, NoConfig},
+		{"no configuration", New(options()), start, nil, 503, NoConfig},
 		{"no route", gate(t, 1), start, func(r *Request) { r.Path = "/none/" }, 404, NoRoute},
 		{"unknown key", gate(t, 1), start, func(r *Request) { r.Key = "other" }, 401, UnknownKey},
 		{"no key", gate(t, 1), start, func(r *Request) { r.Key = "" }, 401, UnknownKey},
-		{"keys not confirmed", gate(t, 1), late, nil, 503, StaleKeys},
-		{"no route in an old configuration", gate(t, 1), old, func(r *Request) { r.Path = "/none/" }, 503, StaleConfig},
+		{"keys not confirmed", gate(t, 1), keysStale, nil, 503, StaleKeys},
+		{"no route in an unconfirmed configuration", gate(t, 1), configStale, func(r *Request) { r.Path = "/none/" }, 503, StaleConfig},
 	} {
 		r := request("/once/1")
 		if c.change != nil {
@@ -105,48 +108,47 @@
 		}
 		_, refusal := c.gate.Admit(c.now, r)
 		if refusal == nil || refusal.Status != c.status || refusal.Reason != c.reason {
-			t.Errorf("%s: %+v, want %d %s", c.name, refusal, c.status, c.reason)
+			t.Errorf("%s: refusal %+v, want status %d and reason %s", c.name, refusal, c.status, c.reason)
 		}
 	}
 }
 
-// An instance is cut off from the store and from all others. A key is taken away
-// meanwhile, which it can't know. The owner must not be served for longer than
-// the bound on revocation, so the instance refuses every key once its last
-// confirmation is that old, also if it was suspended meanwhile: the moments come
-// from a clock that counts that time.
+// An instance is cut off from the store and from all others while a key is revoked. The key
+// must not be accepted for longer than the revocation bound, so the instance refuses every
+// key once its last confirmation is that old. This also holds if the instance was suspended
+// in between: its clock includes that time.
 func TestKeysAreRefusedOnceUnconfirmed(t *testing.T) {
 	g := gate(t, 1)
 	if _, refusal := g.Admit(start.Add(revokeWithin-time.Millisecond), request("/once/1")); refusal != nil {
-		t.Errorf("refused while the confirmation is fresh: %+v", refusal)
+		t.Errorf("request with a recent confirmation refused: %+v", refusal)
 	}
 	now := start.Add(revokeWithin)
 	if _, refusal := g.Admit(now, request("/once/1")); refusal == nil || refusal.RetryAfter == 0 {
-		t.Errorf("%+v, want a refusal that says when to come back", refusal)
+		t.Errorf("refusal %+v, want one with a Retry-After", refusal)
 	}
 	g.SetAlone(true)
-	if _, refusal := g.Admit(now, request("/once/1")); refusal.RetryAfter != outageLater {
-		t.Errorf("%+v: while nobody can serve, an early return helps nobody", refusal)
+	if _, refusal := g.Admit(now, request("/once/1")); refusal.RetryAfter != outageRetryAfter {
+		t.Errorf("refusal %+v while no other instance is ready, want the longer Retry-After", refusal)
 	}
-	g.Confirm(start.Add(-time.Second)) // a late answer to an older question
+	g.Confirm(start.Add(-time.Second)) // a late response to an earlier query
 	if g.KeysGood(now) {
-		t.Error("an older confirmation made keys good")
+		t.Error("an older confirmation made keys acceptable")
 	}
 	g.Confirm(now)
 	if !g.KeysGood(now) {
-		t.Error("a new confirmation must make keys good")
+		t.Error("keys are not accepted after a new confirmation")
 	}
 }
 
-// A route and a key are added while an instance gets no answers. Its configuration lacks them,
-// and a 404 or 401 would tell their callers to give up: once the configuration is older than
-// new ones may take to be in force, they are told to come back.
-func TestAnOldConfigurationDeniesNothing(t *testing.T) {
+// A route and a key are added while an instance receives no updates. Its configuration lacks
+// them, and a 404 or 401 would make callers give up. Once the last confirmation is older than
+// the time in which new versions must be in force, the refusal must be temporary.
+func TestAnOldConfigurationRefusesOnlyTemporarily(t *testing.T) {
 	o := options()
 	o.KeysGoodFor = 0
 	g := gateWith(o, 1)
-	missing, stranger := request("/none/"), request("/once/1")
-	stranger.Key = "other"
+	noRoute, unknownKey := request("/none/"), request("/once/1")
+	unknownKey.Key = "other"
 	for _, c := range []struct {
 		now  time.Time
 		want [2]Reason
@@ -154,67 +156,67 @@
 		{start.Add(applyWithin), [2]Reason{NoRoute, UnknownKey}},
 		{start.Add(applyWithin + time.Millisecond), [2]Reason{StaleConfig, StaleConfig}},
 	} {
-		for k, r := range []Request{missing, stranger} {
+		for k, r := range []Request{noRoute, unknownKey} {
 			_, refusal := g.Admit(c.now, r)
 			if refusal == nil || refusal.Reason != c.want[k] {
-				t.Errorf("after %v, request %d: %+v, want %s", c.now.Sub(start), k, refusal, c.want[k])
+				t.Errorf("after %v, request %d: refusal %+v, want reason %s", c.now.Sub(start), k, refusal, c.want[k])
 			}
 			if c.want[k] == StaleConfig && refusal.RetryAfter == 0 {
-				t.Errorf("request %d is not told when to come back", k)
+				t.Errorf("request %d: refusal without a Retry-After", k)
 			}
 		}
 		if _, refusal := g.Admit(c.now, request("/once/1")); refusal != nil {
-			t.Errorf("after %v a known key on a known route is refused: %+v", c.now.Sub(start), refusal)
+			t.Errorf("after %v: request with a known key on a known route refused: %+v", c.now.Sub(start), refusal)
 		}
 	}
 	now := start.Add(applyWithin + time.Second)
 	g.Confirm(now)
-	if _, refusal := g.Admit(now, missing); refusal == nil || refusal.Reason != NoRoute {
-		t.Errorf("%+v: a confirmed configuration must deny what it lacks", refusal)
+	if _, refusal := g.Admit(now, noRoute); refusal == nil || refusal.Reason != NoRoute {
+		t.Errorf("refusal %+v for a route that the confirmed configuration lacks, want NoRoute", refusal)
 	}
 }
 
-// An answer from a stale copy of the store, or of an instance that lags, holds
-// an older configuration. Put in force, dropped routes and keys would work again.
-func TestConfigurationNeverGoesBack(t *testing.T) {
+// A stale read of the store or a lagging instance returns an older configuration. If it were
+// put in force, removed routes and keys would work again.
+func TestOlderConfigurationsAreIgnored(t *testing.T) {
 	g := gate(t, 1)
 	if g.Adopt(route.NewTable(config(2))) || g.Adopt(route.NewTable(config(3))) || g.Table().Version != 3 {
 		t.Errorf("version %d in force, want 3", g.Table().Version)
 	}
 	if !g.Adopt(route.NewTable(config(9))) {
-		t.Error("a newer version must be put in force")
+		t.Error("a newer version was not put in force")
 	}
 }
 
-// A booking is sent, and its answer is lost. The upstream may have run it, so
-// that it must not be sent again, and the caller must not hear that it did not
-// run, as it would ask again and book twice.
+// A booking is sent and its response is lost. The upstream may have run it, so it must not be
+// sent again, and the caller must not get a status that promises that it did not run: the
+// caller would retry and book twice.
 func TestABookingWithALostAnswerIsNotSentAgain(t *testing.T) {
-	for _, path := range []string{"/once/1", "/twice/1", "/draft/1"} {
+	for _, path := range []string{"/once/1", "/twice/1", "/stream/1"} {
 		g := gate(t, 3)
 		c := admit(t, g, request(path))
 		g.Start(start, c)
 		s := g.Ended(start, c, Lost, false)
 		if s.Refuse == nil || PromisesNotRun(s.Refuse.Status) || s.Refuse.Status != http.StatusBadGateway {
-			t.Errorf("%s: %+v, want a 502", path, s)
+			t.Errorf("%s: step %+v, want a refusal with status 502", path, s)
 		}
 	}
 }
 
-// A booking fails at its upstream, which signs its failure. The caller gets that
-// answer, as the upstream gave it.
-func TestABookingsOwnFailureIsPassedOn(t *testing.T) {
+// A booking fails at its upstream, which responds with an error. The caller must get that
+// response unchanged.
+func TestAnUpstreamsErrorResponseIsForwarded(t *testing.T) {
 	g := gate(t, 3)
 	c := admit(t, g, request("/once/1"))
 	g.Start(start, c)
 	if s := g.Ended(start, c, Failed, false); !s.Relay {
-		t.Errorf("%+v, want the upstream's own answer", s)
+		t.Errorf("step %+v, want the upstream's response forwarded", s)
 	}
 }
 
-// The upstream is full and says that it has not run the booking. It may go to
-// another upstream if the route allows that, and else the caller hears at once
-// that it has not run and when to come back.
+// The upstream is full and responds that it has not run the booking. The booking is sent to
+// another upstream if the route allows it. Otherwise the caller is refused at once, with a
+// status that promises that it has not run and a Retry-After.
 func TestARejectedBooking(t *testing.T) {
 	g := gate(t, 3)
 	c := admit(t, g, request("/twice/1"))
@@ -225,13 +227,13 @@
 	}
 	s := g.Ended(start, c, Rejected, false)
 	if s.Refuse == nil || s.Refuse.Status != 503 || s.Refuse.RetryAfter == 0 {
-		t.Errorf("%+v, want a refusal with a time to come back", s)
+		t.Errorf("step %+v, want a refusal with status 503 and a Retry-After", s)
 	}
 }
 
-// A look-up fails at its upstream, as fourteen in a hundred do: it is tried once
-// elsewhere, and a second failure is passed on as the upstream gave it.
-func TestALookUpIsTriedElsewhere(t *testing.T) {
+// A look-up fails at its upstream, as 14 in 100 do. It must be retried once at another
+// upstream, and a second error response must be forwarded unchanged.
+func TestALookUpIsRetriedAtAnotherUpstream(t *testing.T) {
 	g := gate(t, 3)
 	c := admit(t, g, request("/safe/1"))
 	first := g.Start(start, c).Send
@@ -240,17 +242,17 @@
 		t.Fatalf("second attempt %+v, want another upstream", second)
 	}
 	if s := g.Ended(start, c, Failed, false); !s.Relay {
-		t.Errorf("%+v, want the upstream's own failure", s)
+		t.Errorf("step %+v, want the upstream's error response forwarded", s)
 	}
 }
 
-// All upstreams of a service fail everything. Retries double the load on them,
-// on every instance at once, so the share of this instance bounds them.
+// All upstreams of a service fail every request. Retries of all instances together would
+// double the load, so each instance must keep to its share of the retry budget.
 func TestRetriesKeepToTheShareOfTheBudget(t *testing.T) {
 	g := gate(t, 3)
 	g.SetInstances(10)
 	const requests = 1000
-	repeats := 0
+	retries := 0
 	for k := range requests {
 		now := start.Add(time.Duration(k) * 5 * time.Millisecond)
 		g.Confirm(now)
@@ -260,93 +262,93 @@
 		}
 		g.Start(now, c)
 		if s := g.Ended(now, c, Lost, false); s.Send != nil {
-			repeats++
+			retries++
 			g.Ended(now, c, Lost, false)
 		}
 	}
 	o := options()
-	most := o.RetryRatio*requests + o.RetrySlack/10
-	if float64(repeats) > most || float64(repeats) < most/3 {
-		t.Errorf("%d repeats for %d requests, want a good part of %v", repeats, requests, most)
+	limit := o.RetryRatio*requests + o.RetrySlack/10
+	if float64(retries) > limit || float64(retries) < limit/3 {
+		t.Errorf("%d retries for %d requests, want between a third and all of %v", retries, requests, limit)
 	}
 }
 
-// A generation is moved and goes on from its copy. Long after, its new upstream
-// crashes. What the move had left as a second place to try must not be used: the
-// caller would get a second run's events behind those of the first.
-func TestWhatAMoveLeftIsNotTriedAfterACrash(t *testing.T) {
+// A generation is moved and continues from its copy. Later its new upstream crashes. The
+// alternative that remains from the move must not be tried: the caller would receive the
+// events of a second run after those of the first.
+func TestAlternativesOfAMoveAreNotTriedAfterACrash(t *testing.T) {
 	g := gate(t, 3)
-	c := admit(t, g, request("/draft/1"))
+	c := admit(t, g, request("/stream/1"))
 	source := g.Start(start, c).Send
 	c.Progress(start, "1")
 	other := g.Roster().Find("u2")
 	g.Redirect(c, other, "u0:80/copy", &Attempt{Upstream: source.Upstream, CopyAt: "u0:80/copy"})
 	s := g.Ended(start, c, Cut, true)
 	if s.Send == nil || s.Send.Upstream != other || s.Send.CopyAt == "" {
-		t.Fatalf("%+v, want to go on from the copy", s)
+		t.Fatalf("step %+v, want the generation resumed from the copy", s)
 	}
 	c.Progress(start, "2")
 	if s := g.Ended(start, c, Cut, true); !s.Abort {
-		t.Errorf("%+v, want the answer broken off", s)
+		t.Errorf("step %+v, want the response broken off", s)
 	}
 }
 
-// The copy is gone when the run is to go on from it, and the source, which still
-// holds what it had, can't be reached. Nothing may run the generation anew.
-func TestAMoveThatFailsRunsNothingAnew(t *testing.T) {
+// The copy of a moved generation has been dropped when it is to be resumed, and the source, which
+// still holds its state, cannot be reached. The generation must not be started again.
+func TestAFailedMoveDoesNotRestartTheGeneration(t *testing.T) {
 	g := gate(t, 3)
-	c := admit(t, g, request("/draft/1"))
+	c := admit(t, g, request("/stream/1"))
 	source := g.Start(start, c).Send
 	c.Progress(start, "1")
 	g.Redirect(c, g.Roster().Find("u2"), "u0:80/copy", &Attempt{Upstream: source.Upstream, CopyAt: "u0:80/copy"})
 	g.Ended(start, c, Cut, true)
 	back := g.Ended(start, c, Rejected, true)
 	if back.Send == nil || back.Send.Upstream != source.Upstream {
-		t.Fatalf("%+v, want the source as the second place", back)
+		t.Fatalf("step %+v, want the source as the alternative", back)
 	}
 	if s := g.Ended(start, c, NotSent, true); !s.Abort {
-		t.Errorf("%+v, want the answer broken off", s)
+		t.Errorf("step %+v, want the response broken off", s)
 	}
 }
 
-// Pattern: one of three upstreams of a booking service resets half of its
-// connections with good health, under 45 requests a second at a dozen instances.
-// A booking that is reset is lost. Told by the others after their losses, an
-// instance passes the upstream over before it has lost anything there itself.
-func TestAnUpstreamThatFailsElsewhereIsPassedOver(t *testing.T) {
+// One of three upstreams of a booking service resets half of its connections while its health
+// checks pass, under 45 requests a second from a dozen instances. A booking whose connection
+// is reset is lost. Other instances report their failures, so this one must avoid the
+// upstream before it loses a booking there.
+func TestAnUpstreamReportedAsFailingIsAvoided(t *testing.T) {
 	g := gate(t, 3)
 	for range 3 {
 		g.Failing(start, "u1", 0)
 	}
-	g.Failing(start, "u2", 99) // another run of u2: the one listed has done nothing
+	g.Failing(start, "u2", 99) // about another run of u2, not the listed one
 	for k := range 12 {
 		c := admit(t, g, request("/once/1"))
 		if s := g.Start(start, c); s.Send.Upstream.ID == "u1" && k < 6 {
-			t.Fatalf("request %d went to the failing upstream", k)
+			t.Fatalf("request %d was sent to the failing upstream", k)
 		}
 	}
 	later := start.Add(20 * time.Second)
 	if rate := g.load(g.Roster().Find("u1")).Rate(later); rate > 0.02 {
-		t.Errorf("failure rate %v after 20 s: it must be tried again", rate)
+		t.Errorf("failure rate = %v after 20 s, want at most 0.02 so that the upstream is used again", rate)
 	}
 }
 
-// An entry asks the home of a pool and is frozen before the answer is read. The
-// upstream of the grant begins to leave meanwhile, which the entry's own list does
-// not say when it wakes. Sent there, the generation would be cut.
-func TestALapsedGrantIsNotUsed(t *testing.T) {
+// An entry requests a grant and is frozen before it reads the response. Meanwhile the granted
+// upstream starts to leave, which the entry's roster does not show when it resumes. A
+// generation sent there would be cut off.
+func TestAnExpiredGrantIsNotUsed(t *testing.T) {
 	g := gate(t, 3)
-	c := admit(t, g, request("/draft/1"))
+	c := admit(t, g, request("/stream/1"))
 	grant := msg.GrantAnswer{TTL: time.Second, Decision: placement.Decision{Kind: placement.Granted, Upstream: "u1"}}
 	if s := g.Granted(start.Add(time.Second), start, c, grant); !s.AskHome {
-		t.Errorf("%+v, want to ask again", s)
+		t.Errorf("step %+v, want another grant request", s)
 	}
 	if s := g.Granted(start.Add(999*time.Millisecond), start, c, grant); s.Send == nil || s.Send.Upstream.ID != "u1" {
-		t.Errorf("%+v, want the granted upstream", s)
+		t.Errorf("step %+v, want the granted upstream", s)
 	}
 }
 
-func TestPatience(t *testing.T) {
+func TestEffectiveTimeout(t *testing.T) {
 	for _, c := range []struct{ timeout, caller, want time.Duration }{
 		{time.Second, 3 * time.Second, time.Second},
 		{3 * time.Second, time.Second, time.Second},
@@ -354,7 +356,7 @@
 		{time.Second, 0, time.Second},
 		{0, 0, defaultTimeout},
 	} {
-		if got := timeoutOf(c.timeout, c.caller); got != c.want {
+		if got := effectiveTimeout(c.timeout, c.caller); got != c.want {
 			t.Errorf("timeoutOf(%v, %v) = %v, want %v", c.timeout, c.caller, got, c.want)
 		}
 	}
--- a/internal/core/forward/gate.go
+++ b/internal/core/forward/gate.go
@@ -2,10 +2,10 @@
 // upstream runs it, whether it is retried, and how it is refused. It does no I/O and reads no
 // clock; the caller serialises all calls.
 //
-// One file holds one concern: admit.go accepts requests, choose.go picks the upstream,
-// cordon.go, cold.go and region.go restrict the choice, home.go deals with pool homes, retry.go
-// decides after a failed attempt, budget.go limits retries, load.go tracks load, health.go
-// failures, and silence.go judges silent streams.
+// Each file covers one topic: admit.go accepts requests, choose.go selects the upstream,
+// cordon.go, cold.go and region.go restrict the choice, home.go handles grants of pool homes,
+// retry.go decides what follows a failed attempt, budget.go limits retries, load.go tracks the
+// load and health.go the failures of upstreams, and silence.go diagnoses silent streams.
 package forward
 
 import (
@@ -19,24 +19,24 @@
 	"mulberrylug.example/mulberrylug/internal/core/suspect"
 )
 
-// crashMemory is how long a crash counts against the requests that were running. Requests that
-// crash upstreams are repeated within seconds. A popular look-up is present at unrelated
-// crashes too and must not be refused for long.
-const crashMemory = 30 * time.Second
+// strikeTTL is how long a crash of an upstream counts against the requests that it was running.
+// Callers repeat requests that crash upstreams within seconds. A frequent look-up also runs
+// during unrelated crashes and must not be refused for long.
+const strikeTTL = 30 * time.Second
 
 // Options configure a gate.
 type Options struct {
-	// Name and DataCentre are those of this instance.
+	// Name and DataCentre are the name and the data centre of this instance.
 	Name       string
 	DataCentre string
 	// KeysGoodFor is how long keys are accepted after the configuration was last confirmed; 0
 	// means forever.
 	KeysGoodFor time.Duration
-	// ConfigGoodFor is how long after its last confirmation the configuration is trusted to
-	// know every route and key; 0 means forever.
+	// ConfigGoodFor is how long after its last confirmation the configuration is assumed to
+	// contain every route and key; 0 means forever.
 	ConfigGoodFor time.Duration
-	// RetryRatio, RetrySlack and RetryWindow bound the retries of all instances together:
-	// ratio x requests + slack in each window.
+	// RetryRatio, RetrySlack and RetryWindow bound the retries of all instances together to
+	// RetryRatio x requests + RetrySlack in each window.
 	RetryRatio  float64
 	RetrySlack  float64
 	RetryWindow time.Duration
@@ -44,39 +44,42 @@
 	Regions map[string]string
 	// Without lists disabled mechanisms, for comparison.
 	Without mechanism.Set
-	// Seed feeds tie-breaking.
+	// Seed initialises the random numbers that break ties.
 	Seed uint64
 }
 
 // Gate makes the decisions of one instance. It is not safe for concurrent use.
 type Gate struct {
-	options   Options
-	table     *route.Table
-	confirmed time.Time
-	roster    *roster.Roster
-	cordons   cordon.Set
-	// cordoned and lifted hold when each data centre was last cordoned and uncordoned.
-	cordoned, lifted map[string]time.Time
-	loads            map[*roster.Upstream]*load
-	// strangers holds upstreams that are not in the roster, known from grants, while calls run
-	// there.
-	strangers map[string]*roster.Upstream
-	budgets   map[string]*budget
-	suspects  *suspect.List
+	options     Options
+	table       *route.Table
+	confirmedAt time.Time
+	roster      *roster.Roster
+	cordons     cordon.Set
+	// cordonedAt and liftedAt hold the times when each data centre was last cordoned and
+	// uncordoned.
+	cordonedAt, liftedAt map[string]time.Time
+	loads                map[*roster.Upstream]*load
+	// unlisted holds upstreams that are known from grants only and not in the roster, while
+	// calls run there.
+	unlisted map[string]*roster.Upstream
+	budgets  map[string]*budget
+	suspects *suspect.List
+	// instances is the number of instances that share the retry budget.
 	instances int
 	// peers are the live instances, including this one.
 	peers []Peer
 	// alone is set if no other instance is ready.
-	alone    bool
+	alone bool
+	// draining is set once this instance refuses streams because it is shutting down.
 	draining bool
 	rng      *rand.Rand
 }
 
-// New returns a gate without a configuration.
+// New returns a gate without a configuration, which refuses every request.
 func New(o Options) *Gate {
 	return &Gate{
-		options: o, roster: roster.New(), cordoned: map[string]time.Time{}, lifted: map[string]time.Time{}, loads: map[*roster.Upstream]*load{}, strangers: map[string]*roster.Upstream{},
-		budgets: map[string]*budget{}, suspects: suspect.NewList(crashMemory),
+		options: o, roster: roster.New(), cordonedAt: map[string]time.Time{}, liftedAt: map[string]time.Time{}, loads: map[*roster.Upstream]*load{}, unlisted: map[string]*roster.Upstream{},
+		budgets: map[string]*budget{}, suspects: suspect.NewList(strikeTTL),
 		instances: 1, rng: rand.New(rand.NewPCG(o.Seed, o.Seed)),
 	}
 }
@@ -87,8 +90,9 @@
 // Table returns the configuration in force, or nil.
 func (g *Gate) Table() *route.Table { return g.table }
 
-// Adopt puts a newer configuration in force. Older ones, from stale reads or lagging peers,
-// are ignored: reverting would serve removed routes and keys.
+// Adopt puts a newer configuration in force and reports whether it did. Older versions, which
+// arrive from stale reads or lagging peers, are ignored: reverting would serve removed routes
+// and keys.
 func (g *Gate) Adopt(t *route.Table) bool {
 	if g.table != nil && t.Version <= g.table.Version {
 		return false
@@ -97,16 +101,16 @@
 	return true
 }
 
-// Confirm records that the configuration was the newest at the time the confirming question
-// was asked.
+// Confirm records that the configuration was the newest at the time when the confirming query
+// was sent.
 func (g *Gate) Confirm(asked time.Time) {
-	if asked.After(g.confirmed) {
-		g.confirmed = asked
+	if asked.After(g.confirmedAt) {
+		g.confirmedAt = asked
 	}
 }
 
-// Confirmed returns the time for which the configuration was last confirmed.
-func (g *Gate) Confirmed() time.Time { return g.confirmed }
+// Confirmed returns the latest time at which the configuration is known to have been the newest.
+func (g *Gate) Confirmed() time.Time { return g.confirmedAt }
 
 // service returns a service of the configuration in force, or nil.
 func (g *Gate) service(name string) *route.Service {
@@ -117,20 +121,21 @@
 }
 
 // KeysGood reports whether keys may be accepted. A key may have been revoked since the last
-// confirmation and must not be accepted beyond the revocation bound.
+// confirmation and must not be accepted beyond Options.KeysGoodFor.
 func (g *Gate) KeysGood(now time.Time) bool {
-	return g.options.KeysGoodFor == 0 || now.Sub(g.confirmed) < g.options.KeysGoodFor
+	return g.options.KeysGoodFor == 0 || now.Sub(g.confirmedAt) < g.options.KeysGoodFor
 }
 
 // SetInstances sets the number of instances that share the retry budget.
 func (g *Gate) SetInstances(n int) { g.instances = max(n, 1) }
 
-// Strike records that an upstream crashed while running a request with this fingerprint.
-// Requests with two strikes from different crashes are refused. It reports whether the strike
-// was new.
+// Strike records that an upstream crashed while running a request with this fingerprint, and
+// reports whether the strike was new. Requests with two strikes from different crashes are
+// refused.
 func (g *Gate) Strike(now time.Time, s suspect.Strike) bool { return g.suspects.Strike(now, s) }
 
-// Configure updates the bounds.
+// Configure replaces the options, except Name, DataCentre, Without and Seed, and resets the
+// retry budgets.
 func (g *Gate) Configure(o Options) {
 	o.Seed, o.Name, o.DataCentre = g.options.Seed, g.options.Name, g.options.DataCentre
 	o.Without = g.options.Without
@@ -138,9 +143,9 @@
 	g.budgets = map[string]*budget{}
 }
 
-// SetAlone sets whether no other instance is ready; refused callers then gain nothing by
-// retrying elsewhere at once.
+// SetAlone sets whether no other instance is ready, in which case callers gain nothing by
+// retrying at another instance at once.
 func (g *Gate) SetAlone(alone bool) { g.alone = alone }
 
-// Drain makes the gate refuse long-running requests.
+// Drain makes the gate refuse new streams.
 func (g *Gate) Drain() { g.draining = true }
--- a/internal/core/forward/load.go
+++ b/internal/core/forward/load.go
@@ -7,23 +7,24 @@
 	"mulberrylug.example/mulberrylug/internal/core/roster"
 )
 
-// Report is an upstream's own load, as reported in an answer.
+// Report is the load that an upstream reported in a response, in requests.
 type Report struct {
 	Running int
 	Waiting int
 	Slots   int
 }
 
-// load is what is known of an upstream's load and health.
+// load is the known load and health of an upstream.
 type load struct {
 	// calls and tokens count this instance's own attempts in progress.
 	calls  int
 	tokens int
 	// report is the last reported load.
-	report    Report
-	reported  time.Time
-	restUntil time.Time
-	// coldShare is this instance's share while the upstream is cold, else nil.
+	report     Report
+	reportedAt time.Time
+	// backoffUntil is the end of the backoff after a failed dial; zero if there was none.
+	backoffUntil time.Time
+	// coldShare is this instance's share of the upstream's rate while it is cold, else nil.
 	coldShare *coldShare
 	health.Record
 }
@@ -37,23 +38,23 @@
 	return l
 }
 
-// Observe records an upstream's reported load.
+// Observe records the load that an upstream reported.
 func (g *Gate) Observe(now time.Time, u *roster.Upstream, r Report) {
 	l := g.load(u)
-	l.report, l.reported = r, now
+	l.report, l.reportedAt = r, now
 }
 
-// forget drops upstreams that are gone and idle.
-func (g *Gate) forget() {
+// pruneLoads drops the loads of upstreams that are idle and not in the roster.
+func (g *Gate) pruneLoads() {
 	for u, l := range g.loads {
 		if l.calls > 0 {
 			continue
 		}
-		stranger := g.strangers[u.ID] == u
-		if stranger {
-			delete(g.strangers, u.ID)
+		unlisted := g.unlisted[u.ID] == u
+		if unlisted {
+			delete(g.unlisted, u.ID)
 		}
-		if stranger || u.Gone {
+		if unlisted || u.Gone {
 			delete(g.loads, u)
 		}
 	}
--- a/internal/core/forward/pools_test.go
+++ b/internal/core/forward/pools_test.go
@@ -12,8 +12,9 @@
 	"mulberrylug.example/mulberrylug/internal/core/route"
 )
 
-// largeGate returns a gate whose generations go to a service of 600 upstreams, of
-// which it knows its own groups.
+// largeGate returns a gate for a service of 600 upstreams, which is divided into groups. Its
+// streams are generations. The roster contains only the groups that the gate's instance
+// chooses from.
 func largeGate(t *testing.T) *Gate {
 	t.Helper()
 	c := config(3)
@@ -43,92 +44,92 @@
 	return g
 }
 
-// A service has hundreds of upstreams. Each instance sends plain calls to some beside
-// it only, and asks the home of one part for each generation.
-func TestLargeServicesAreUsedInParts(t *testing.T) {
+// A service has hundreds of upstreams. Each instance must send plain calls only to some
+// groups of its data centre, and request grants for generations from several pools there.
+func TestLargeServicesAreUsedInGroups(t *testing.T) {
 	g := largeGate(t)
 	used := map[string]bool{}
 	for range 400 {
 		s := g.Start(start, admit(t, g, request("/safe/1")))
 		if s.Send == nil || s.Send.Entry.DataCentre != "dc-a" {
-			t.Fatalf("step %+v", s)
+			t.Fatalf("step %+v, want an attempt in dc-a", s)
 		}
 		used[s.Send.Entry.ID] = true
 	}
 	if len(used) < 20 || len(used) > 100 {
-		t.Errorf("%d upstreams are used", len(used))
+		t.Errorf("%d upstreams used, want 20 to 100", len(used))
 	}
 	pools := map[string]int{}
 	for range 400 {
-		c := admit(t, g, request("/draft/1"))
+		c := admit(t, g, request("/stream/1"))
 		if s := g.Start(start, c); !s.AskHome || roster.ParseGroup(c.Pool).DataCentre != "dc-a" {
-			t.Fatalf("pool %q, step %+v", c.Pool, s)
+			t.Fatalf("pool %q, step %+v, want a grant request to a pool in dc-a", c.Pool, s)
 		}
 		pools[c.Pool]++
 	}
 	if len(pools) < 8 {
-		t.Errorf("pools asked: %v", pools)
+		t.Errorf("grants requested from pools %v, want at least 8 pools", pools)
 	}
 }
 
-// The home of one part is full, or has lost its upstreams. That says little of the
-// others: another is asked before the caller is sent away.
-func TestAnotherPartIsAskedBeforeARefusal(t *testing.T) {
+// The pool of one group is full or has lost its upstreams, but other pools may have capacity.
+// One other pool must be asked before the caller is refused.
+func TestAnotherPoolIsAskedBeforeARefusal(t *testing.T) {
 	g := largeGate(t)
-	c := admit(t, g, request("/draft/1"))
+	c := admit(t, g, request("/stream/1"))
 	g.Start(start, c)
 	first, grant := c.Pool, c.Grant()
 	if s := g.HomeRefused(c, placement.ReasonQueueFull, time.Second); !s.AskHome || c.Pool == first || c.Grant() == grant {
-		t.Fatalf("pool %s after %s, step %+v", c.Pool, first, s)
+		t.Fatalf("pool %s after %s, step %+v, want a new grant request to another pool", c.Pool, first, s)
 	}
 	if s := g.HomeRefused(c, placement.ReasonQueueFull, time.Second); s.Refuse == nil || s.Refuse.RetryAfter != time.Second {
-		t.Errorf("step %+v, want a refusal with a time to come back", s)
+		t.Errorf("step %+v, want a refusal with the Retry-After of the home", s)
 	}
-	whole := gate(t, 1)
-	whole.table.Find("h", "/draft/").Generation = true
-	whole.table.Service("desk").Engine = &route.Engine{}
-	c = admit(t, whole, request("/draft/1"))
-	whole.next(start, c)
-	if s := whole.HomeRefused(c, placement.ReasonQueueFull, time.Second); s.Refuse == nil {
-		t.Errorf("a service that is whole has one pool: step %+v", s)
+	undivided := gate(t, 1)
+	undivided.table.Find("h", "/stream/").Generation = true
+	undivided.table.Service("desk").Engine = &route.Engine{}
+	c = admit(t, undivided, request("/stream/1"))
+	undivided.nextStep(start, c)
+	if s := undivided.HomeRefused(c, placement.ReasonQueueFull, time.Second); s.Refuse == nil {
+		t.Errorf("undivided service with one pool: step %+v, want a refusal", s)
 	}
 }
 
-// A home grants an upstream that its entry does not know. The entry takes the home's
-// word for it, and forgets it once nothing of its own runs there.
-func TestAGrantNamesAnUnknownUpstream(t *testing.T) {
+// A home grants an upstream that is not in the entry's roster. The entry must use the roster
+// entry in the grant, and drop it when its last call there ends.
+func TestAGrantForAnUnknownUpstreamIsUsed(t *testing.T) {
 	g := largeGate(t)
-	c := admit(t, g, request("/draft/1"))
+	c := admit(t, g, request("/stream/1"))
 	g.Start(start, c)
 	e := roster.Entry{ID: "unknown", Service: "desk", Address: "unknown:80", DataCentre: "dc-c", Born: 7}
 	s := g.Granted(start, start, c, msg.GrantAnswer{
 		Pool: c.Pool, Entry: &e, TTL: time.Second, Decision: placement.Decision{Kind: placement.Granted, Upstream: e.ID},
 	})
 	if s.Send == nil || s.Send.Entry != e {
-		t.Fatalf("step %+v", s)
+		t.Fatalf("step %+v, want an attempt at the granted upstream", s)
 	}
 	g.Leaves(start, s.Send)
 	if !s.Send.Leaving() {
-		t.Error("the home's word that it leaves is lost")
+		t.Error("upstream is not leaving after the home's notice")
 	}
 	g.Ended(start, c, Done, true)
-	if len(g.strangers) != 0 || g.loads[s.Send.Upstream] != nil {
-		t.Error("it is still remembered")
+	if len(g.unlisted) != 0 || g.loads[s.Send.Upstream] != nil {
+		t.Error("upstream is still stored after its last call ended")
 	}
 }
 
-// A home's grant names an upstream that has gone from the list here meanwhile. The home
-// knows less, and the upstream must get nothing new.
-func TestAGrantForAnUpstreamThatHasGoneIsNotUsed(t *testing.T) {
+// A home grants an upstream that has been removed from the entry's roster meanwhile. The
+// home's roster is older, and the upstream must get no new requests.
+func TestAGrantForARemovedUpstreamIsNotUsed(t *testing.T) {
 	g := largeGate(t)
-	c := admit(t, g, request("/draft/1"))
+	c := admit(t, g, request("/stream/1"))
 	g.Start(start, c)
-	gone := g.Roster().All()[0].Entry
-	g.Roster().Update(start, []roster.Change{{ID: gone.ID, Version: 601, Removed: true}}, 601)
+	removed := g.Roster().All()[0].Entry
+	g.Roster().Update(start, []roster.Change{{ID: removed.ID, Version: 601, Removed: true}}, 601)
 	s := g.Granted(start, start, c, msg.GrantAnswer{
-		Pool: c.Pool, Entry: &gone, TTL: time.Second, Decision: placement.Decision{Kind: placement.Granted, Upstream: gone.ID},
+		Pool: c.Pool, Entry: &removed, TTL: time.Second, Decision: placement.Decision{Kind: placement.Granted, Upstream: removed.ID},
 	})
-	if s.Send != nil && s.Send.Entry.ID == gone.ID {
-		t.Error("it gets a request")
+	if s.Send != nil && s.Send.Entry.ID == removed.ID {
+		t.Error("request sent to a removed upstream")
 	}
 }
--- a/internal/core/forward/property_test.go
+++ b/internal/core/forward/property_test.go
@@ -15,11 +15,12 @@
 
 var outcomes = []Outcome{Done, NotSent, Rejected, Misdirected, Lost, Failed, Cut}
 
-var paths = []string{"/once/1", "/twice/1", "/safe/1", "/draft/1", "/brief/1"}
+var paths = []string{"/once/1", "/twice/1", "/safe/1", "/stream/1", "/resumable/1"}
 
-// play drives one call through outcomes; draws also decide whether a move was
-// ordered meanwhile, and whether events have come. It returns what went wrong.
-func play(path string, draws []int) string {
+// runCall runs one call through a series of attempts. Each draw selects the outcome of an
+// attempt, the time that it takes, whether it delivers an event, and whether a move was
+// ordered meanwhile. runCall returns the violated rule, or "".
+func runCall(path string, draws []int) string {
 	g := New(options())
 	g.Adopt(route.NewTable(config(3)))
 	g.SetCordons(start, cordon.NewSet(1, nil))
@@ -40,7 +41,7 @@
 			sends++
 		}
 		if ran && !c.Route.Repeatable() && a.CopyAt == "" {
-			return "sent anew after it may have run"
+			return "unrepeatable call sent again after it may have run"
 		}
 		o := outcomes[d%len(outcomes)]
 		if c.Route.Kind == route.Stream && d&8 != 0 && (o == Cut || o == Done) {
@@ -66,22 +67,22 @@
 	case runs > c.Route.MaxAttempts || sends > c.Route.MaxAttempts:
 		return "more attempts than the route allows"
 	case s.Refuse != nil && PromisesNotRun(s.Refuse.Status) && ran:
-		return "told that it has not run, though it may have"
+		return "status promises that the call has not run, but it may have run"
 	case s.Refuse != nil && begun:
-		return "an answer of its own after the head of another"
+		return "refusal sent after the response header was delivered"
 	}
 	return ""
 }
 
-// Whatever happens to the attempts of a call, in whatever order: one that may
-// not be repeated runs once, no call is sent more often than its route allows,
-// and "not run" is only said of a call that has not run.
+// For any sequence of outcomes of a call's attempts: a call that is not repeatable runs at
+// most once, no call is sent more often than its route allows, and a status promises that the
+// call has not run only if that is true.
 func TestPropertyAttemptsKeepTheirPromises(t *testing.T) {
 	p := testkit.Parameters()
 	p.MinSuccessfulTests *= 3
 	props := gopter.NewProperties(p)
 	props.Property("attempts keep their promises", prop.ForAll(
-		func(path int, draws []int) string { return play(paths[path], draws) },
+		func(path int, draws []int) string { return runCall(paths[path], draws) },
 		gen.IntRange(0, len(paths)-1), gen.SliceOfN(12, gen.IntRange(0, 63)),
 	))
 	props.TestingRun(t)
--- a/internal/core/forward/region.go
+++ b/internal/core/forward/region.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// restrict intersects the regions allowed by a route and an organisation; an empty list allows
-// all. It reports false if nothing is left.
-func restrict(byRoute, byOrganisation []string) (regions []string, ok bool) {
+// intersectRegions returns the regions that both a route and an organisation allow; an empty list
+// allows all. It reports false if no region is allowed by both.
+func intersectRegions(byRoute, byOrganisation []string) (regions []string, ok bool) {
 	switch {
 	case len(byRoute) == 0:
 		return byOrganisation, true
@@ -19,13 +19,13 @@
 	return regions, len(regions) > 0
 }
 
-// inRegion reports whether a call may run in a data centre. A data centre of unknown region is
-// allowed only to unrestricted calls.
+// inRegion reports whether a data centre is in a region that a call may run in. A call with
+// restricted regions may not use a data centre of unknown region.
 func (g *Gate) inRegion(c *Call, dataCentre string) bool {
 	return len(c.Regions) == 0 || slices.Contains(c.Regions, g.options.Regions[dataCentre])
 }
 
-// allowedDataCentres lists the data centres that a call may run in; nil means all.
+// allowedDataCentres lists the data centres in the regions that a call may run in; nil means all.
 func (g *Gate) allowedDataCentres(c *Call) []string {
 	if len(c.Regions) == 0 {
 		return nil
--- a/internal/core/forward/region_test.go
+++ b/internal/core/forward/region_test.go
@@ -9,69 +9,71 @@
 
 var twoRegions = map[string]string{"dc-a": "north", "dc-b": "south", "dc-c": "south"}
 
-// A route, an organisation or both confine requests to regions. No attempt may go to an
-// upstream elsewhere, however near it is, and the pool's home must hear of it, too.
-func TestConfinedRequestsStayInTheirRegions(t *testing.T) {
+// A route, an organisation or both restrict requests to regions. No attempt may go to an
+// upstream in another region, even if it is nearer, and the grant request must contain the
+// restriction.
+func TestRestrictedRequestsStayInTheirRegions(t *testing.T) {
 	for _, c := range []struct {
-		name                string
-		byRoute, byCustomer []string
-		region              string
-		why                 Reason
+		name                    string
+		byRoute, byOrganisation []string
+		region                  string
+		reason                  Reason
 	}{
 		{name: "by the route", byRoute: []string{"south"}, region: "south"},
-		{name: "by the organisation", byCustomer: []string{"south"}, region: "south"},
-		{name: "by both", byRoute: []string{"north", "south"}, byCustomer: []string{"south", "east"}, region: "south"},
-		{name: "both in conflict", byRoute: []string{"north"}, byCustomer: []string{"south"}, why: NoRegion},
-		{name: "a region without upstreams", byRoute: []string{"east"}, why: OtherRegions},
+		{name: "by the organisation", byOrganisation: []string{"south"}, region: "south"},
+		{name: "by both", byRoute: []string{"north", "south"}, byOrganisation: []string{"south", "east"}, region: "south"},
+		{name: "no region in common", byRoute: []string{"north"}, byOrganisation: []string{"south"}, reason: NoRegion},
+		{name: "a region without upstreams", byRoute: []string{"east"}, reason: OtherRegions},
 	} {
 		g := spreadGate(t, 2, twoRegions, func(conf *route.Config) {
 			for k := range conf.Routes {
 				conf.Routes[k].Regions = c.byRoute
 			}
-			conf.Organisations[0].Regions = c.byCustomer
+			conf.Organisations[0].Regions = c.byOrganisation
 		})
 		for range 20 {
 			call, refusal := g.Admit(start, request("/safe/1"))
 			if refusal != nil {
-				if refusal.Reason != c.why {
-					t.Fatalf("%s: refused %+v", c.name, refusal)
+				if refusal.Reason != c.reason {
+					t.Fatalf("%s: unexpected refusal %+v", c.name, refusal)
 				}
 				continue
 			}
 			s := g.Start(start, call)
-			if c.why != "" {
-				if s.Refuse == nil || s.Refuse.Reason != c.why || s.Refuse.RetryAfter == 0 {
-					t.Fatalf("%s: step %+v", c.name, s)
+			if c.reason != "" {
+				if s.Refuse == nil || s.Refuse.Reason != c.reason || s.Refuse.RetryAfter == 0 {
+					t.Fatalf("%s: step %+v, want a refusal with a Retry-After", c.name, s)
 				}
 				continue
 			}
 			for n := 0; s.Send != nil; n++ {
 				if got := twoRegions[s.Send.Entry.DataCentre]; got != c.region {
-					t.Fatalf("%s: attempt %d goes to %s", c.name, n+1, got)
+					t.Fatalf("%s: attempt %d goes to region %s", c.name, n+1, got)
 				}
 				s = g.Ended(start, call, Lost, false)
 			}
 			for _, dc := range g.Ask(start, call).Ask.DataCentres {
 				if twoRegions[dc] != c.region {
-					t.Errorf("%s: the home may choose %s", c.name, dc)
+					t.Errorf("%s: grant request allows data centre %s", c.name, dc)
 				}
 			}
 		}
 	}
 }
 
-// Where nothing is confined nothing is looked up: a deployment of one region pays nothing.
-func TestUnconfinedRequestsNameNoDataCentres(t *testing.T) {
+// The grant request of an unrestricted call lists no data centres, so that a deployment with
+// one region does no region look-ups.
+func TestUnrestrictedRequestsListNoDataCentres(t *testing.T) {
 	g := spreadGate(t, 1, twoRegions, nil)
-	c := admit(t, g, request("/draft/1"))
+	c := admit(t, g, request("/stream/1"))
 	if ask := g.Ask(start, c); ask.Ask.DataCentres != nil {
-		t.Errorf("ask %+v", ask)
+		t.Errorf("grant request %+v, want no data centres", ask)
 	}
 }
 
-// A divided service: an instance must know upstreams in the regions that requests at it may
-// be confined to, and ask pools there.
-func TestConfinedRequestsUsePartsInTheirRegions(t *testing.T) {
+// A service is divided into groups, and requests are restricted to a region. The instance
+// must choose from groups in that region and request grants from pools there.
+func TestRestrictedRequestsUseGroupsInTheirRegions(t *testing.T) {
 	g := largeGate(t)
 	g.options.Regions = twoRegions
 	conf := config(4)
@@ -88,12 +90,12 @@
 		}
 	}
 	if south == 0 {
-		t.Errorf("groups %v", g.OwnGroups())
+		t.Errorf("own groups %v, want some in region south", g.OwnGroups())
 	}
 	for range 20 {
-		c := admit(t, g, request("/draft/1"))
+		c := admit(t, g, request("/stream/1"))
 		if s := g.Start(start, c); !s.AskHome || twoRegions[roster.ParseGroup(c.Pool).DataCentre] != "south" {
-			t.Fatalf("pool %q, step %+v", c.Pool, s)
+			t.Fatalf("pool %q, step %+v, want a grant request to a pool in region south", c.Pool, s)
 		}
 	}
 }
--- a/internal/core/forward/request.go
+++ b/internal/core/forward/request.go
@@ -8,26 +8,26 @@
 	"mulberrylug.example/mulberrylug/internal/core/status"
 )
 
-// Request is a caller's request as far as decisions depend on it.
+// Request holds the properties of a caller's request that decisions depend on.
 type Request struct {
-	// ID is the caller's id of this attempt.
+	// ID is the request id. It also identifies the first grant.
 	ID   string
 	Host string
 	Path string
-	// Key is the API key, "" if there is none.
+	// Key is the API key, "" if the request carries none.
 	Key string
-	// Timeout is the caller's time limit; 0 if it set none.
+	// Timeout is the time limit that the caller set; 0 means none.
 	Timeout time.Duration
-	// PromptTokens and MaxOutput are the declared sizes of a generation, Hint the caller's
-	// estimate of the output, 0 if it gave none.
+	// PromptTokens and MaxOutput are the declared sizes of a generation, in tokens. Hint is the
+	// caller's estimate of the output in tokens; 0 means none.
 	PromptTokens int
 	MaxOutput    int
 	Hint         int
 	// Print is the fingerprint of path, key and body.
 	Print uint64
-	// Length is the Content-Length, -1 if unknown.
+	// Length is the Content-Length in bytes, -1 if unknown.
 	Length int64
-	// Replayable is set if the whole body is buffered.
+	// Replayable is set if the complete body is buffered, so that it can be sent again.
 	Replayable bool
 }
 
@@ -42,15 +42,16 @@
 	NoService  Reason = "no_service"
 	UnknownKey Reason = "unknown_key"
 	StaleKeys  Reason = "keys_not_confirmed"
-	// StaleConfig: the configuration lacks the route or key, but may be outdated.
+	// StaleConfig: the configuration lacks the route or key, but it may be outdated.
 	StaleConfig Reason = "configuration_not_confirmed"
 	NoUpstream  Reason = "no_upstream"
 	// Cordoned: all data centres that the request may use are cordoned.
 	Cordoned Reason = "cordoned"
-	// Cold: the remaining upstreams are cold and accept no more requests at present.
+	// Cold: the upstreams that could take the request are cold and accept no more requests at
+	// present.
 	Cold Reason = "upstreams_cold"
-	// OtherRegions: the service has no upstream in the allowed regions; NoRegion: route and
-	// organisation allow no region in common.
+	// OtherRegions: the service has no upstream in the allowed regions. NoRegion: no region is
+	// allowed by both the route and the organisation.
 	OtherRegions  Reason = "no_upstream_in_regions"
 	NoRegion      Reason = "no_region_allowed"
 	PoolFull      Reason = "pool_full"
@@ -66,16 +67,16 @@
 	GrantLapsed   Reason = "grant_lapsed"
 )
 
-// Refusal is an answer of the instance itself.
+// Refusal is an error response that the instance sends without forwarding one of an upstream.
 type Refusal struct {
 	Status int
 	Reason Reason
-	// RetryAfter tells the caller when to retry; 0 leaves it open.
+	// RetryAfter is the delay after which the caller should retry; 0 means unspecified.
 	RetryAfter time.Duration
 }
 
-// PromisesNotRun reports whether a status promises that the request has not run and never
-// will.
+// PromisesNotRun reports whether an HTTP status code promises that the request has not run and
+// never will.
 func PromisesNotRun(code int) bool {
 	switch code {
 	case status.ServiceUnavailable, status.TooManyRequests,
@@ -90,27 +91,28 @@
 
 // Outcomes of attempts.
 const (
-	// Done: the whole answer was delivered.
+	// Done: the complete response was delivered.
 	Done Outcome = "done"
 	// NotSent: no connection could be established and nothing was sent.
 	NotSent Outcome = "not_sent"
-	// Rejected: the upstream stated that it has not run the request.
+	// Rejected: the upstream responded that it has not run the request.
 	Rejected Outcome = "rejected"
-	// Misdirected: the address belongs to another upstream now; nothing ran.
+	// Misdirected: the address now belongs to another upstream, which did not run the request.
 	Misdirected Outcome = "misdirected"
-	// Lost: the request was sent without a usable answer, so it may have run.
+	// Lost: the request was sent and no usable response arrived, so it may have run.
 	Lost Outcome = "lost"
-	// Failed: the upstream answered with an error of its own.
+	// Failed: the upstream responded with an error, so the request may have run.
 	Failed Outcome = "failed"
-	// Cut: the answer ended after its head.
+	// Cut: the response broke off after its header.
 	Cut Outcome = "cut"
-	// Cancelled: the caller left or the deadline passed.
+	// Cancelled: the caller disconnected or the deadline passed.
 	Cancelled Outcome = "cancelled"
 )
 
 // Attempt is one transmission of a request to an upstream.
 type Attempt struct {
-	// Upstream may change at any time; Entry is its state when the attempt was decided.
+	// Upstream is the live state, which may change at any time. Entry is the upstream's roster
+	// entry at the time when it was chosen.
 	Upstream *roster.Upstream
 	Entry    roster.Entry
 	// Number counts the attempts of the call from 1.
@@ -119,11 +121,12 @@
 	// Within is the time limit passed to the upstream.
 	Within time.Duration
 	// GiveUp is when the attempt is cancelled in favour of another upstream; zero if only the
-	// call's deadline ends it.
+	// call's deadline limits it.
 	GiveUp time.Time
-	// CopyAt references a copy of the generation to continue from; "" starts from the
-	// beginning.
+	// CopyAt references the copy of a moved generation from which the upstream continues; ""
+	// starts from the beginning.
 	CopyAt string
+	// tokens is the estimated work, counted at the upstream while the attempt runs.
 	tokens int
 }
 
@@ -132,12 +135,13 @@
 	Request
 	Route   *route.Route
 	Service string
-	// Pool is the pool whose home was last asked.
+	// Pool is the pool whose home last received a grant request; "" if none did.
 	Pool string
 	// Organisation owns the key; "" on public routes.
 	Organisation string
-	Rank         int
-	// Regions restricts where the call may run; empty means no restriction.
+	// Rank is the urgency; 0 is the most urgent.
+	Rank int
+	// Regions lists the regions in which the call may run; empty means all.
 	Regions []string
 	Arrived time.Time
 	// Deadline is the earlier of the route's and the caller's time limit.
@@ -146,48 +150,52 @@
 	ConfigVersion int64
 	// Events counts the events delivered to the caller.
 	Events int
-	// LastEvent is the id of the last of them.
+	// LastEvent is the id of the last delivered event that had one.
 	LastEvent string
 
+	// current is the attempt in progress, nil between attempts.
 	current *Attempt
 	silence silence
-	// redirect lists where a moved generation can continue, best first.
-	redirect []*Attempt
-	// resumed is set while a resumed attempt has not delivered an event; redirect then holds
-	// the alternatives.
+	// resumeTargets lists the upstreams where a moved generation can continue, best first.
+	resumeTargets []*Attempt
+	// resumed is set from the start of a resumed attempt to its first event. Until then
+	// resumeTargets holds the alternatives.
 	resumed bool
-	// offers counts the pools asked.
-	offers int
-	// grants counts the requests for grants after the first.
-	grants int
-	sends  int
-	dials  int
+	// poolsAsked counts the pools that were asked for a grant.
+	poolsAsked int
+	// grantRetries counts the grant requests after the first.
+	grantRetries int
+	// sends counts the attempts, without failed dials and resumed attempts.
+	sends int
+	// dials counts the failed dials.
+	dials int
 	// mayHaveRun is set after an attempt ended without proof that it did not run.
 	mayHaveRun bool
-	tried      []*roster.Upstream
+	// tried lists the upstreams of all attempts except resumed ones.
+	tried []*roster.Upstream
 }
 
 // Current returns the attempt in progress, or nil.
 func (c *Call) Current() *Attempt { return c.current }
 
-// Sends returns the number of attempts so far.
+// Sends returns the number of attempts so far, without failed dials and resumed attempts.
 func (c *Call) Sends() int { return c.sends }
 
 // MayHaveRun reports whether an upstream may have run the request.
 func (c *Call) MayHaveRun() bool { return c.mayHaveRun }
 
-// Step is the next action for a call: exactly one field is set.
+// Step is the next action for a call. Exactly one field besides Why is set.
 type Step struct {
 	Send   *Attempt
 	Refuse *Refusal
-	// AskHome requests a grant from the pool's home.
+	// AskHome requests a grant from the home of the call's pool.
 	AskHome bool
-	// Relay passes on the upstream's error.
+	// Relay forwards the upstream's error response to the caller.
 	Relay bool
-	// Abort breaks off an answer whose head was already delivered.
+	// Abort breaks off a response whose header was already delivered.
 	Abort bool
-	// End finishes the call: the answer is complete or the caller has left.
+	// End finishes the call: the response is complete or the caller has disconnected.
 	End bool
-	// Why is the reason if nothing is sent.
+	// Why is the reason if nothing is sent to an upstream.
 	Why Reason
 }
--- a/internal/core/forward/retry.go
+++ b/internal/core/forward/retry.go
@@ -11,26 +11,27 @@
 )
 
 const (
-	// maxDials bounds failed dials per call. They are no attempts, but take time.
+	// maxDials is the maximum number of failed dials per call. They do not count as attempts, but
+	// take time.
 	maxDials = 4
-	// minTimeLeft is the minimum remaining time for which a request is sent.
+	// minTimeLeft is the minimum time before the deadline at which a request is still sent.
 	minTimeLeft = 20 * time.Millisecond
-	// retryAfterShare is the part of the remaining time after which an idempotent call is
-	// tried elsewhere.
-	retryAfterShare = 0.4
-	// busySoon is the Retry-After of a full pool.
-	busySoon = 500 * time.Millisecond
+	// attemptTimeShare is the fraction of the remaining time after which an idempotent call is
+	// retried at another upstream.
+	attemptTimeShare = 0.4
+	// busyRetryAfter is the Retry-After if the pool is full or no upstream can take the call.
+	busyRetryAfter = 500 * time.Millisecond
 )
 
 // Start returns the first step of a call.
-func (g *Gate) Start(now time.Time, c *Call) Step { return g.next(now, c) }
+func (g *Gate) Start(now time.Time, c *Call) Step { return g.nextStep(now, c) }
 
-// next asks the pool's home for a grant, or makes the next attempt.
-func (g *Gate) next(now time.Time, c *Call) Step {
-	if why := g.closed(c); why != "" {
-		return g.giveUp(c, why, laterFor(why, busySoon))
+// nextStep requests a grant from the pool's home, or starts the next attempt.
+func (g *Gate) nextStep(now time.Time, c *Call) Step {
+	if why := g.unavailableReason(c); why != "" {
+		return g.refuse(c, why, retryAfterFor(why, busyRetryAfter))
 	}
-	if g.wantsHome(c) {
+	if g.placedByHome(c) {
 		if c.Pool == "" {
 			g.nextPool(c)
 		}
@@ -39,25 +40,26 @@
 	return g.send(now, c)
 }
 
-// send makes the next attempt at the best upstream, or refuses.
+// send starts the next attempt at the best upstream, or refuses the call.
 func (g *Gate) send(now time.Time, c *Call) Step {
 	u := g.choose(now, c)
 	if u == nil {
-		if after := g.coldLater(now, c); after > 0 {
-			return g.giveUp(c, Cold, after)
+		if after := g.coldRetryAfter(now, c); after > 0 {
+			return g.refuse(c, Cold, after)
 		}
-		why := cmp.Or(g.closed(c), NoUpstream)
-		return g.giveUp(c, why, laterFor(why, busySoon))
+		why := cmp.Or(g.unavailableReason(c), NoUpstream)
+		return g.refuse(c, why, retryAfterFor(why, busyRetryAfter))
 	}
-	g.noteCold(now, u)
+	g.countColdSend(now, u)
 	return g.sendTo(now, c, u)
 }
 
 // Leaving reports whether the attempt's upstream is known to be leaving.
 func (a *Attempt) Leaving() bool { return !a.Upstream.LeavingSince.IsZero() }
 
-// Progress records that an event was delivered. A resumed attempt has then used up its copy:
-// alternatives left from the move must not be tried after it.
+// Progress records that an event was delivered to the caller; id is "" if the event had none.
+// The first event of a resumed attempt uses up the copy and discards the alternatives that
+// remain from the move, which must not be tried any more.
 func (c *Call) Progress(now time.Time, id string) {
 	c.Events++
 	c.silence.note(now, c.Route)
@@ -65,30 +67,32 @@
 		c.LastEvent = id
 	}
 	if c.resumed {
-		c.redirect, c.resumed = nil, false
+		c.resumeTargets, c.resumed = nil, false
 	}
 }
 
+// sendTo starts the next attempt at a given upstream, or refuses the call if too little time is
+// left.
 func (g *Gate) sendTo(now time.Time, c *Call, u *roster.Upstream) Step {
 	left := c.Deadline.Sub(now)
 	if left < minTimeLeft {
-		return g.giveUp(c, OutOfTime, 0)
+		return g.refuse(c, OutOfTime, 0)
 	}
 	c.sends++
 	a := &Attempt{Upstream: u, Entry: u.Entry, Number: c.sends, Sent: now, Within: left, tokens: c.tokens()}
 	c.tried = append(c.tried, u)
 	if c.Route.Kind == route.Idempotent && c.sends < c.Route.MaxAttempts {
-		a.GiveUp = now.Add(time.Duration(retryAfterShare * float64(left)))
+		a.GiveUp = now.Add(time.Duration(attemptTimeShare * float64(left)))
 	}
-	g.begin(c, a)
+	g.beginAttempt(c, a)
 	if c.sends > 1 {
-		g.budget(c.Service).repeat(now)
+		g.budget(c.Service).addRetry(now)
 	}
 	return Step{Send: a}
 }
 
-// begin starts an attempt and counts its load; settle reverts that.
-func (g *Gate) begin(c *Call, a *Attempt) {
+// beginAttempt makes an attempt the current one and adds its load, which recordOutcome removes.
+func (g *Gate) beginAttempt(c *Call, a *Attempt) {
 	c.current = a
 	c.silence.begin(a.Sent, c.Route)
 	l := g.load(a.Upstream)
@@ -97,12 +101,12 @@
 }
 
 // Ended processes the outcome of the current attempt and returns the next step. begun is set
-// if the head of an answer was delivered.
+// if a response header was delivered to the caller.
 func (g *Gate) Ended(now time.Time, c *Call, o Outcome, begun bool) Step {
 	a := c.current
 	c.current = nil
-	g.settle(now, c, a, o)
-	if len(c.redirect) > 0 && o != Done && o != Cancelled {
+	g.recordOutcome(now, c, a, o)
+	if len(c.resumeTargets) > 0 && o != Done && o != Cancelled {
 		c.mayHaveRun = true
 		return g.resume(now, c)
 	}
@@ -115,17 +119,17 @@
 		}
 		c.dials++
 		if c.dials >= maxDials {
-			return g.fail(c, NoUpstream, busySoon, begun)
+			return g.failCall(c, NoUpstream, busyRetryAfter, begun)
 		}
 	case Rejected, Misdirected:
 	default:
 		c.mayHaveRun = true
 	}
-	return g.again(now, c, o, begun)
+	return g.retry(now, c, o, begun)
 }
 
-// settle records the outcome at the attempt's upstream.
-func (g *Gate) settle(now time.Time, c *Call, a *Attempt, o Outcome) {
+// recordOutcome removes an attempt's load from its upstream and records the outcome there.
+func (g *Gate) recordOutcome(now time.Time, c *Call, a *Attempt, o Outcome) {
 	l := g.load(a.Upstream)
 	l.calls--
 	l.tokens -= a.tokens
@@ -133,55 +137,56 @@
 	case Done:
 		l.Note(now, false)
 	case NotSent, Misdirected:
-		// The list is out of date.
-		l.rest(now)
+		// The roster's entry is out of date.
+		l.backOff(now)
 	case Lost, Failed, Cut, Rejected:
 		g.noteFailure(now, l)
 	}
-	g.forget()
+	g.pruneLoads()
 }
 
-// again retries the call if route, budget and body allow it.
-func (g *Gate) again(now time.Time, c *Call, o Outcome, begun bool) Step {
+// retry retries the call if the route, the retry budget and the buffered body allow it.
+func (g *Gate) retry(now time.Time, c *Call, o Outcome, begun bool) Step {
 	switch {
 	case c.mayHaveRun && !c.Route.Repeatable():
-		// This also holds if the last failure was a dial to a copy of the generation.
-		return g.failAs(c, o, Unrepeatable, begun)
+		// This also applies if the last failure was a failed dial to a copy of the generation.
+		return g.failAttempt(c, o, Unrepeatable, begun)
 	case !c.Replayable && o != NotSent:
-		return g.failAs(c, o, NotReplayable, begun)
+		return g.failAttempt(c, o, NotReplayable, begun)
 	case c.sends >= c.Route.MaxAttempts || g.options.Without.Has(mechanism.Retries) && o != NotSent:
-		return g.failAs(c, o, NoAttempts, begun)
-	case o != NotSent && !g.mayRepeat(now, c.Service):
-		return g.failAs(c, o, NoBudget, begun)
+		return g.failAttempt(c, o, NoAttempts, begun)
+	case o != NotSent && !g.retryAllowed(now, c.Service):
+		return g.failAttempt(c, o, NoBudget, begun)
 	}
-	c.grants++
-	s := g.next(now, c)
+	c.grantRetries++
+	s := g.nextStep(now, c)
 	if s.Send == nil && !s.AskHome {
-		return g.failAs(c, o, s.Why, begun)
+		return g.failAttempt(c, o, s.Why, begun)
 	}
 	return s
 }
 
-// failAs ends a call after a failed attempt; an upstream's own error is passed on.
-func (g *Gate) failAs(c *Call, o Outcome, why Reason, begun bool) Step {
+// failAttempt ends a call after a failed attempt. The error response of an upstream is forwarded.
+func (g *Gate) failAttempt(c *Call, o Outcome, why Reason, begun bool) Step {
 	if o == Failed && !begun {
 		return Step{Relay: true, Why: why}
 	}
 	if o == Rejected && why == NoAttempts {
 		why = PoolFull
 	}
-	return g.fail(c, why, laterFor(why, busySoon), begun)
+	return g.failCall(c, why, retryAfterFor(why, busyRetryAfter), begun)
 }
 
-func (g *Gate) fail(c *Call, why Reason, after time.Duration, begun bool) Step {
+// failCall ends a call: it refuses the call, or breaks off a response that has begun.
+func (g *Gate) failCall(c *Call, why Reason, after time.Duration, begun bool) Step {
 	if begun {
 		return Step{Abort: true, Why: why}
 	}
-	return g.giveUp(c, why, after)
+	return g.refuse(c, why, after)
 }
 
-// giveUp refuses a call. Only calls that certainly did not run get a status that promises so.
-func (g *Gate) giveUp(c *Call, why Reason, after time.Duration) Step {
+// refuse refuses a call. Only a call that certainly did not run gets a status that promises this.
+func (g *Gate) refuse(c *Call, why Reason, after time.Duration) Step {
 	code := status.ServiceUnavailable
 	if c.mayHaveRun {
 		code, after = status.BadGateway, 0
@@ -197,7 +202,7 @@
 	if a := c.current; a != nil {
 		c.current = nil
 		c.mayHaveRun = true
-		g.settle(now, c, a, Lost)
+		g.recordOutcome(now, c, a, Lost)
 	}
-	return g.fail(c, OutOfTime, 0, begun)
+	return g.failCall(c, OutOfTime, 0, begun)
 }
--- a/internal/core/forward/silence.go
+++ b/internal/core/forward/silence.go
@@ -10,30 +10,31 @@
 
 const (
 	// silenceFactor is the time without an event, in multiples of the route's maximum gap,
-	// after which the upstream is asked. Lost packets and moves take one to one and a half
-	// gaps.
+	// after which the upstream is queried. Lost packets and moves delay events by one to one
+	// and a half gaps.
 	silenceFactor = 2
-	// minSilence is its minimum: upstream reports lag by some hundred milliseconds.
+	// minSilence is the minimum time without an event before a query: upstream reports lag by
+	// some hundred milliseconds.
 	minSilence = 300 * time.Millisecond
-	// firstShare is the part of the target latency after which an upstream is asked about a
-	// stream that has not begun.
-	firstShare = 0.6
-	// questionInterval is the initial interval between questions about a stream. It doubles up
-	// to maxQuestionInterval: questions are priced, and a loaded engine can be silent for
-	// seconds.
-	questionInterval    = 300 * time.Millisecond
-	maxQuestionInterval = 2400 * time.Millisecond
-	// missingSure is the number of consecutive reports without the generation that prove it
-	// gone: the first may predate its start.
-	missingSure = 2
+	// firstQueryShare is the fraction of the target latency after which an upstream is queried
+	// about a stream that has not delivered any event.
+	firstQueryShare = 0.6
+	// queryInterval is the initial interval between queries about a stream. It doubles up to
+	// maxQueryInterval: queries are priced, and a loaded engine can be silent for seconds.
+	queryInterval    = 300 * time.Millisecond
+	maxQueryInterval = 2400 * time.Millisecond
+	// missingReports is the number of consecutive reports without the generation that prove that
+	// the upstream does not run it: the first report may predate its start.
+	missingReports = 2
 )
 
 // RunReport is an upstream's report about one generation.
 type RunReport struct {
-	// Listed is set if the upstream runs it; Events counts the events produced.
+	// Listed is set if the upstream runs the generation. Events is the number of events that it
+	// has produced.
 	Listed bool
 	Events int
-	// Waiting counts the requests queued at the upstream.
+	// Waiting is the number of requests queued at the upstream.
 	Waiting int
 }
 
@@ -42,64 +43,69 @@
 
 // Findings about silent streams.
 const (
-	// FindingWaits: no event is missing here.
+	// FindingWaits: no event is known to be missing, or the generation can be neither moved nor
+	// repeated. The call keeps waiting.
 	FindingWaits Finding = "waits"
-	// FindingLinkSilent: the upstream produces events that do not arrive.
+	// FindingLinkSilent: the upstream produces events that do not arrive, and the generation can
+	// be moved.
 	FindingLinkSilent Finding = "link_silent"
-	// FindingGone: the upstream does not run the generation, or produces it for nobody.
+	// FindingGone: the upstream does not run the generation, or its events do not arrive and the
+	// generation can be repeated at another upstream.
 	FindingGone Finding = "gone"
 )
 
-// silence tracks the time without events of an attempt.
+// silence tracks how long an attempt's stream has delivered no event, and the queries about it.
 type silence struct {
-	// heard is the time of the last event, or of the attempt's start; begun is set after the
-	// first event.
-	heard time.Time
-	begun bool
-	// next is the time of the next question, questions the number since the last event.
-	next      time.Time
-	questions int
-	// missing counts consecutive reports without the generation.
+	// lastEvent is the time of the last event, or of the attempt's start before the first event;
+	// begun is set after the first event.
+	lastEvent time.Time
+	begun     bool
+	// nextQuery is the time of the next query, queries the number of queries since the last
+	// event.
+	nextQuery time.Time
+	queries   int
+	// missing is the number of consecutive reports without the generation.
 	missing int
 }
 
-// begin starts tracking an attempt.
+// begin resets the state at the start of an attempt.
 func (s *silence) begin(now time.Time, r *route.Route) {
-	first := max(time.Duration(firstShare*float64(r.Target)), minSilence)
-	*s = silence{heard: now, next: now.Add(first)}
+	first := max(time.Duration(firstQueryShare*float64(r.Target)), minSilence)
+	*s = silence{lastEvent: now, nextQuery: now.Add(first)}
 }
 
-// note records an event.
+// note records the arrival of an event.
 func (s *silence) note(now time.Time, r *route.Route) {
-	*s = silence{heard: now, begun: true, next: now.Add(max(silenceFactor*r.MaxGap, minSilence))}
+	*s = silence{lastEvent: now, begun: true, nextQuery: now.Add(max(silenceFactor*r.MaxGap, minSilence))}
 }
 
-// QuestionDue reports whether the upstream must be asked about a stream that has been silent
-// for too long, and schedules the next question. A connection may have lost its state in the
-// network, so that it stays open but delivers nothing. Only engines report their generations.
+// QuestionDue reports whether a query to the upstream is due about a stream that has been silent
+// for too long, and schedules the next query. A network device may have lost track of the
+// connection, which then stays open but delivers nothing. Only engines report their generations.
 func (g *Gate) QuestionDue(now time.Time, c *Call) bool {
 	if g.options.Without.Has(mechanism.SilenceProbes) {
 		return false
 	}
-	if c.current == nil || !c.Route.Generation || c.Route.Kind != route.Stream || now.Before(c.silence.next) {
+	if c.current == nil || !c.Route.Generation || c.Route.Kind != route.Stream || now.Before(c.silence.nextQuery) {
 		return false
 	}
 	if s := g.table.Service(c.Service); s == nil || s.Engine == nil {
 		return false
 	}
-	pause := min(questionInterval<<min(c.silence.questions, 8), maxQuestionInterval)
-	c.silence.questions++
-	c.silence.next = now.Add(pause)
+	interval := min(queryInterval<<min(c.silence.queries, 8), maxQueryInterval)
+	c.silence.queries++
+	c.silence.nextQuery = now.Add(interval)
 	return true
 }
 
-// Judge interprets an upstream's report about an attempt. Without moves, a stream that an
-// engine produces for nobody is given up if it can be resumed elsewhere.
+// Judge returns the diagnosis for an attempt from the upstream's report, which was requested at
+// the time asked. A stream whose events do not arrive is moved if the engine supports moves, else
+// abandoned if it can be resumed at another upstream.
 func (g *Gate) Judge(c *Call, a *Attempt, asked time.Time, r RunReport) Finding {
 	switch {
-	case c.current != a || c.silence.heard.After(asked):
-		return FindingWaits // it has spoken meanwhile, or ended
-	case r.Listed && r.Events > c.Events && g.moves(c):
+	case c.current != a || c.silence.lastEvent.After(asked):
+		return FindingWaits // an event has arrived since, or the attempt has ended
+	case r.Listed && r.Events > c.Events && g.canMove(c):
 		return FindingLinkSilent
 	case r.Listed && r.Events > c.Events && c.Route.Repeatable():
 		return FindingGone
@@ -108,17 +114,18 @@
 		return FindingWaits
 	}
 	c.silence.missing++
-	if c.silence.missing < missingSure {
+	if c.silence.missing < missingReports {
 		return FindingWaits
 	}
 	return FindingGone
 }
 
-// moves reports whether the call's generation can be moved.
-func (g *Gate) moves(c *Call) bool {
+// canMove reports whether the call's generation can be moved.
+func (g *Gate) canMove(c *Call) bool {
 	s := g.table.Service(c.Service)
 	return s != nil && s.Engine != nil && s.Engine.Moves
 }
 
-// Refuge returns the upstream to move a generation to whose connection went silent, or nil.
+// Refuge returns the upstream to which to move a generation whose connection is silent, or nil if
+// no upstream accepts it.
 func (g *Gate) Refuge(now time.Time, c *Call) *roster.Upstream { return g.choose(now, c) }
