--- a/internal/core/watch/watch.go
+++ b/internal/core/watch/watch.go
@@ -1,80 +1,83 @@
-// Package watch decides where an instance gets updates of the configuration and the upstreams
-// from: the platform's store, or another instance that reads it. Calls to the store are
-// priced, so that few instances read it; the others ask those, and the store only if none of
-// them answers.
+// Package watch chooses the source from which an instance gets updates of the configuration and
+// the list of upstreams: the platform's store, or another instance that reads the store. Calls to
+// the store are priced, so only a few instances read it. The others query these instances, and
+// the store only if none of them responds.
 //
-// An instance that is cut off from the store can still confirm its configuration through
-// others. The age of an answer counts from when the question was sent, so that late or
-// repeated answers confirm nothing.
+// An instance that is cut off from the store can still confirm its configuration through other
+// instances. The age of a response counts from the time when the query was sent, so that late or
+// repeated responses confirm nothing.
 package watch
 
 import (
 	"time"
 )
 
-// Store is the source that is not an instance.
+// Store is the name of the platform's store as a source. All other sources are instances.
 const Store = ""
 
 const (
-	// PeerTimeout is how long an instance waits for another's answer, which takes PeerHold at
-	// most.
+	// PeerTimeout is how long an instance waits for the response of another instance. Without an
+	// update, that instance responds after PeerHold.
 	PeerTimeout = 900 * time.Millisecond
-	// PeerHold is the maximum time for which a question is held while there is no update.
+	// PeerHold is the maximum time for which an instance holds a query while it has no update.
 	PeerHold = 400 * time.Millisecond
 	// backoff is how long an unresponsive or outdated source is skipped.
 	backoff = 2 * time.Second
-	// startBackoff is the same for a source that knows nothing yet, because it just started.
+	// startBackoff is how long a source is skipped that has just started and has no data yet.
 	startBackoff = 300 * time.Millisecond
-	// maxOthers is the number of arbitrary instances that are tried once the designated ones
-	// and the store have failed.
+	// maxOthers is the maximum number of arbitrary instances that are tried if the designated
+	// instances have failed, and in a small fleet the store as well.
 	maxOthers = 6
-	// maxAge is the age of a confirmation from which another source is tried. A reader's
-	// questions to the store take up to a second each.
-	maxAge = 2200 * time.Millisecond
-	// RelayMore is added to it behind a relay, which holds its own questions for up to
-	// PeerHold.
+	// maxConfirmationAge is the maximum age of a source's confirmation before another source is
+	// tried. Each query of a reader to the store takes up to a second.
+	maxConfirmationAge = 2200 * time.Millisecond
+	// RelayMore is added to the maximum age if the source is a relay, because the reader
+	// holds the relay's queries for up to PeerHold.
 	RelayMore = PeerHold + 200*time.Millisecond
-	// maxAgeShare limits it to a part of the time for which keys are accepted after a
-	// confirmation.
-	maxAgeShare = 0.6
+	// keyAgeShare limits the maximum age to this fraction of the time for which keys are accepted
+	// after a confirmation.
+	keyAgeShare = 0.6
 )
 
-// Watch chooses among sources. It is not safe for concurrent use.
+// Watch chooses among sources and skips those that failed. It is not safe for concurrent use.
 type Watch struct {
-	stale time.Duration
-	bad   map[string]time.Time
+	// maxAge is the maximum age of a confirmation before another source is tried.
+	maxAge time.Duration
+	// skipUntil holds the end of the backoff of each source that failed.
+	skipUntil map[string]time.Time
 }
 
-// New returns a watch. keys is how long keys are accepted after a confirmation; 0 means
-// forever.
-func New(keys time.Duration) *Watch {
-	w := &Watch{stale: maxAge, bad: map[string]time.Time{}}
-	if keys > 0 {
-		w.stale = min(maxAge, time.Duration(maxAgeShare*float64(keys)))
+// New returns a Watch that skips no source. keysGoodFor is how long keys are accepted after a
+// confirmation; 0 means forever.
+func New(keysGoodFor time.Duration) *Watch {
+	w := &Watch{maxAge: maxConfirmationAge, skipUntil: map[string]time.Time{}}
+	if keysGoodFor > 0 {
+		w.maxAge = min(maxConfirmationAge, time.Duration(keyAgeShare*float64(keysGoodFor)))
 	}
 	return w
 }
 
 // Choice lists the sources that an instance may use.
 type Choice struct {
-	// Reads is set if it reads the store for the others, Standby if it does so when the reader
-	// fails.
+	// Reads is set if the instance reads the store for all others, Standby if it takes over when
+	// that reader fails.
 	Reads   bool
 	Standby bool
-	// Large is set in a large fleet, where few instances may read the store.
+	// Large is set in a large fleet, where only a few instances may read the store.
 	Large bool
-	// Ask lists the designated instances in order of preference, Others all live instances,
-	// rotated by instance.
+	// Ask lists the instances that are designated as sources, in order of preference. Others
+	// lists all other live instances, in a rotation that differs between instances.
 	Ask, Others []string
 }
 
-// Source returns the source to ask next.
+// Source returns the source to query next: the first one that is not being skipped, or else the
+// one whose backoff ends first.
 func (w *Watch) Source(now time.Time, c Choice) string {
-	order := order(c)
+	sources := sourceOrder(c)
 	best, until := Store, time.Time{}
-	for k, source := range order {
-		at, bad := w.bad[source]
-		if !bad || !now.Before(at) {
+	for k, source := range sources {
+		at, skipped := w.skipUntil[source]
+		if !skipped || !now.Before(at) {
 			return source
 		}
 		if k == 0 || at.Before(until) {
@@ -84,50 +87,51 @@
 	return best
 }
 
-// order lists the sources in order of preference: the store for a reader, the designated
-// instances for the others. If these fail the store comes next, then arbitrary instances: one
-// of them may reach the store when this one does not. In a large fleet the store comes last,
-// except for the standby, because hundreds of instances would read the full list at once if a
-// few relays failed.
-func order(c Choice) []string {
-	var order []string
-	first := c.Reads || len(c.Ask) == 0
-	if first {
-		order = append(order, Store)
+// sourceOrder lists the sources in order of preference. The store comes first for a reader, the
+// designated instances for the others. The store follows, and then arbitrary instances, one of
+// which may reach the store when this instance does not. In a large fleet the store comes last,
+// except for the standby, because otherwise hundreds of instances would read the full list of
+// upstreams at once if a few relays failed.
+func sourceOrder(c Choice) []string {
+	var sources []string
+	storeFirst := c.Reads || len(c.Ask) == 0
+	if storeFirst {
+		sources = append(sources, Store)
 	}
-	order = append(order, c.Ask...)
-	next := !first && (c.Standby || !c.Large)
-	if next {
-		order = append(order, Store)
+	sources = append(sources, c.Ask...)
+	storeNext := !storeFirst && (c.Standby || !c.Large)
+	if storeNext {
+		sources = append(sources, Store)
 	}
-	order = append(order, c.Others[:min(len(c.Others), maxOthers)]...)
-	if !first && !next {
-		order = append(order, Store)
+	sources = append(sources, c.Others[:min(len(c.Others), maxOthers)]...)
+	if !storeFirst && !storeNext {
+		sources = append(sources, Store)
 	}
-	return order
+	return sources
 }
 
 // Bad reports whether a source is being skipped.
-func (w *Watch) Bad(now time.Time, source string) bool { return now.Before(w.bad[source]) }
+func (w *Watch) Bad(now time.Time, source string) bool { return now.Before(w.skipUntil[source]) }
 
-// Failed records that a source did not answer.
-func (w *Watch) Failed(now time.Time, source string) { w.bad[source] = now.Add(backoff) }
+// Failed records that a source did not respond. The source is skipped for a while.
+func (w *Watch) Failed(now time.Time, source string) { w.skipUntil[source] = now.Add(backoff) }
 
-// Answered records the age of the confirmation in an answer; relayed is set if a relay gave
-// it. It reports whether the age is acceptable.
+// Answered records a source's response and reports whether its confirmation is recent enough;
+// otherwise the source is skipped for a while. age is the age of the confirmation, negative if
+// the source has no data. relayed is set if the source is a relay.
 func (w *Watch) Answered(now time.Time, source string, age time.Duration, relayed bool) bool {
-	stale := w.stale
+	maxAge := w.maxAge
 	if relayed {
-		stale += RelayMore
+		maxAge += RelayMore
 	}
 	switch {
 	case age < 0:
-		w.bad[source] = now.Add(startBackoff)
+		w.skipUntil[source] = now.Add(startBackoff)
 		return false
-	case age > stale:
-		w.bad[source] = now.Add(backoff)
+	case age > maxAge:
+		w.skipUntil[source] = now.Add(backoff)
 		return false
 	}
-	delete(w.bad, source)
+	delete(w.skipUntil, source)
 	return true
 }
--- a/internal/core/watch/watch_test.go
+++ b/internal/core/watch/watch_test.go
@@ -7,90 +7,91 @@
 
 var start = time.Unix(1000, 0)
 
-func TestReadersAskTheStoreOthersTheReaders(t *testing.T) {
+func TestReadersQueryTheStoreAndOthersTheReaders(t *testing.T) {
 	live := []string{"b", "c", "d"}
 	if got := New(0).Source(start, Choice{Reads: true, Ask: []string{"b"}, Others: live}); got != Store {
-		t.Errorf("a reader asks %q", got)
+		t.Errorf("reader queries %q, want the store", got)
 	}
 	if got := New(0).Source(start, Choice{Ask: []string{"a", "b"}, Others: []string{"a", "b", "c"}}); got != "a" {
-		t.Errorf("another asks %q, want the first reader", got)
+		t.Errorf("another instance queries %q, want the first reader", got)
 	}
 	if got := New(0).Source(start, Choice{}); got != Store {
-		t.Errorf("alone, it asks %q", got)
+		t.Errorf("only instance queries %q, want the store", got)
 	}
 }
 
-// Both readers fall silent at once, then the store as well: the instance asks
-// the next source each time, and comes back to the first when that has had time
-// to recover. Its callers notice nothing as long as one source answers.
-func TestFailedSourcesArePassedOver(t *testing.T) {
+// Both readers stop responding at once, then the store as well. The instance must query the next
+// source each time, and return to the first one after its backoff, so that its callers are not
+// affected as long as one source responds.
+func TestFailedSourcesAreSkipped(t *testing.T) {
 	w, live := New(0), []string{"a", "b", "c"}
 	want := []string{"a", "b", Store, "c"}
 	for _, source := range want {
 		if got := w.Source(start, Choice{Ask: []string{"a", "b"}, Others: live}); got != source {
-			t.Fatalf("asks %q, want %q", got, source)
+			t.Fatalf("queries %q, want %q", got, source)
 		}
 		w.Failed(start, source)
 		start = start.Add(time.Millisecond)
 	}
 	if got := w.Source(start, Choice{Ask: []string{"a", "b"}, Others: live}); got != "a" {
-		t.Errorf("with all of them bad it asks %q, want the one that failed first", got)
+		t.Errorf("queries %q after all sources failed, want the one that failed first", got)
 	}
 	if got := w.Source(start.Add(backoff), Choice{Ask: []string{"a", "b"}, Others: live}); got != "a" {
-		t.Errorf("after the pause it asks %q", got)
+		t.Errorf("queries %q after the backoff, want the first source", got)
 	}
 }
 
-// A reader is cut off from the store but not from the others. It answers, yet
-// what it knows gets old, and keys may have been taken away meanwhile: another
-// source is asked before that matters.
-func TestAReaderWithOldKnowledgeIsPassedOver(t *testing.T) {
+// A reader is cut off from the store but not from the other instances. It responds with a
+// confirmation that gets old, and keys may have been revoked since. Another source must be
+// queried before keys are refused.
+func TestAReaderWithAnOldConfirmationIsSkipped(t *testing.T) {
 	w := New(0)
-	w.Answered(start, "a", maxAge+time.Millisecond, false)
+	w.Answered(start, "a", maxConfirmationAge+time.Millisecond, false)
 	if got := w.Source(start, Choice{Ask: []string{"a", "b"}, Others: []string{"a", "b"}}); got != "b" {
-		t.Errorf("asks %q, want the other reader", got)
+		t.Errorf("queries %q, want the other reader", got)
 	}
 	w.Answered(start, "b", time.Second, false)
 	if got := w.Source(start, Choice{Ask: []string{"a", "b"}, Others: []string{"a", "b"}}); got != "b" {
-		t.Errorf("asks %q", got)
+		t.Errorf("queries %q after a recent confirmation of the other reader, want that one", got)
 	}
 }
 
-// A relay's knowledge is older than a reader's by its own wait, and no less sound:
-// held for old, it would send every instance of its data centre to the store.
-func TestARelaysKnowledgeMayBeOlder(t *testing.T) {
+// A relay's confirmation is older than a reader's by the time for which the relay's query was
+// held. If it counted as too old, every instance of the data centre would query the store.
+func TestARelaysConfirmationMayBeOlder(t *testing.T) {
 	w := New(0)
-	w.Answered(start, "a", maxAge+PeerHold, true)
+	w.Answered(start, "a", maxConfirmationAge+PeerHold, true)
 	if got := w.Source(start, Choice{Ask: []string{"a", "b"}, Others: nil}); got != "a" {
-		t.Errorf("asks %q, want the relay", got)
+		t.Errorf("queries %q, want the relay", got)
 	}
-	w.Answered(start, "a", maxAge+RelayMore+time.Millisecond, true)
+	w.Answered(start, "a", maxConfirmationAge+RelayMore+time.Millisecond, true)
 	if got := w.Source(start, Choice{Ask: []string{"a", "b"}, Others: nil}); got != "b" {
-		t.Errorf("asks %q, want another than the relay that knows nothing new", got)
+		t.Errorf("queries %q, want another source than the outdated relay", got)
 	}
 }
 
-// The relays of a data centre fail together. Its hundred instances ask the readers and
-// then some others; the store, which each would have to read whole, is the last.
-func TestLargeFleetsAskTheStoreLast(t *testing.T) {
+// The relays of a data centre fail together. Its hundred instances must query the readers and
+// then some other instances. The store must be the last source, because each instance would
+// have to read the full list of upstreams there.
+func TestLargeFleetsQueryTheStoreLast(t *testing.T) {
 	w := New(0)
 	c := Choice{Large: true, Ask: []string{"a"}, Others: []string{"a", "b", "c", "d", "e", "f", "g", "h"}}
 	for _, want := range []string{"a", "b", "c", "d", "e", "f", Store} {
 		if got := w.Source(start, c); got != want {
-			t.Fatalf("asks %q, want %q", got, want)
+			t.Fatalf("queries %q, want %q", got, want)
 		}
 		w.Failed(start, want)
 	}
 }
 
-// The reader of a large fleet falls silent. The standby, which asks it like all others,
-// turns to the store at once and not to instances that wait for it.
-func TestTheStandbyAsksTheStoreNext(t *testing.T) {
+// The reader of a large fleet stops responding. The standby, which queries it like all
+// others, must query the store next, not instances that themselves wait for the standby.
+func TestTheStandbyQueriesTheStoreNext(t *testing.T) {
 	w := New(0)
 	c := Choice{Standby: true, Large: true, Ask: []string{"a"}, Others: []string{"a", "b"}}
 	for _, want := range []string{"a", Store, "b"} {
 		if got := w.Source(start, c); got != want {
-			t.Fatalf("asks %q, want %q", got, want)
+			t.Fatalf("queries %q, want %q", got, want)
 		}
 		w.Failed(start, want)
 	}
