--- a/internal/core/fleet/directory.go
+++ b/internal/core/fleet/directory.go
@@ -10,31 +10,32 @@
 )
 
 const (
-	// minNear is the fewest near instances that are returned alone: a caller whose connection
-	// fails needs a second address to try.
+	// minNear is the minimum number of near instances for a response that contains only near
+	// instances: a caller whose connection fails needs a second address to try.
 	minNear = 2
-	// minNearShare is the part of an even share of the fleet that near instances must make up
-	// to be returned alone, so that a few instances do not carry the callers of many.
+	// minNearShare is the minimum number of near instances for such a response, as a fraction of
+	// an even share of the fleet per data centre or region, so that a few instances do not serve
+	// the callers of many.
 	minNearShare = 0.25
-	// Weighted answers: nearWeighted near instances are listed nearWeight times each,
-	// farWeighted instances of other data centres once. Callers pick an address at random and
-	// skip those that failed. A caller that loses its data centre also loses the instances
-	// that could name others, so a short list leads it to a far instance within a few
-	// attempts.
+	// In a weighted response nearWeighted near instances are listed nearWeight times each and
+	// farWeighted instances of other data centres once. Callers choose an address at random and
+	// skip those that failed. A caller that loses its data centre also loses the instances that
+	// it could ask for other addresses, so the list is short: the caller reaches a far instance
+	// within a few attempts.
 	nearWeighted = 3
 	nearWeight   = 6
 	farWeighted  = 2
 )
 
-// Place is the caller's location; unknown fields are empty.
+// Place is the location of a caller. Unknown fields are empty.
 type Place struct {
 	DataCentre string
 	Region     string
-	// Regions restricts the answer to instances in these regions and in the caller's own.
-	// Empty means no restriction.
+	// Regions restricts the response to instances in these regions and in the caller's own
+	// region. Empty means no restriction.
 	Regions []string
-	// Caller identifies the caller, "" if unknown. The same caller gets the same instances, so
-	// that it can reuse connections.
+	// Caller identifies the caller, "" if unknown. The same caller gets the same instances each
+	// time, so that it can reuse connections.
 	Caller string
 }
 
@@ -44,14 +45,14 @@
 	return len(near.Regions) == 0 || region == near.Region || slices.Contains(near.Regions, region)
 }
 
-// Addresses returns the addresses of up to most live, ready instances for a caller. Instances
-// of the caller's data centre are preferred, then those of its region, as long as they are
-// enough to carry the load: connections that stay within a data centre are not exposed to
-// packet loss between data centres, where one retransmission exceeds the allowed gap between
-// events. Successive answers rotate through the candidates if there are more than most.
+// Addresses returns the addresses of up to limit instances that accept callers. Instances of the
+// caller's data centre are preferred, then those of its region, if there are enough of them to
+// carry the load: connections within a data centre are not exposed to packet loss between data
+// centres, where one retransmission exceeds the allowed gap between events. Successive responses
+// rotate through the instances if there are more than limit.
 //
-// For an identified caller the answer is weighted: see nearWeight.
-func (f *Fleet) Addresses(near Place, most int) []string {
+// For an identified caller the response is weighted, as described at nearWeighted.
+func (f *Fleet) Addresses(near Place, limit int) []string {
 	ready := slices.DeleteFunc(f.ready(), func(b msg.Heartbeat) bool { return !f.mayConnect(near, b.DataCentre) })
 	for _, group := range []struct {
 		of   func(dataCentre string) string
@@ -63,31 +64,31 @@
 		in := nearest(ready, group.of, group.near)
 		switch {
 		case in == nil:
-		case near.Caller == "" || len(in) == len(ready) || most < nearWeighted*nearWeight+farWeighted:
-			return f.window(in, most)
+		case near.Caller == "" || len(in) == len(ready) || limit < nearWeighted*nearWeight+farWeighted:
+			return f.window(in, limit)
 		default:
 			return weighted(in, ready, near.Caller)
 		}
 	}
-	return f.window(ready, most)
+	return f.window(ready, limit)
 }
 
-// weighted returns the weighted answer for one caller.
+// weighted returns the weighted response for one caller; in lists the near instances.
 func weighted(in, ready []msg.Heartbeat, caller string) []string {
 	var out []string
-	named := map[string]bool{}
+	usedDCs := map[string]bool{}
 	for _, b := range ranked(in, caller)[:min(nearWeighted, len(in))] {
 		for range nearWeight {
 			out = append(out, b.CallerAddress)
 		}
 	}
 	for _, b := range in {
-		named[b.DataCentre] = true
+		usedDCs[b.DataCentre] = true
 	}
 	far := 0
 	for _, b := range ranked(ready, caller) {
-		if far < farWeighted && !named[b.DataCentre] {
-			named[b.DataCentre] = true
+		if far < farWeighted && !usedDCs[b.DataCentre] {
+			usedDCs[b.DataCentre] = true
 			out = append(out, b.CallerAddress)
 			far++
 		}
@@ -125,7 +126,8 @@
 	return out
 }
 
-// nearest returns the instances of one group, or nil if they are too few.
+// nearest returns the instances of the group near, which is a data centre or a region, or nil if
+// they are too few. of returns the group of a data centre.
 func nearest(ready []msg.Heartbeat, of func(dataCentre string) string, near string) []msg.Heartbeat {
 	if near == "" {
 		return nil
@@ -145,15 +147,15 @@
 	return in
 }
 
-// window returns up to most addresses, starting where the last answer ended.
-func (f *Fleet) window(list []msg.Heartbeat, most int) []string {
-	n := min(len(list), most)
+// window returns up to limit addresses, starting where the last response ended.
+func (f *Fleet) window(list []msg.Heartbeat, limit int) []string {
+	n := min(len(list), limit)
 	out := make([]string, 0, n)
 	for k := range n {
-		out = append(out, list[(f.turn+k)%len(list)].CallerAddress)
+		out = append(out, list[(f.nextAddress+k)%len(list)].CallerAddress)
 	}
 	if n < len(list) {
-		f.turn = (f.turn + n) % len(list)
+		f.nextAddress = (f.nextAddress + n) % len(list)
 	}
 	return out
 }
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -1,6 +1,7 @@
 // Package fleet tracks which instances are alive, from the heartbeats that they exchange, and
 // decides which of them read the platform's store on behalf of the others. Heartbeats are not
-// written to the store: calls are priced and it has outages. The package does no I/O.
+// written to the store, because calls to it are priced and it has outages. The package does no
+// I/O.
 package fleet
 
 import (
@@ -16,14 +17,15 @@
 // Member is the last known state of another instance.
 type Member struct {
 	msg.Heartbeat
-	// Heard is when it last sent a heartbeat; zero if it is only known from the store.
-	Heard time.Time
-	// Known is when this instance first learned of it.
-	Known time.Time
-	// met is set after its first heartbeat.
-	met bool
-	// reset is when the connection to it was last reset.
-	reset time.Time
+	// LastSeen is when it last sent a heartbeat or was reported as alive by another instance;
+	// zero if it is known from the store only, or was found dead.
+	LastSeen time.Time
+	// LearnedAt is when it became known to this instance.
+	LearnedAt time.Time
+	// wasAlive is set once it has sent a heartbeat or was reported as alive.
+	wasAlive bool
+	// resetAt is when the connection to it was last reset.
+	resetAt time.Time
 }
 
 // Fleet is one instance's view of all instances. It is not safe for concurrent use.
@@ -33,38 +35,40 @@
 	members map[string]*Member
 	view    *membership.View
 	live    []string
-	// changed is set if a member's state changed since live was computed.
+	// changed is set if a member's state has changed since live was computed.
 	changed bool
-	// near and far count the known instances in this data centre, including this one, and in
-	// others.
-	near, far int
-	// learned is when the first other instance became known.
-	learned time.Time
+	// nearCount and farCount count the known instances in this data centre, including this one,
+	// and in other data centres.
+	nearCount, farCount int
+	// learnedAt is when the first other instance became known from the store or a seed.
+	learnedAt time.Time
 	// regions maps each data centre to its region.
 	regions map[string]string
 	without mechanism.Set
-	// sizeHint is the size of the fleet as reported by another instance at sizeHintAt.
+	// sizeHint is the fleet size that another instance reported at sizeHintAt; 0 if none is
+	// valid.
 	sizeHint   int
 	sizeHintAt time.Time
-	// presences holds the last announcement of each relay of other data centres; toldFar and
-	// toldNear hold what this instance, as a relay, last announced.
-	presences         map[string]*presence
-	toldFar, toldNear told
-	// relaysAt caches the relays of each data centre.
-	relaysAt map[string]chosen
-	// turn is the offset of the next directory answer.
-	turn int
+	// presences holds the last announcement of each relay of other data centres, by the relay's
+	// name. announcedFar and announcedNear record the last announcements of this instance if it
+	// is a relay: to the relays of other data centres, and to the instances of its own.
+	presences                   map[string]*presence
+	announcedFar, announcedNear announced
+	// relayCache holds the chosen relays of each data centre.
+	relayCache map[string]relayChoice
+	// nextAddress is the offset at which the next directory response starts.
+	nextAddress int
 }
 
-// New returns the view of an instance that just started. regions maps data centres to regions;
-// without lists disabled mechanisms.
+// New returns the view of an instance that has just started. regions maps data centres to
+// regions; without lists disabled mechanisms.
 func New(now time.Time, self msg.Heartbeat, regions map[string]string, without mechanism.Set) *Fleet {
-	return &Fleet{started: now, self: self, without: without, members: map[string]*Member{}, presences: map[string]*presence{}, relaysAt: map[string]chosen{}, near: 1, view: membership.NewView(listed(self)), regions: regions}
+	return &Fleet{started: now, self: self, without: without, members: map[string]*Member{}, presences: map[string]*presence{}, relayCache: map[string]relayChoice{}, nearCount: 1, view: membership.NewView(memberOf(self)), regions: regions}
 }
 
-// listed converts a heartbeat to a membership entry. A leaving instance is no longer home of
-// anything, so that its successors take over while it still runs.
-func listed(b msg.Heartbeat) membership.Member {
+// memberOf converts a heartbeat to a member of the membership view. A leaving instance is not the
+// home of any key, so that its successors take over while it still runs.
+func memberOf(b msg.Heartbeat) membership.Member {
 	m := membership.Member{
 		Name: b.Name, Role: membership.RoleEntry, DataCentre: b.DataCentre,
 		State: membership.Live, Address: b.CallerAddress, PeerAddress: b.PeerAddress,
@@ -82,48 +86,50 @@
 func (f *Fleet) SetSelf(now time.Time, ready, leaving, reads bool) {
 	if leaving != f.self.Leaving {
 		f.self.Leaving = leaving
-		f.view.SetSelfState(listed(f.self).State)
+		f.view.SetSelfState(memberOf(f.self).State)
 	}
 	f.self.Ready, f.self.Reads = ready, reads
-	f.self.Settled = now.Sub(f.started) >= settledAge
+	f.self.Settled = now.Sub(f.started) >= eligibleAge
 }
 
 // Contact classifies a received heartbeat.
 type Contact int
 
-// Contacts.
+// Classes of heartbeats.
 const (
-	// Known: the sender was alive already.
+	// Known: the sender already counted as alive.
 	Known Contact = iota
-	// First: it was never heard before.
+	// First: the sender was not known to be alive before.
 	First
-	// Regained: it was silent, or it is another process under the same name.
+	// Regained: the sender counted as dead, or it is another process under the same name.
 	Regained
 )
 
-// Heard processes a heartbeat.
+// Heard processes a received heartbeat.
 func (f *Fleet) Heard(now time.Time, b msg.Heartbeat) Contact {
 	if b.Name == f.self.Name {
 		return Known
 	}
 	m := f.members[b.Name]
 	if m == nil {
-		m = &Member{Known: now, Heartbeat: b}
+		m = &Member{LearnedAt: now, Heartbeat: b}
 		f.members[b.Name] = m
-		f.count()
+		f.countMembers()
 	}
 	contact := m.contact(b.Boot, f.alive(now, m))
-	f.changed = f.changed || listed(m.Heartbeat) != listed(b)
-	m.Heartbeat, m.Heard, m.met = b, now, true
+	f.changed = f.changed || memberOf(m.Heartbeat) != memberOf(b)
+	m.Heartbeat, m.LastSeen, m.wasAlive = b, now, true
 	if contact != Known || f.changed {
 		f.refresh(now)
 	}
 	return contact
 }
 
+// contact classifies a heartbeat of the member, given the Boot in the heartbeat and whether the
+// member counted as alive.
 func (m *Member) contact(boot string, alive bool) Contact {
 	switch {
-	case !m.met:
+	case !m.wasAlive:
 		return First
 	case m.Boot != boot || !alive:
 		return Regained
@@ -131,27 +137,28 @@
 	return Known
 }
 
-// Learn adds an instance known only from the store. It reports whether it was new.
+// Learn adds an instance that is known from the store. It does not count as alive until its first
+// heartbeat. Learn reports whether the instance was new.
 func (f *Fleet) Learn(now time.Time, b msg.Heartbeat) bool {
 	if b.Name == f.self.Name || f.members[b.Name] != nil {
 		return false
 	}
-	if f.learned.IsZero() {
-		f.learned = now
+	if f.learnedAt.IsZero() {
+		f.learnedAt = now
 	}
-	f.members[b.Name] = &Member{Heartbeat: b, Known: now}
-	f.count()
+	f.members[b.Name] = &Member{Heartbeat: b, LearnedAt: now}
+	f.countMembers()
 	return true
 }
 
-// Introduce adds an instance that another instance considers alive. It counts as alive until
-// its own heartbeats arrive or are missed. It reports whether it was new.
+// Introduce adds an instance that another instance reported as alive. It counts as alive
+// until its own heartbeats are missed. Introduce reports whether the instance was new.
 func (f *Fleet) Introduce(now time.Time, b msg.Heartbeat) bool {
 	if !f.Learn(now, b) {
 		return false
 	}
 	m := f.members[b.Name]
-	m.Heard, m.met = now, true
+	m.LastSeen, m.wasAlive = now, true
 	f.changed = true
 	return true
 }
@@ -159,15 +166,16 @@
 // Live lists the names of the other live instances.
 func (f *Fleet) Live() []string { return f.live }
 
-// Near lists the other live instances with which heartbeats are exchanged.
+// Near lists the other live instances with which this one exchanges heartbeats: all, or in a
+// large fleet those of its data centre.
 func (f *Fleet) Near() []string {
 	if !f.large() {
 		return f.live
 	}
-	return f.nearLive()
+	return f.liveNear()
 }
 
-// Others lists all other known instances, alive or not, by name.
+// Others lists all other known instances, alive or not, sorted by name.
 func (f *Fleet) Others() []*Member {
 	out := make([]*Member, 0, len(f.members))
 	for _, m := range f.members {
@@ -177,7 +185,7 @@
 	return out
 }
 
-// Find returns another instance by name, or nil.
+// Find returns another instance by name, or nil if it is not known.
 func (f *Fleet) Find(name string) *Member { return f.members[name] }
 
 // DataCentre returns an instance's data centre, "" if unknown.
@@ -191,10 +199,12 @@
 	return ""
 }
 
-// Size is the number of known instances, including this one.
+// Size returns the number of instances, including this one: the known ones, or the number that
+// another instance reported if that is larger.
 func (f *Fleet) Size() int { return max(len(f.members)+1, f.sizeHint) }
 
-// Home returns the home of a key, in the given data centre if that has live instances.
+// Home returns the home of a key. It is in the given data centre if that has live instances; ""
+// means any data centre.
 func (f *Fleet) Home(now time.Time, key, dataCentre string) string {
 	rank := func(dc string) int {
 		if dataCentre == "" || dc == dataCentre {
@@ -208,10 +218,11 @@
 	return f.self.Name
 }
 
-// Suspect excludes an instance from being home for a few seconds.
+// Suspect excludes an instance from being a home for a few seconds.
 func (f *Fleet) Suspect(now time.Time, name string) { f.view.Suspect(now, name) }
 
-// serving lists the other live instances that accept callers.
+// serving lists the other live instances that accept callers: those that are ready and not
+// leaving.
 func (f *Fleet) serving() []*Member {
 	var out []*Member
 	for _, name := range f.live {
@@ -222,5 +233,5 @@
 	return out
 }
 
-// Alone reports whether no other instance is ready.
+// Alone reports whether no other live instance accepts callers.
 func (f *Fleet) Alone() bool { return len(f.serving()) == 0 }
--- a/internal/core/fleet/fleet_test.go
+++ b/internal/core/fleet/fleet_test.go
@@ -11,6 +11,7 @@
 
 var start = time.Unix(1000, 0)
 
+// heartbeat returns the heartbeat of instance k in the data centre "dc".
 func heartbeat(k int) msg.Heartbeat {
 	return msg.Heartbeat{
 		Name: fmt.Sprintf("i%02d", k), DataCentre: "dc", CallerAddress: fmt.Sprintf("10.0.0.%d:80", k),
@@ -18,6 +19,7 @@
 	}
 }
 
+// fleetOf returns the view of instance self after one heartbeat of each of n instances.
 func fleetOf(self, n int) *Fleet {
 	f := New(start, heartbeat(self), nil, 0)
 	f.SetSelf(start, true, false, true)
@@ -27,15 +29,15 @@
 	return f
 }
 
-// Callers keep an answer for a second or more and connect to what it names. An
-// instance that is dead, leaving or cut off from the rest must not be named.
-func TestDirectoryLeavesOutWhoDoesNotServe(t *testing.T) {
+// Callers use a directory response for a second or more and connect to the instances in it. An
+// instance that is dead, cut off, leaving or not ready must not be listed.
+func TestDirectoryOmitsInstancesThatDoNotServe(t *testing.T) {
 	f := fleetOf(0, 5)
 	leaving, unready := heartbeat(1), heartbeat(2)
 	leaving.Leaving, unready.Ready = true, false
 	f.Heard(start, leaving)
 	f.Heard(start, unready)
-	now := start.Add(f.silentAfter("dc") + time.Millisecond)
+	now := start.Add(f.deadAfter("dc") + time.Millisecond)
 	f.Heard(now, heartbeat(4))
 	f.Tick(now)
 	want := []string{heartbeat(0).CallerAddress, heartbeat(4).CallerAddress}
@@ -44,48 +46,50 @@
 	}
 }
 
-func TestSilenceIsNoticedAndForgotten(t *testing.T) {
+func TestSilentInstancesAreDetectedAndForgotten(t *testing.T) {
 	f := fleetOf(0, 3)
-	lost := f.Tick(start.Add(2 * f.silentAfter("dc")))
+	lost := f.Tick(start.Add(2 * f.deadAfter("dc")))
 	if !slices.Equal(lost, []string{"i01", "i02"}) || f.Size() != 3 {
-		t.Errorf("lost %v, size %d", lost, f.Size())
+		t.Errorf("lost %v, size %d; want i01 and i02 lost, size 3", lost, f.Size())
 	}
-	if f.Heard(start.Add(2*f.silentAfter("dc")), heartbeat(1)) != Regained {
-		t.Error("its return must be noticed")
+	if f.Heard(start.Add(2*f.deadAfter("dc")), heartbeat(1)) != Regained {
+		t.Error("heartbeat after silence is not reported as Regained")
 	}
-	f.Tick(start.Add(ForgetAfter + 3*f.silentAfter("dc")))
+	f.Tick(start.Add(ForgetAfter + 3*f.deadAfter("dc")))
 	if f.Find("i02") != nil {
-		t.Error("an instance that was replaced must be forgotten")
+		t.Error("instance that stayed silent is still known")
 	}
 }
 
-// All instances must agree on who reads the store, or every one of them would;
-// and the loss of one must move that role only.
+// All instances must choose the same readers of the store, otherwise every instance would
+// read it. The loss of one reader must move only its role.
 func TestReadersAreAgreedOn(t *testing.T) {
 	const n = 13
 	want := fleetOf(0, n).Readers(start)
-	if len(want) != readers {
-		t.Fatalf("readers = %v", want)
+	if len(want) != readerCount {
+		t.Fatalf("readers = %v, want two", want)
 	}
 	for k := range n {
 		if got := fleetOf(k, n).Readers(start); !slices.Equal(got, want) {
-			t.Errorf("instance %d believes %v, others %v", k, got, want)
+			t.Errorf("readers according to instance %d = %v, want %v", k, got, want)
 		}
 	}
 }
 
-func TestARestartIsNews(t *testing.T) {
+// A restarted instance sends heartbeats with another Boot value, even if it was never silent. The
+// restart must be reported.
+func TestARestartIsReported(t *testing.T) {
 	f := fleetOf(0, 2)
-	again := heartbeat(1)
-	again.Boot = "c"
-	if f.Heard(start, heartbeat(1)) != Known || f.Heard(start, again) != Regained {
-		t.Error("a heartbeat of the same run is no change, one of another run is")
+	restarted := heartbeat(1)
+	restarted.Boot = "c"
+	if f.Heard(start, heartbeat(1)) != Known || f.Heard(start, restarted) != Regained {
+		t.Error("want Known for a heartbeat of the same run and Regained for one of another run")
 	}
 }
 
-// Both readers are cut off from the store while the others reach it. They go on
-// answering, but what they know gets old, and with it every key: the next two
-// must take the role over.
+// Both readers are cut off from the store while other instances reach it. They still respond,
+// but their data gets old, until no instance can accept keys. Two other instances must become
+// readers.
 func TestAReaderThatIsCutOffLosesTheRole(t *testing.T) {
 	f := fleetOf(0, 5)
 	before := f.Readers(start)
@@ -99,90 +103,92 @@
 		}
 	}
 	after := f.Readers(start)
-	if len(after) != readers || slices.Contains(after, before[0]) || slices.Contains(after, before[1]) {
-		t.Errorf("readers were %v and are %v", before, after)
+	if len(after) != readerCount || slices.Contains(after, before[0]) || slices.Contains(after, before[1]) {
+		t.Errorf("readers before: %v, after: %v; want two others after", before, after)
 	}
 }
 
-// Something between two instances loses track of the connection from one to the
-// other: it stays open and swallows every heartbeat. The other takes the first for
-// dead, while its own heartbeats still arrive. It says that it hears nothing, and the
-// first makes a new connection, though not one for each heartbeat.
-func TestASilentConnectionIsGivenUp(t *testing.T) {
+// A network device loses track of the connection from one instance to another, which stays
+// open but delivers nothing. The receiver counts the sender as dead, while its own heartbeats
+// still arrive and report that it receives none. The sender must reset its connection, but
+// not after each heartbeat.
+func TestASilentConnectionIsReset(t *testing.T) {
 	f := fleetOf(0, 2)
-	deaf := heartbeat(1)
+	peer := heartbeat(1)
 	now := start.Add(f.resetInterval("dc"))
-	f.Heard(now, deaf)
-	if !f.Unheard(now, deaf) || f.Unheard(now.Add(f.HeartbeatInterval("dc")), deaf) {
-		t.Error("want one reset, and no other at the next heartbeat")
+	f.Heard(now, peer)
+	if !f.Unheard(now, peer) || f.Unheard(now.Add(f.HeartbeatInterval("dc")), peer) {
+		t.Error("want a reset at the first heartbeat and none at the next")
 	}
-	deaf.Hears = true
-	if f.Unheard(now.Add(2*f.resetInterval("dc")), deaf) {
-		t.Error("an instance that hears needs no new connection")
+	peer.Hears = true
+	if f.Unheard(now.Add(2*f.resetInterval("dc")), peer) {
+		t.Error("reset of the connection to an instance that receives the heartbeats")
 	}
 	if f.Unheard(start, heartbeat(1)) {
-		t.Error("one that is just known has not had time to hear")
+		t.Error("reset of the connection to an instance that has just become known")
 	}
 }
 
-// A fleet of the target's size must not spend its processors on telling each
-// other that it lives: heartbeats get rarer as it grows, and silence is borne longer.
-func TestBeatsGetRarerInALargeFleet(t *testing.T) {
+// Instances of a large fleet must not spend their processor time on heartbeats. The heartbeat
+// interval must grow with the fleet, and with it the time without heartbeats after which an
+// instance is dead.
+func TestHeartbeatIntervalGrowsWithTheFleet(t *testing.T) {
 	for _, c := range []struct {
-		size  int
-		every time.Duration
+		size     int
+		interval time.Duration
 	}{{13, 400 * time.Millisecond}, {100, 400 * time.Millisecond}, {390, 1560 * time.Millisecond}} {
 		f := fleetOf(0, c.size)
-		if f.HeartbeatInterval("dc") != c.every {
-			t.Errorf("%d instances: a heartbeat every %v, want %v", c.size, f.HeartbeatInterval("dc"), c.every)
+		if f.HeartbeatInterval("dc") != c.interval {
+			t.Errorf("%d instances: heartbeat interval %v, want %v", c.size, f.HeartbeatInterval("dc"), c.interval)
 		}
 		if arriving := float64(c.size-1) / f.HeartbeatInterval("dc").Seconds(); arriving > 250 {
-			t.Errorf("%d instances: %.0f heartbeats a second arrive at each", c.size, arriving)
+			t.Errorf("%d instances: %.0f heartbeats a second arrive at each, want at most 250", c.size, arriving)
 		}
-		f.Tick(start.Add(3 * c.every))
+		f.Tick(start.Add(3 * c.interval))
 		if len(f.Live()) != c.size-1 {
-			t.Errorf("%d instances: after three heartbeats' time %d count as live", c.size, len(f.Live()))
+			t.Errorf("%d instances: %d other live instances after three intervals, want all", c.size, len(f.Live()))
 		}
 	}
 }
 
-// A process is killed; its machine refuses new connections at once. Until it were
-// noticed by silence, 1.3 s later, callers would be sent there and homes asked. A
-// heartbeat that came after the look was begun is from the next process: it lives.
-func TestAnInstanceThatRefusesConnectionsIsGone(t *testing.T) {
+// A process is killed, and its machine refuses new connections at once. If only missing
+// heartbeats showed this, callers would be sent there and homes queried for another 1.3 s. A
+// heartbeat that arrived after the connection attempt is from the next process, which is
+// alive.
+func TestAnInstanceThatRefusesConnectionsIsDead(t *testing.T) {
 	f := fleetOf(0, 3)
 	tried := start.Add(50 * time.Millisecond)
 	if !f.Gone(tried, tried, "i01") || slices.Contains(f.Live(), "i01") || len(f.Addresses(Place{}, 64)) != 2 {
-		t.Errorf("live %v, named %v", f.Live(), f.Addresses(Place{}, 64))
+		t.Errorf("live instances %v, addresses %v; want both without i01", f.Live(), f.Addresses(Place{}, 64))
 	}
 	if f.Gone(tried, tried, "i01") || f.Gone(tried, tried, "i99") {
-		t.Error("one that is gone already, or unknown, is no change")
+		t.Error("change reported for an instance that is dead already or unknown")
 	}
-	again := heartbeat(1)
-	again.Boot = "c"
-	if f.Heard(tried.Add(time.Millisecond), again) != Regained || f.Gone(tried.Add(2*time.Millisecond), tried, "i01") {
-		t.Error("the next process lives")
+	restarted := heartbeat(1)
+	restarted.Boot = "c"
+	if f.Heard(tried.Add(time.Millisecond), restarted) != Regained || f.Gone(tried.Add(2*time.Millisecond), tried, "i01") {
+		t.Error("the next process does not count as alive after its heartbeat")
 	}
 }
 
-// Callers are sent to instances beside them, and homes stand beside their pools. So the
-// heartbeats of a large fleet stay in a data centre, silence is noticed there first, and
-// all that arrive are no more than an instance can take.
+// Callers use instances of their data centre, and homes are in the data centre of their pool,
+// so silent instances must be detected first there. In a large fleet heartbeats are sent only
+// within a data centre, and no more of them may arrive than an instance can process.
 func TestHeartbeatsOfALargeFleetStayInTheDataCentre(t *testing.T) {
-	f := sized(0, 300)
+	f := fleetInThreeDCs(0, 300)
 	near, far := f.HeartbeatInterval("dc0"), f.HeartbeatInterval("dc1")
 	if near != 800*time.Millisecond || far != 0 {
-		t.Errorf("heartbeats every %v near, %v far", near, far)
+		t.Errorf("heartbeat interval %v within the data centre, %v to another; want 800ms and 0", near, far)
 	}
 	if arriving := 99 / near.Seconds(); arriving > 125 {
-		t.Errorf("%.0f heartbeats a second arrive", arriving)
+		t.Errorf("%.0f heartbeats a second arrive, want at most 125", arriving)
 	}
-	now := start.Add(f.silentAfter("dc0") + time.Millisecond)
+	now := start.Add(f.deadAfter("dc0") + time.Millisecond)
 	f.Tick(now)
 	if f.Hears(now, "i003") || !f.Hears(now, "i001") {
-		t.Error("a silent instance of the data centre must be noticed, one of another is not late yet")
+		t.Error("want the silent instance of this data centre dead and that of another one alive")
 	}
-	if small := sized(0, 13); small.HeartbeatInterval("dc0") != minInterval || small.HeartbeatInterval("dc1") != minInterval {
-		t.Error("a small fleet's heartbeats are all alike")
+	if small := fleetInThreeDCs(0, 13); small.HeartbeatInterval("dc0") != minInterval || small.HeartbeatInterval("dc1") != minInterval {
+		t.Error("want the minimum heartbeat interval to all data centres in a small fleet")
 	}
 }
--- a/internal/core/fleet/join.go
+++ b/internal/core/fleet/join.go
@@ -12,29 +12,31 @@
 )
 
 const (
-	// seedTimeout is how long a starting instance waits for seeds before it reads the members
-	// from the store.
+	// seedTimeout is how long a starting instance waits for responses of seeds before it reads
+	// the members from the store.
 	seedTimeout = time.Second
-	// seedRetryInterval is the interval between requests to unresponsive seeds.
+	// seedRetryInterval is the interval between requests to the seeds.
 	seedRetryInterval = 100 * time.Millisecond
-	// A joining instance asks seeds again, for up to settleTimeout, while answers still grow
-	// the known fleet by more than 1/settledGrowth: after a full restart hundreds of instances
-	// start within a few tenths of a second and the first answers are incomplete.
-	settleTimeout = 700 * time.Millisecond
-	settledGrowth = 8
-	// introducedFar is the number of instances of each other data centre that a joining
-	// instance of a large fleet is told about.
+	// A joining instance repeats its requests to the seeds, for up to growthTimeout, while the
+	// responses still increase the number of known instances by more than 1/growthDivisor: after
+	// a restart of all instances hundreds of them start within a few tenths of a second, and the
+	// first responses are incomplete.
+	growthTimeout = 700 * time.Millisecond
+	growthDivisor = 8
+	// introducedFar is the number of instances of each other data centre in the response to a
+	// joining instance of a large fleet.
 	introducedFar = 4
-	// sizeHintTTL is how long a reported fleet size is used.
+	// sizeHintTTL is how long a fleet size reported by another instance is used.
 	sizeHintTTL = 5 * time.Second
-	// settledAge is the uptime after which an instance may act on behalf of the fleet.
-	settledAge = 1500 * time.Millisecond
-	// syncInterval is the interval between member list comparisons with another instance; the
-	// first syncEarly comparisons follow sooner.
-	syncInterval = 15 * time.Second
-	syncFirst    = 500 * time.Millisecond
-	syncEarly    = 2
-	// registerAfter is the uptime after which a relay or reader writes its row.
+	// eligibleAge is the uptime after which an instance may act on behalf of the fleet.
+	eligibleAge = 1500 * time.Millisecond
+	// syncInterval is the average interval between member list comparisons with another
+	// instance. The intervals before the first earlySyncs comparisons start at
+	// firstSyncInterval and quadruple.
+	syncInterval      = 15 * time.Second
+	firstSyncInterval = 500 * time.Millisecond
+	earlySyncs        = 2
+	// registerAfter is the uptime after which a relay or reader writes its row to the store.
 	registerAfter = 2 * time.Second
 )
 
@@ -53,28 +55,31 @@
 	JoinDone
 )
 
-// Join is the state machine of an instance joining the fleet, through the seeds in its
-// settings or else through the store. Joining through the store does not scale to hundreds of
-// simultaneous starts: writes to one table partition are serialised.
+// Join is the state machine of an instance that joins the fleet through the seeds in its
+// settings, or else through the store. Joining through the store does not scale to hundreds
+// of simultaneous starts, because writes to one table partition are serialised.
 type Join struct {
+	// seeds is set if the settings name seeds.
 	seeds   bool
 	started time.Time
-	asked   time.Time
-	// answers counts useful answers, known the members after the last one.
+	// asked is when the seeds were last asked; zero if they were not.
+	asked time.Time
+	// answers is the number of useful responses, known the number of known instances after the
+	// last one.
 	answers int
 	known   int
-	// settled is set once the member list is complete.
-	settled bool
+	// complete is set once the member list is complete.
+	complete bool
 }
 
-// NewJoin starts joining; seeds tells whether there are any.
+// NewJoin starts joining. seeds is set if the settings name seeds.
 func NewJoin(now time.Time, seeds bool) *Join { return &Join{seeds: seeds, started: now} }
 
 // Next returns the next action.
 func (j *Join) Next(now time.Time) JoinStep {
 	age := now.Sub(j.started)
 	switch {
-	case j.settled, j.answers > 0 && age >= settleTimeout:
+	case j.complete, j.answers > 0 && age >= growthTimeout:
 		return JoinDone
 	case !j.seeds, age >= seedTimeout:
 		return JoinByStore
@@ -85,10 +90,10 @@
 	return JoinWait
 }
 
-// Answered processes a seed's answer; known is the resulting number of known instances. An
-// isolated seed, which has lost contact with most instances, does not count: it may be on the
-// minority side of a partition. A seed that has just started itself is asked again until its
-// answers stop growing.
+// Answered processes a seed's response; known is the resulting number of known instances. The
+// response of an isolated seed, which has lost contact with most instances, is ignored: the
+// seed may be on the minority side of a partition. Seeds that have just started themselves
+// are asked again until their responses hardly increase the number of known instances.
 func (j *Join) Answered(a msg.JoinAnswer, known int) {
 	if a.Isolated {
 		return
@@ -96,21 +101,22 @@
 	j.answers++
 	grown := known - j.known
 	j.known = known
-	if a.Settled || j.answers > 1 && grown*settledGrowth <= known {
-		j.settled = true
+	if a.Settled || j.answers > 1 && grown*growthDivisor <= known {
+		j.complete = true
 	}
 }
 
-// JoinAsk returns the request for another instance's member list.
-func (f *Fleet) JoinAsk() msg.JoinAsk { return msg.JoinAsk{Sender: f.self, Known: f.digest()} }
+// JoinAsk returns a request for the member list of another instance.
+func (f *Fleet) JoinAsk() msg.JoinAsk { return msg.JoinAsk{Sender: f.self, Known: f.liveDigest()} }
 
-// JoinAnswer answers a JoinAsk. ready is set once this instance has joined.
+// JoinAnswer returns the response to a JoinAsk. ready is set once this instance has joined. The
+// response has no member list if the sender already has the same one.
 func (f *Fleet) JoinAnswer(ask msg.JoinAsk, ready bool) msg.JoinAnswer {
 	a := msg.JoinAnswer{
 		Settled:  ready && f.self.Settled,
 		Isolated: len(f.members)-len(f.live) > len(f.live)+1 && f.self.Settled,
 	}
-	if ask.Known == f.digest() {
+	if ask.Known == f.liveDigest() {
 		return a
 	}
 	a.Size = len(f.live) + 1
@@ -121,8 +127,8 @@
 	return a
 }
 
-// introduced lists the instances that a joining instance must know: all, or in a large fleet
-// those of its data centre and a few potential relays of each other one.
+// introduced lists the live instances that a joining instance of a data centre must know: all, or
+// in a large fleet those of its data centre and a few potential relays of each other one.
 func (f *Fleet) introduced(dataCentre string) []string {
 	if !f.large() {
 		return f.live
@@ -146,16 +152,16 @@
 	return out
 }
 
-// Told records the fleet size reported by another instance; this one may still know a part
-// only.
+// Told records the fleet size that another instance reported. This instance may know only a
+// part of the fleet so far.
 func (f *Fleet) Told(now time.Time, size int) {
 	if size > len(f.members)+1 {
 		f.sizeHint, f.sizeHintAt = size, now
 	}
 }
 
-// digest is an order-independent hash of the live instances.
-func (f *Fleet) digest() uint64 {
+// liveDigest returns an order-independent hash of the live instances' names.
+func (f *Fleet) liveDigest() uint64 {
 	sum := xxhash.Sum64String(f.self.Name)
 	for _, name := range f.live {
 		sum += xxhash.Sum64String(name)
@@ -163,18 +169,19 @@
 	return sum
 }
 
-// SyncAfter returns the jittered delay before the next member list comparison, given the
-// number of previous ones. Partitions and lost messages leave gaps in one instance's list.
-func SyncAfter(times int) time.Duration {
-	pause := syncInterval
-	if times < syncEarly {
-		pause = min(pause, syncFirst<<(2*times))
+// SyncAfter returns the delay, with jitter, before the next member list comparison; count is the
+// number of previous ones. The comparisons are needed because partitions and lost messages leave
+// gaps in an instance's list.
+func SyncAfter(count int) time.Duration {
+	interval := syncInterval
+	if count < earlySyncs {
+		interval = min(interval, firstSyncInterval<<(2*count))
 	}
-	return pause/2 + rand.N(pause)
+	return interval/2 + rand.N(interval)
 }
 
-// MustRegister reports whether this instance needs a row in the store: instances whose seeds
-// are gone find readers and relays there.
+// MustRegister reports whether this instance needs a row in the store. Instances whose seeds
+// do not respond find readers and relays there.
 func (f *Fleet) MustRegister(now time.Time, s Sources) bool {
 	return s.Relays && now.Sub(f.started) >= registerAfter
 }
--- a/internal/core/fleet/join_test.go
+++ b/internal/core/fleet/join_test.go
@@ -7,71 +7,74 @@
 	"mulberrylug.example/mulberrylug/internal/core/msg"
 )
 
-// answered is what the seeds say at a moment, and how many instances are known then.
-type answered struct {
+// seedReply is the response of a seed, and the number of known instances after it.
+type seedReply struct {
 	msg.JoinAnswer
 	known int
 }
 
-// joins plays an instance's start: answer returns what the seeds say to a question at a
-// moment, nil for nothing. It returns how the instance joined, when, and how often it
-// asked.
-func joins(seeds bool, answer func(d time.Duration) *answered) (by JoinStep, at time.Duration, asks int) {
+// simulateJoin simulates the start of an instance in virtual time. answer returns the
+// response of the seeds to a request at a time after the start, or nil if they do not
+// respond. simulateJoin returns the step with which joining ended, the time that it took, and
+// the number of requests to the seeds.
+func simulateJoin(seeds bool, answer func(d time.Duration) *seedReply) (by JoinStep, at time.Duration, requests int) {
 	j := NewJoin(start, seeds)
 	for at = 0; at < 10*time.Second; at += 10 * time.Millisecond {
 		switch by = j.Next(start.Add(at)); by {
 		case JoinDone, JoinByStore:
-			return by, at, asks
+			return by, at, requests
 		case JoinAskSeeds:
-			asks++
+			requests++
 			if a := answer(at); a != nil {
 				j.Answered(a.JoinAnswer, a.known)
 			}
 		case JoinWait:
 		}
 	}
-	return by, at, asks
+	return by, at, requests
 }
 
 func TestJoining(t *testing.T) {
-	says := func(a msg.JoinAnswer, known int) func(time.Duration) *answered {
-		return func(time.Duration) *answered { return &answered{a, known} }
+	always := func(a msg.JoinAnswer, known int) func(time.Duration) *seedReply {
+		return func(time.Duration) *seedReply { return &seedReply{a, known} }
 	}
-	// starting is a fleet of 200 whose instances start within 0.3 s, seeds after some.
-	starting := func(seeds time.Duration) func(time.Duration) *answered {
-		return func(d time.Duration) *answered {
-			if d < seeds {
+	// starting simulates a fleet of 200 whose instances all start within 0.3 s. The seeds respond
+	// from the given time on.
+	starting := func(seedsFrom time.Duration) func(time.Duration) *seedReply {
+		return func(d time.Duration) *seedReply {
+			if d < seedsFrom {
 				return nil
 			}
-			return &answered{known: int(200 * min(d.Seconds()/0.3, 1))}
+			return &seedReply{known: int(200 * min(d.Seconds()/0.3, 1))}
 		}
 	}
 	for _, c := range []struct {
-		name   string
-		seeds  bool
-		answer func(time.Duration) *answered
-		by     JoinStep
-		from   time.Duration
-		to     time.Duration
-		asks   int // at least
+		name     string
+		seeds    bool
+		answer   func(time.Duration) *seedReply
+		by       JoinStep
+		from     time.Duration
+		to       time.Duration
+		requests int // minimum
 	}{
-		{"a replaced instance: its seeds know the fleet", true, says(msg.JoinAnswer{Settled: true}, 200), JoinDone, 0, 20 * time.Millisecond, 1},
-		{"all start at once: until all are known", true, starting(0), JoinDone, 300 * time.Millisecond, 500 * time.Millisecond, 4},
-		{"seeds start last: asked once more", true, starting(280 * time.Millisecond), JoinDone, 380 * time.Millisecond, 500 * time.Millisecond, 5},
-		{"more and more come: not for ever", true, func(d time.Duration) *answered { return &answered{known: int(100 * d.Seconds())} }, JoinDone, settleTimeout, settleTimeout, 7},
-		{"seeds are cut off from the others: the store", true, says(msg.JoinAnswer{Isolated: true, Settled: true}, 3), JoinByStore, seedTimeout, seedTimeout, 5},
-		{"seeds are gone: the store", true, func(time.Duration) *answered { return nil }, JoinByStore, seedTimeout, seedTimeout, 5},
+		{"replaced instance, seeds know the fleet: done at the first response", true, always(msg.JoinAnswer{Settled: true}, 200), JoinDone, 0, 20 * time.Millisecond, 1},
+		{"all start at once: done when all are known", true, starting(0), JoinDone, 300 * time.Millisecond, 500 * time.Millisecond, 4},
+		{"seeds start last: done after another request", true, starting(280 * time.Millisecond), JoinDone, 380 * time.Millisecond, 500 * time.Millisecond, 5},
+		{"known instances keep growing: done after the timeout", true, func(d time.Duration) *seedReply { return &seedReply{known: int(100 * d.Seconds())} }, JoinDone, growthTimeout, growthTimeout, 7},
+		{"seeds are cut off from the others: the store", true, always(msg.JoinAnswer{Isolated: true, Settled: true}, 3), JoinByStore, seedTimeout, seedTimeout, 5},
+		{"seeds do not respond: the store", true, func(time.Duration) *seedReply { return nil }, JoinByStore, seedTimeout, seedTimeout, 5},
 		{"no seeds: the store", false, nil, JoinByStore, 0, 0, 0},
 	} {
-		by, at, asks := joins(c.seeds, c.answer)
-		if by != c.by || at < c.from || at > c.to || asks < c.asks {
-			t.Errorf("%s: joined by step %d after %v and %d questions", c.name, by, at, asks)
+		by, at, requests := simulateJoin(c.seeds, c.answer)
+		if by != c.by || at < c.from || at > c.to || requests < c.requests {
+			t.Errorf("%s: joined with step %d after %v and %d requests", c.name, by, at, requests)
 		}
 	}
 }
 
-// The answer to an instance that has just started names those that live, and not the
-// dead that are remembered; whoever knows the same is told nothing more.
+// The response to an instance that has just started must list the live instances, but not the
+// dead ones that are still known. A sender that already knows the same instances must get no
+// list.
 func TestJoinAnswers(t *testing.T) {
 	f := fleetOf(0, 6)
 	now := start.Add(10 * time.Second)
@@ -83,29 +86,30 @@
 	newcomer := heartbeat(9)
 	f.Heard(now, newcomer)
 	a := f.JoinAnswer(msg.JoinAsk{Sender: newcomer, Known: New(now, newcomer, nil, 0).JoinAsk().Known}, true)
-	named := map[string]bool{}
+	listed := map[string]bool{}
 	for _, b := range a.Instances {
-		named[b.Name] = true
+		listed[b.Name] = true
 	}
-	if len(named) != 6 || !named["i00"] || !named["i04"] || named["i05"] || !a.Settled || a.Isolated {
-		t.Errorf("settled %v, isolated %v, named %v", a.Settled, a.Isolated, named)
+	if len(listed) != 6 || !listed["i00"] || !listed["i04"] || listed["i05"] || !a.Settled || a.Isolated {
+		t.Errorf("settled %v, isolated %v, instances %v; want settled and the six live instances", a.Settled, a.Isolated, listed)
 	}
 	if same := f.JoinAnswer(msg.JoinAsk{Known: f.JoinAsk().Known}, true); same.Instances != nil {
-		t.Errorf("%d instances are told to one that knows them", len(same.Instances))
+		t.Errorf("%d instances sent to a sender that already knows them, want none", len(same.Instances))
 	}
 	if young := fleetOf(0, 6); young.JoinAnswer(msg.JoinAsk{}, true).Settled || f.JoinAnswer(msg.JoinAsk{}, false).Settled {
-		t.Error("an instance that has just started, or not joined, speaks for the fleet")
+		t.Error("response of an instance that has just started or not joined is settled")
 	}
 }
 
-// A seed that is cut off from most others would make a newcomer join the smaller side.
-func TestAnIsolatedSeedSaysSo(t *testing.T) {
+// A seed that is cut off from most other instances must report that it is isolated. Otherwise
+// a new instance would join the smaller side of a partition.
+func TestAnIsolatedSeedReportsIt(t *testing.T) {
 	f := fleetOf(0, 12)
 	now := start.Add(10 * time.Second)
 	f.Heard(now, heartbeat(1))
 	f.Tick(now)
 	f.SetSelf(now, true, false, true)
 	if !f.JoinAnswer(msg.JoinAsk{}, true).Isolated {
-		t.Error("a seed that has lost ten of eleven others does not say so")
+		t.Error("seed that has lost ten of eleven other instances does not report that it is isolated")
 	}
 }
--- a/internal/core/fleet/liveness.go
+++ b/internal/core/fleet/liveness.go
@@ -12,88 +12,92 @@
 const (
 	// minInterval is the minimum interval between heartbeats to the same instance.
 	minInterval = 400 * time.Millisecond
-	// intervalPerInstance lengthens the interval in large fleets of one data centre, so that
-	// at most 250 heartbeats a second arrive at each instance.
+	// intervalPerInstance, multiplied by the number of instances, is the heartbeat interval in a
+	// large fleet of one data centre. It limits the heartbeats that arrive at an instance to 250
+	// a second.
 	intervalPerInstance = 4 * time.Millisecond
-	// nearIntervalPerInstance is the same for fleets of several data centres: at most 125 a
-	// second within one.
+	// nearIntervalPerInstance is used instead in fleets of several data centres, with the number
+	// of instances in this data centre. It limits the heartbeats from there to 125 a second.
 	nearIntervalPerInstance = 8 * time.Millisecond
 	// missedHeartbeats is the number of intervals without a heartbeat after which an instance
-	// counts as dead: one or two may be lost.
+	// counts as dead. One or two heartbeats may be lost.
 	missedHeartbeats = 3.25
-	// ForgetAfter is how long a dead instance is remembered. A frozen or partitioned instance
-	// returns under its name; a replaced one does not.
+	// ForgetAfter is how long a dead instance stays in the list of known instances. A frozen or
+	// partitioned instance returns under its name; a replaced one does not.
 	ForgetAfter = 30 * time.Second
 )
 
-// Unheard reports whether a live instance does not receive this one's heartbeats, in which
-// case the connection to it must be reset. Resets are rate limited.
+// Unheard processes a received heartbeat and reports whether its sender does not receive this
+// instance's heartbeats, in which case the connection to it must be reset. Resets are rate
+// limited.
 func (f *Fleet) Unheard(now time.Time, b msg.Heartbeat) bool {
 	m := f.members[b.Name]
-	if b.Hears || m == nil || now.Sub(m.Known) < f.resetInterval(m.DataCentre) || now.Sub(m.reset) < f.resetInterval(m.DataCentre) {
+	if b.Hears || m == nil || now.Sub(m.LearnedAt) < f.resetInterval(m.DataCentre) || now.Sub(m.resetAt) < f.resetInterval(m.DataCentre) {
 		return false
 	}
-	m.reset = now
+	m.resetAt = now
 	return true
 }
 
-// Hears reports whether an instance is considered alive.
+// Hears reports whether another instance counts as alive.
 func (f *Fleet) Hears(now time.Time, name string) bool {
 	m := f.members[name]
 	return m != nil && f.alive(now, m)
 }
 
 // Gone records that an instance's port refused a connection at the time tried: its process has
-// ended, unless a newer heartbeat arrived. It reports whether that is a change.
+// ended, unless a newer heartbeat has arrived. Gone reports whether the instance counted as alive
+// until now.
 func (f *Fleet) Gone(now, tried time.Time, name string) bool {
 	m := f.members[name]
-	if m == nil || !f.alive(now, m) || m.Heard.After(tried) {
+	if m == nil || !f.alive(now, m) || m.LastSeen.After(tried) {
 		return false
 	}
-	m.Heard = time.Time{}
+	m.LastSeen = time.Time{}
 	f.refresh(now)
 	return true
 }
 
-// HeartbeatInterval is the interval of heartbeats to instances of a data centre; 0 if relays
-// announce this one there.
+// HeartbeatInterval returns the interval of heartbeats to instances of a data centre. It is 0 if
+// this instance sends none there because relays announce it.
 func (f *Fleet) HeartbeatInterval(dataCentre string) time.Duration {
 	switch {
 	case f.large() && dataCentre != f.self.DataCentre:
 		return 0
 	case f.without.Has(mechanism.RareHeartbeats):
 		return minInterval
-	case f.far > 0:
-		return max(minInterval, time.Duration(f.near)*nearIntervalPerInstance)
+	case f.farCount > 0:
+		return max(minInterval, time.Duration(f.nearCount)*nearIntervalPerInstance)
 	}
-	return max(minInterval, time.Duration(f.near)*intervalPerInstance)
+	return max(minInterval, time.Duration(f.nearCount)*intervalPerInstance)
 }
 
-// count recomputes near and far.
-func (f *Fleet) count() {
-	f.near, f.far = 1, 0
+// countMembers recomputes nearCount and farCount.
+func (f *Fleet) countMembers() {
+	f.nearCount, f.farCount = 1, 0
 	for _, m := range f.members {
 		if m.DataCentre == f.self.DataCentre {
-			f.near++
+			f.nearCount++
 		} else {
-			f.far++
+			f.farCount++
 		}
 	}
 }
 
-// silentAfter is how long an instance of a data centre may be silent before it counts as dead.
-func (f *Fleet) silentAfter(dataCentre string) time.Duration {
+// deadAfter returns how long an instance of a data centre may be silent before it counts as dead.
+func (f *Fleet) deadAfter(dataCentre string) time.Duration {
 	if f.HeartbeatInterval(dataCentre) == 0 {
 		return presenceTimeout
 	}
 	return time.Duration(missedHeartbeats * float64(f.HeartbeatInterval(dataCentre)))
 }
 
-// resetInterval is the minimum interval between resets of a connection: heartbeats need time
-// to arrive on a new one.
-func (f *Fleet) resetInterval(dataCentre string) time.Duration { return 2 * f.silentAfter(dataCentre) }
+// resetInterval returns the minimum interval between resets of a connection. Heartbeats need time
+// to arrive on a new connection.
+func (f *Fleet) resetInterval(dataCentre string) time.Duration { return 2 * f.deadAfter(dataCentre) }
 
-// Tick updates liveness and returns the instances that fell silent.
+// Tick updates the liveness of all instances, drops outdated state and returns the instances that
+// no longer count as alive.
 func (f *Fleet) Tick(now time.Time) []string {
 	before := f.live
 	f.refresh(now)
@@ -104,24 +108,24 @@
 		}
 	}
 	for name, m := range f.members {
-		if now.Sub(m.Heard) > ForgetAfter && now.Sub(m.Known) > ForgetAfter {
+		if now.Sub(m.LastSeen) > ForgetAfter && now.Sub(m.LearnedAt) > ForgetAfter {
 			delete(f.members, name)
-			f.count()
+			f.countMembers()
 		}
 	}
-	f.forgetPresences(now)
+	f.prunePresences(now)
 	if now.Sub(f.sizeHintAt) > sizeHintTTL {
 		f.sizeHint = 0
 	}
 	return lost
 }
 
-// refresh recomputes the live instances.
+// refresh recomputes the live instances and updates the membership view if they changed.
 func (f *Fleet) refresh(now time.Time) {
 	live := make([]string, 0, len(f.live)+1)
-	told := f.toldOf()
+	announced := f.lastAnnounced()
 	for name, m := range f.members {
-		if f.aliveAt(now, m, told) {
+		if f.aliveAt(now, m, announced) {
 			live = append(live, name)
 		}
 	}
@@ -132,23 +136,24 @@
 	f.live, f.changed = live, false
 	list := make([]membership.Member, 0, len(live))
 	for _, name := range live {
-		list = append(list, listed(f.members[name].Heartbeat))
+		list = append(list, memberOf(f.members[name].Heartbeat))
 	}
 	f.view.Update(now, list)
 }
 
+// alive reports whether an instance counts as alive.
 func (f *Fleet) alive(now time.Time, m *Member) bool {
 	if m.DataCentre == f.self.DataCentre {
 		return f.aliveAt(now, m, nil)
 	}
-	return f.aliveAt(now, m, f.toldOf())
+	return f.aliveAt(now, m, f.lastAnnounced())
 }
 
-// aliveAt reports whether an instance is alive; told holds the time of the last announcement
-// for each other data centre.
-func (f *Fleet) aliveAt(now time.Time, m *Member, told map[string]time.Time) bool {
-	if m.Heard.IsZero() || now.Sub(m.Heard) > f.silentAfter(m.DataCentre) {
+// aliveAt reports whether an instance counts as alive, given the time of the last announcement of
+// each other data centre.
+func (f *Fleet) aliveAt(now time.Time, m *Member, announced map[string]time.Time) bool {
+	if m.LastSeen.IsZero() || now.Sub(m.LastSeen) > f.deadAfter(m.DataCentre) {
 		return false
 	}
-	return m.DataCentre == f.self.DataCentre || told[m.DataCentre].Sub(m.Heard) < presenceStale
+	return m.DataCentre == f.self.DataCentre || announced[m.DataCentre].Sub(m.LastSeen) < presenceStale
 }
--- a/internal/core/fleet/presence.go
+++ b/internal/core/fleet/presence.go
@@ -12,127 +12,132 @@
 )
 
 // In a large fleet instances send heartbeats within their data centre only. The relays of
-// a data centre tell those of the others whom they hear, and each relay tells the
-// instances beside it what it was told: 390 instances in five data centres would else
-// send each other 24,000 messages a second across the links between them.
+// each data centre announce its live instances to the relays of the other data centres, which
+// forward these announcements to the instances of their own. Without relays, 390 instances in
+// five data centres would send 24,000 heartbeats a second across the links between data
+// centres.
 
 const (
-	// presenceInterval is the interval of announcements if nothing changes.
+	// presenceInterval is the interval between announcements if nothing changes.
 	presenceInterval = time.Second
-	// presenceMinInterval is the minimum interval between announcements: when hundreds of
+	// presenceMinInterval is the minimum interval between announcements. When hundreds of
 	// instances start at once, every heartbeat is a change.
 	presenceMinInterval = 200 * time.Millisecond
-	// presenceFullInterval is the interval of full member lists.
+	// presenceFullInterval is the interval between announcements with the full member list.
 	presenceFullInterval = 15 * time.Second
-	// presenceStale is how much newer than an instance's last sighting the announcements of
-	// its data centre must be for it to count as dead. A relay that died is not listed by its
-	// successor.
+	// presenceStale is by how much the latest announcement of a data centre must be newer than
+	// the last one that lists an instance for the instance to count as dead. This detects a dead
+	// relay, which its successor does not list.
 	presenceStale = 2 * presenceInterval
-	// presenceTimeout is how long an instance of another data centre counts as alive after it
-	// was last announced. Announcements take two hops, and a failed relay is replaced within
-	// two seconds.
+	// presenceTimeout is how long an instance of another data centre counts as alive after it was
+	// last announced. Announcements take two hops, and a failed relay is replaced within two
+	// seconds.
 	presenceTimeout = 5 * time.Second
 )
 
 // presence is the last announcement of a relay of another data centre.
 type presence struct {
 	dataCentre string
-	digest     uint64
-	members    []msg.Heartbeat
-	// at is the moment for which it holds.
+	// digest is the hash of members, from digestOf.
+	digest  uint64
+	members []msg.Heartbeat
+	// at is the time at which the members were alive.
 	at time.Time
 }
 
-// names reports whether an instance is among the members.
-func (p *presence) names(name string) bool {
+// lists reports whether an instance is among the announced members.
+func (p *presence) lists(name string) bool {
 	return slices.ContainsFunc(p.members, func(b msg.Heartbeat) bool { return b.Name == name })
 }
 
-// told records the last announcement that this instance made as a relay, by source; whole is
-// the time of the last full member list.
-type told struct {
-	at    time.Time
-	whole time.Time
+// announced records the last announcement that this instance, as a relay, sent to a group of
+// instances.
+type announced struct {
+	at time.Time
+	// fullAt is when full member lists were last sent.
+	fullAt time.Time
+	// lists holds the announced full member lists by source.
 	lists map[string]msg.Presence
 }
 
-// due reports whether the next announcement is due: periodically, or sooner after a change.
-func (t *told) due(now time.Time, list []msg.Presence) bool {
-	since := now.Sub(t.at)
+// isDue reports whether the next announcement is due: after presenceInterval, or after
+// presenceMinInterval if a member list has changed.
+func (a *announced) isDue(now time.Time, list []msg.Presence) bool {
+	since := now.Sub(a.at)
 	if since >= presenceInterval {
 		return true
 	}
-	return since >= presenceMinInterval && slices.ContainsFunc(list, func(p msg.Presence) bool { return t.lists[p.Source].Digest != p.Digest })
+	return since >= presenceMinInterval && slices.ContainsFunc(list, func(p msg.Presence) bool { return a.lists[p.Source].Digest != p.Digest })
 }
 
-// tell records an announcement and returns it reduced to the members that changed since the
+// record records an announcement and returns it reduced to the members that changed since the
 // last one. Full lists would take megabytes a second in a rolling restart of hundreds of
-// instances. With a non-zero every, full lists are repeated at that interval: receivers that
-// do not know this instance cannot request them.
-func (t *told) tell(now time.Time, list []msg.Presence, every time.Duration) []msg.Presence {
-	whole := every > 0 && now.Sub(t.whole) >= every
-	if whole {
-		t.whole = now
+// instances. If fullInterval is not 0, full lists are sent at that interval, because
+// receivers that do not know this instance cannot request them.
+func (a *announced) record(now time.Time, list []msg.Presence, fullInterval time.Duration) []msg.Presence {
+	full := fullInterval > 0 && now.Sub(a.fullAt) >= fullInterval
+	if full {
+		a.fullAt = now
 	}
 	lists := map[string]msg.Presence{}
 	out := make([]msg.Presence, 0, len(list))
 	for _, p := range list {
 		lists[p.Source] = p
-		if before, known := t.base(p); known && !whole {
-			p = changes(before, p)
+		if before, known := a.base(p); known && !full {
+			p = reduceToChanges(before, p)
 		}
 		out = append(out, p)
 	}
-	t.at, t.lists = now, lists
+	a.at, a.lists = now, lists
 	return out
 }
 
-// base returns the announcement that changes refer to: the source's last one, or that of
-// another relay of its data centre, which is nearly the same.
-func (t *told) base(p msg.Presence) (before msg.Presence, known bool) {
-	if before, known = t.lists[p.Source]; known {
+// base returns the earlier announcement to which the changes of p refer: the last one of the same
+// source, or else that of another relay of its data centre, whose members are nearly the same.
+func (a *announced) base(p msg.Presence) (before msg.Presence, known bool) {
+	if before, known = a.lists[p.Source]; known {
 		return before, true
 	}
-	for _, source := range slices.Sorted(maps.Keys(t.lists)) {
-		if t.lists[source].DataCentre == p.DataCentre {
-			return t.lists[source], true
+	for _, source := range slices.Sorted(maps.Keys(a.lists)) {
+		if a.lists[source].DataCentre == p.DataCentre {
+			return a.lists[source], true
 		}
 	}
 	return msg.Presence{}, false
 }
 
-// changes reduces an announcement to what differs from an earlier one.
-func changes(before, p msg.Presence) msg.Presence {
+// reduceToChanges reduces an announcement to the members that differ from an earlier one.
+func reduceToChanges(before, p msg.Presence) msg.Presence {
 	all := p.Members
 	p.Members = nil
 	if before.Digest == p.Digest && before.Source == p.Source {
 		return p
 	}
 	p.Base = before.Source
-	had := make(map[string]msg.Heartbeat, len(before.Members))
+	unmatched := make(map[string]msg.Heartbeat, len(before.Members))
 	for _, b := range before.Members {
-		had[b.Name] = b
+		unmatched[b.Name] = b
 	}
 	for _, b := range all {
-		if old, ok := had[b.Name]; !ok || memberDigest(old) != memberDigest(b) {
+		if old, ok := unmatched[b.Name]; !ok || memberDigest(old) != memberDigest(b) {
 			p.Members = append(p.Members, b)
 		}
-		delete(had, b.Name)
+		delete(unmatched, b.Name)
 	}
-	p.Gone = slices.Sorted(maps.Keys(had))
+	p.Gone = slices.Sorted(maps.Keys(unmatched))
 	return p
 }
 
-// changed applies an announcement of changes.
-func (p *presence) changed(told msg.Presence) []msg.Heartbeat {
+// applyChanges returns the members after the changes in an announcement.
+func (p *presence) applyChanges(changes msg.Presence) []msg.Heartbeat {
 	next := map[string]msg.Heartbeat{}
 	for _, b := range p.members {
 		next[b.Name] = b
 	}
-	for _, b := range told.Members {
+	for _, b := range changes.Members {
 		next[b.Name] = b
 	}
-	for _, name := range told.Gone {
+	for _, name := range changes.Gone {
 		delete(next, name)
 	}
 	out := make([]msg.Heartbeat, 0, len(next))
@@ -142,7 +147,7 @@
 	return out
 }
 
-// digestOf is an order-independent hash of member states.
+// digestOf returns an order-independent hash of member states.
 func digestOf(members []msg.Heartbeat) (sum uint64) {
 	for _, b := range members {
 		sum += memberDigest(b)
@@ -157,29 +162,30 @@
 }
 
 // Announcements returns the due announcements of this instance if it is a relay: the members
-// of its data centre to the relays of others, and theirs to the instances of its own.
+// of its data centre, to the relays of other data centres, and the members of these, to the
+// instances of its own data centre.
 func (f *Fleet) Announcements(now time.Time) []Announcement {
 	if !f.IsRelay(now) {
 		return nil
 	}
 	var out []Announcement
 	own := []msg.Presence{f.ownPresence()}
-	if f.toldFar.due(now, own) {
-		out = append(out, Announcement{To: f.farRelays(now), List: f.toldFar.tell(now, own, presenceFullInterval)})
+	if f.announcedFar.isDue(now, own) {
+		out = append(out, Announcement{To: f.farRelays(now), List: f.announcedFar.record(now, own, presenceFullInterval)})
 	}
-	others := f.onePresenceEach(now)
-	if f.toldNear.due(now, others) {
-		out = append(out, Announcement{To: f.nearLive(), List: f.toldNear.tell(now, others, 0)})
+	others := f.latestPresences(now)
+	if f.announcedNear.isDue(now, others) {
+		out = append(out, Announcement{To: f.liveNear(), List: f.announcedNear.record(now, others, 0)})
 	}
 	return out
 }
 
-// IsRelay reports whether this instance announces its data centre to others.
+// IsRelay reports whether this instance announces its data centre to the others.
 func (f *Fleet) IsRelay(now time.Time) bool {
 	return f.large() && slices.Contains(f.relays(now, f.self.DataCentre), f.self.Name)
 }
 
-// Presences returns the full announcements of some sources.
+// Presences returns the last announcements of the given sources, with full member lists.
 func (f *Fleet) Presences(now time.Time, sources []string) []msg.Presence {
 	var out []msg.Presence
 	for _, p := range append(f.otherPresences(now), f.ownPresence()) {
@@ -190,21 +196,21 @@
 	return out
 }
 
-// ownPresence returns the members of this data centre.
+// ownPresence returns the announcement of the live instances of this data centre.
 func (f *Fleet) ownPresence() msg.Presence {
 	p := msg.Presence{Source: f.self.Name, DataCentre: f.self.DataCentre, Members: []msg.Heartbeat{f.self}}
-	for _, name := range f.nearLive() {
+	for _, name := range f.liveNear() {
 		p.Members = append(p.Members, f.members[name].Heartbeat)
 	}
 	for k := range p.Members {
-		p.Members[k].Hears = false // that is between two instances
+		p.Members[k].Hears = false // concerns only the sender and the receiver of a heartbeat
 		p.Members[k].Answer = false
 	}
 	p.Digest = digestOf(p.Members)
 	return p
 }
 
-// otherPresences returns the recent announcements of other data centres' relays.
+// otherPresences returns the announcements of other data centres' relays that have not expired.
 func (f *Fleet) otherPresences(now time.Time) []msg.Presence {
 	var out []msg.Presence
 	for source, p := range f.presences {
@@ -216,12 +222,12 @@
 	return out
 }
 
-// onePresenceEach returns the most recent announcement of each other data centre. It prefers
-// the source that was forwarded last as long as that is on time, since switching sources
-// repeats changes.
-func (f *Fleet) onePresenceEach(now time.Time) []msg.Presence {
+// latestPresences returns the most recent announcement of each other data centre. It prefers
+// the source that was forwarded last as long as its announcements are on time, since
+// switching sources repeats changes.
+func (f *Fleet) latestPresences(now time.Time) []msg.Presence {
 	age := func(p msg.Presence) time.Duration {
-		if _, before := f.toldNear.lists[p.Source]; before {
+		if _, forwarded := f.announcedNear.lists[p.Source]; forwarded {
 			return p.Age - presenceInterval - presenceMinInterval
 		}
 		return p.Age
@@ -239,13 +245,13 @@
 	return out
 }
 
-// nearLive lists the other live instances of this data centre.
-func (f *Fleet) nearLive() []string {
+// liveNear lists the other live instances of this data centre.
+func (f *Fleet) liveNear() []string {
 	return slices.DeleteFunc(slices.Clone(f.live), func(name string) bool { return f.members[name].DataCentre != f.self.DataCentre })
 }
 
-// farRelays lists the relays of the other data centres, or the likely ones if none is known to
-// be alive.
+// farRelays lists the relays of the other data centres. For a data centre without known live
+// instances it lists the instances that are likely to be its relays.
 func (f *Fleet) farRelays(now time.Time) []string {
 	var out []string
 	for _, dc := range f.otherDataCentres() {
@@ -258,12 +264,13 @@
 	return out
 }
 
-// knownRelays lists the relays that a data centre would choose among all known instances,
-// alive or not.
+// knownRelays lists the instances that would be the relays of a data centre if all known
+// instances were alive.
 func (f *Fleet) knownRelays(now time.Time, dataCentre string) []string {
-	return f.largestOf(now, f.allKnown(), relaysKey, relays, func(b msg.Heartbeat) bool { return b.DataCentre == dataCentre })
+	return f.largestOf(now, f.allKnown(), relaysKey, relayCount, func(b msg.Heartbeat) bool { return b.DataCentre == dataCentre })
 }
 
+// otherDataCentres lists the data centres of the known instances, without this one.
 func (f *Fleet) otherDataCentres() []string {
 	seen := map[string]bool{}
 	for _, m := range f.members {
@@ -279,82 +286,83 @@
 	return out
 }
 
-// HeardPresence processes an announcement. It returns false if the announcement refers to a
-// member list that is not known here and must be requested.
-func (f *Fleet) HeardPresence(now time.Time, told msg.Presence) bool {
-	if told.DataCentre == f.self.DataCentre {
-		return true // heard directly
+// HeardPresence processes a received announcement. It returns false if the announcement
+// refers to a member list that is not known here and must be requested.
+func (f *Fleet) HeardPresence(now time.Time, a msg.Presence) bool {
+	if a.DataCentre == f.self.DataCentre {
+		return true // heartbeats arrive directly
 	}
-	at := now.Add(-told.Age)
-	p := f.presences[told.Source]
+	at := now.Add(-a.Age)
+	p := f.presences[a.Source]
 	switch {
-	case p != nil && p.digest == told.Digest:
+	case p != nil && p.digest == a.Digest:
 		p.at = latest(p.at, at)
-		f.hearMembers(now, p)
+		f.markSeen(now, p)
 		return true
 	case p != nil && at.Before(p.at):
-		return true // another relay has told something newer
+		return true // a newer announcement of the source has arrived through another relay
 	}
-	members := told.Members
-	if told.Base != "" {
-		base := f.presences[told.Base]
+	members := a.Members
+	if a.Base != "" {
+		base := f.presences[a.Base]
 		if base == nil {
 			return false
 		}
-		members = base.changed(told)
+		members = base.applyChanges(a)
 	}
-	if members == nil || digestOf(members) != told.Digest {
-		return false // what came before was lost
+	if members == nil || digestOf(members) != a.Digest {
+		return false // an earlier announcement was lost
 	}
-	next := &presence{dataCentre: told.DataCentre, digest: told.Digest, members: members, at: at}
-	f.presences[told.Source] = next
-	f.hearMembers(now, next)
+	next := &presence{dataCentre: a.DataCentre, digest: a.Digest, members: members, at: at}
+	f.presences[a.Source] = next
+	f.markSeen(now, next)
 	if p != nil {
-		f.dropMissing(p, next)
+		f.markMissing(p, next)
 	}
 	f.refresh(now)
 	return true
 }
 
-// hearMembers marks the members of an announcement as alive at its time.
-func (f *Fleet) hearMembers(now time.Time, p *presence) {
+// markSeen marks the members of an announcement as alive at the time of the announcement.
+func (f *Fleet) markSeen(now time.Time, p *presence) {
 	for _, b := range p.members {
 		m := f.members[b.Name]
 		if m == nil {
-			m = &Member{Known: now}
+			m = &Member{LearnedAt: now}
 			f.members[b.Name] = m
 			m.Heartbeat = b
-			f.count()
+			f.countMembers()
 		}
-		if p.at.After(m.Heard) {
-			f.changed = f.changed || listed(m.Heartbeat) != listed(b)
-			m.Heartbeat, m.Heard, m.met = b, p.at, true
+		if p.at.After(m.LastSeen) {
+			f.changed = f.changed || memberOf(m.Heartbeat) != memberOf(b)
+			m.Heartbeat, m.LastSeen, m.wasAlive = b, p.at, true
 		}
 	}
 }
 
-// dropMissing marks members as dead that no recent announcement of their data centre lists any
-// more.
-func (f *Fleet) dropMissing(before, after *presence) {
+// markMissing marks the members as dead that after, the next announcement of the same source,
+// does not list any more, unless another relay's recent announcement lists them.
+func (f *Fleet) markMissing(before, after *presence) {
 	for _, b := range before.members {
-		if m := f.members[b.Name]; m != nil && !after.names(b.Name) && !f.namedBesides(after, b.Name) {
-			m.Heard = time.Time{}
+		if m := f.members[b.Name]; m != nil && !after.lists(b.Name) && !f.listedElsewhere(after, b.Name) {
+			m.LastSeen = time.Time{}
 		}
 	}
 }
 
-// namedBesides reports whether another relay listed an instance recently.
-func (f *Fleet) namedBesides(except *presence, name string) bool {
+// listedElsewhere reports whether a recent announcement of another relay of the same data
+// centre lists an instance.
+func (f *Fleet) listedElsewhere(except *presence, name string) bool {
 	for _, p := range f.presences {
-		if p != except && p.dataCentre == except.dataCentre && except.at.Sub(p.at) < presenceStale && p.names(name) {
+		if p != except && p.dataCentre == except.dataCentre && except.at.Sub(p.at) < presenceStale && p.lists(name) {
 			return true
 		}
 	}
 	return false
 }
 
-// toldOf returns the time of the last announcement for each data centre.
-func (f *Fleet) toldOf() map[string]time.Time {
+// lastAnnounced returns the time of the latest announcement of each other data centre.
+func (f *Fleet) lastAnnounced() map[string]time.Time {
 	if len(f.presences) == 0 {
 		return nil
 	}
@@ -365,8 +373,8 @@
 	return out
 }
 
-// forgetPresences drops outdated announcements.
-func (f *Fleet) forgetPresences(now time.Time) {
+// prunePresences drops announcements older than ForgetAfter.
+func (f *Fleet) prunePresences(now time.Time) {
 	for source, p := range f.presences {
 		if now.Sub(p.at) > ForgetAfter {
 			delete(f.presences, source)
@@ -374,7 +382,7 @@
 	}
 }
 
-// memberDigest hashes an instance's state.
+// memberDigest returns a hash of an instance's announced state.
 func memberDigest(b msg.Heartbeat) uint64 {
 	flags := []byte{'-', '-', '-', '-'}
 	for k, set := range []bool{b.Ready, b.Leaving, b.Reads, b.Settled} {
@@ -385,6 +393,7 @@
 	return xxhash.Sum64String(b.Name + "/" + b.Boot + "/" + b.CallerAddress + "/" + b.PeerAddress + "/" + string(flags))
 }
 
+// latest returns the later of two times.
 func latest(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
--- a/internal/core/fleet/sources.go
+++ b/internal/core/fleet/sources.go
@@ -14,45 +14,46 @@
 )
 
 const (
-	// readers is the number of designated readers: one reads the store, the standby takes over
-	// when it fails.
-	readers = 2
-	// readersKey is the rendezvous key of that role.
+	// readerCount is the number of designated readers: the reader of the store, and the standby
+	// that takes over when the reader fails.
+	readerCount = 2
+	// readersKey is the rendezvous key by which readers are chosen.
 	readersKey = "store-readers"
-	// relaysFrom is the fleet size from which instances ask a relay of their data centre
-	// instead of the reader.
-	relaysFrom = 64
-	// relays is the number of relays in each data centre.
-	relays = 2
-	// startGrace is how long after joining a large fleet instances that have not sent a
-	// heartbeat yet count as candidates for readers and relays. Without it, hundreds of
-	// instances that start at once would all read the full list from the store.
+	// relayFleetSize is the minimum size of a large fleet, in which instances query a relay of
+	// their data centre instead of the reader.
+	relayFleetSize = 64
+	// relayCount is the number of relays in each data centre.
+	relayCount = 2
+	// startGrace is how long an instance that has joined a large fleet also considers instances
+	// as readers and relays that have not sent a heartbeat yet. Without it, hundreds of
+	// instances that start at once would all read the full list of upstreams from the store.
 	startGrace = 1500 * time.Millisecond
 	// relaysTTL is how long a choice of relays is cached.
 	relaysTTL = 300 * time.Millisecond
-	// relaysKey is the rendezvous key of that role.
+	// relaysKey is the rendezvous key by which relays are chosen.
 	relaysKey = "list-relays"
 )
 
-// Sources tells where an instance gets updates from.
+// Sources describes where an instance gets updates from.
 type Sources struct {
-	// Choice is whom it asks.
+	// Choice lists the sources that the instance may query.
 	watch.Choice
-	// Relays is set if others get their updates from it, so that it must know everything.
+	// Relays is set if other instances get their updates from this one, so that it needs the
+	// complete data.
 	Relays bool
-	// Relayed is set if it gets them from a relay.
+	// Relayed is set if this instance gets its updates from a relay.
 	Relayed bool
 }
 
 // Sources returns where this instance gets updates from: the reader from the store, the
-// standby and the relays from the reader, the others from a relay of their data centre, or
-// from the reader in a small fleet. Homes of pools ask the reader directly, because they must
-// learn of leaving upstreams first.
+// standby and the relays from the reader, and the others from a relay of their data centre
+// or, in a small fleet, from the reader. Homes of pools query the reader directly, because
+// they must learn of leaving upstreams before others do.
 func (f *Fleet) Sources(now time.Time, isHome bool) Sources {
 	readers := f.Readers(now)
 	rank := slices.Index(readers, f.self.Name)
 	s := Sources{Choice: watch.Choice{
-		Reads: rank == 0, Standby: rank > 0, Large: f.large(), Others: f.turned(f.live), Ask: f.others(readers),
+		Reads: rank == 0, Standby: rank > 0, Large: f.large(), Others: f.rotated(f.live), Ask: f.withoutSelf(readers),
 	}}
 	if rank >= 0 || !s.Large {
 		s.Relays = rank >= 0
@@ -63,26 +64,26 @@
 		return s
 	}
 	if isHome {
-		s.Ask = append(s.Ask, f.turned(near)...)
+		s.Ask = append(s.Ask, f.rotated(near)...)
 		return s
 	}
 	s.Relayed = len(near) > 0
-	s.Ask = append(f.turned(near), s.Ask...)
+	s.Ask = append(f.rotated(near), s.Ask...)
 	return s
 }
 
-// large reports whether the fleet uses relays.
-func (f *Fleet) large() bool { return f.Size() >= relaysFrom && !f.without.Has(mechanism.Relays) }
+// large reports whether the fleet is large enough to use relays.
+func (f *Fleet) large() bool { return f.Size() >= relayFleetSize && !f.without.Has(mechanism.Relays) }
 
-// others removes this instance from a list of names.
-func (f *Fleet) others(names []string) []string {
+// withoutSelf returns a list of names without this instance's name.
+func (f *Fleet) withoutSelf(names []string) []string {
 	return slices.DeleteFunc(slices.Clone(names), func(n string) bool { return n == f.self.Name })
 }
 
-// turned removes this instance from a list of names and rotates it by a hash of its name, to
-// spread load.
-func (f *Fleet) turned(names []string) []string {
-	others := f.others(names)
+// rotated returns a list of names without this instance's name, rotated by a hash of that name to
+// spread the load.
+func (f *Fleet) rotated(names []string) []string {
+	others := f.withoutSelf(names)
 	if len(others) == 0 {
 		return nil
 	}
@@ -90,40 +91,42 @@
 	return append(others[first:len(others):len(others)], others[:first]...)
 }
 
-// Readers lists the reader and the standby: the largest instances, in rendezvous order, among
-// those that the store answers. If it answers none, each of them asks the store itself.
+// Readers lists the reader and the standby: the instances on the largest machines, in
+// rendezvous order, among those that can read the store. If no instance can, the list is
+// empty, and instances that would query a reader query the store instead.
 func (f *Fleet) Readers(now time.Time) []string {
-	return f.largest(now, readersKey, readers, func(b msg.Heartbeat) bool { return b.Reads })
+	return f.largest(now, readersKey, readerCount, func(b msg.Heartbeat) bool { return b.Reads })
 }
 
 // relays lists the relays of a data centre.
 func (f *Fleet) relays(now time.Time, dataCentre string) []string {
-	c := f.relaysAt[dataCentre]
+	c := f.relayCache[dataCentre]
 	if c.names == nil || now.Sub(c.at) >= relaysTTL {
-		c = chosen{at: now, names: f.largest(now, relaysKey, relays, func(b msg.Heartbeat) bool { return b.DataCentre == dataCentre })}
-		f.relaysAt[dataCentre] = c
+		c = relayChoice{at: now, names: f.largest(now, relaysKey, relayCount, func(b msg.Heartbeat) bool { return b.DataCentre == dataCentre })}
+		f.relayCache[dataCentre] = c
 	}
 	return c.names
 }
 
-// chosen is a cached choice of instances.
-type chosen struct {
+// relayChoice is a cached choice of relays and the time when it was made.
+type relayChoice struct {
 	at    time.Time
 	names []string
 }
 
-// largest lists up to n matching instances, those on the largest machines first and in
-// rendezvous order among equals: changes of 3,000 upstreams take 6 Mbit/s, more than half of a
-// small machine's link.
+// largest lists up to n instances for which fits returns true. Eligible instances come first,
+// then those on the largest machines, and equals are in rendezvous order. Large machines are
+// preferred because the changes of 3,000 upstreams take 6 Mbit/s, more than half of a small
+// machine's link.
 func (f *Fleet) largest(now time.Time, key string, n int, fits func(msg.Heartbeat) bool) []string {
 	view := f.view
-	if f.large() && now.Sub(f.learned) < startGrace {
+	if f.large() && now.Sub(f.learnedAt) < startGrace {
 		view = f.allKnown()
 	}
 	return f.largestOf(now, view, key, n, fits)
 }
 
-// largestOf is largest among the instances of a view.
+// largestOf is like largest, but chooses among the instances of a given view.
 func (f *Fleet) largestOf(now time.Time, view *membership.View, key string, n int, fits func(msg.Heartbeat) bool) []string {
 	var out []msg.Heartbeat
 	for _, name := range view.Homes(now, key, f.Size(), func(string) int { return 0 }) {
@@ -132,7 +135,7 @@
 		}
 	}
 	slices.SortStableFunc(out, func(a, b msg.Heartbeat) int {
-		return cmp.Or(compareSettled(a, b), cmp.Compare(b.Class, a.Class))
+		return cmp.Or(compareEligible(a, b), cmp.Compare(b.Class, a.Class))
 	})
 	names := make([]string, 0, n)
 	for _, b := range out[:min(n, len(out))] {
@@ -141,9 +144,9 @@
 	return names
 }
 
-// compareSettled orders settled instances first. Otherwise a rolling restart would move every
-// role to each instance in turn.
-func compareSettled(a, b msg.Heartbeat) int {
+// compareEligible orders eligible instances, which have been alive for eligibleAge, first.
+// Without this, a rolling restart would move every role to each instance in turn.
+func compareEligible(a, b msg.Heartbeat) int {
 	switch {
 	case a.Settled == b.Settled:
 		return 0
@@ -153,19 +156,19 @@
 	return 1
 }
 
-// allKnown returns a view of all known instances, alive or not.
+// allKnown returns a membership view of all known instances, alive or not.
 func (f *Fleet) allKnown() *membership.View {
-	view := membership.NewView(listed(f.self))
+	view := membership.NewView(memberOf(f.self))
 	list := make([]membership.Member, 0, len(f.members))
 	for _, m := range f.members {
-		list = append(list, listed(m.Heartbeat))
+		list = append(list, memberOf(m.Heartbeat))
 	}
 	view.Update(time.Time{}, list)
 	return view
 }
 
-// heartbeatOf returns the last state of an instance. One without a heartbeat so far is assumed
-// to reach the store.
+// heartbeatOf returns the last known state of an instance. An instance that has not sent a
+// heartbeat yet is assumed to be able to read the store, an unknown one to be leaving.
 func (f *Fleet) heartbeatOf(name string) msg.Heartbeat {
 	if name == f.self.Name {
 		return f.self
@@ -175,6 +178,6 @@
 		return msg.Heartbeat{Leaving: true}
 	}
 	b := m.Heartbeat
-	b.Reads = b.Reads || !m.met
+	b.Reads = b.Reads || !m.wasAlive
 	return b
 }
--- a/internal/core/fleet/sweep_test.go
+++ b/internal/core/fleet/sweep_test.go
@@ -5,39 +5,39 @@
 	"time"
 )
 
-// Machines are replaced, each under a new name. Rows of the old ones would pile up,
-// and every instance that starts would send heartbeats to all of them. A row goes once its
-// instance has been dead at every look for a quarter of an hour; not if it was heard
-// in between, or if the row was written anew.
-func TestRowsOfTheDeadAreSwept(t *testing.T) {
+// Machines are replaced, each under a new name. Without sweeps the rows of the old ones would
+// accumulate, and every instance that starts would send heartbeats to all of them. A row must
+// be removed once its instance was dead in every sweep for a quarter of an hour, but not if
+// the instance was alive in between or the row was written again.
+func TestRowsOfDeadInstancesAreRemoved(t *testing.T) {
 	row := func(k int, version int64) Row { return Row{Heartbeat: heartbeat(k), Version: version} }
 	for _, c := range []struct {
 		name    string
-		version func(look int) int64
-		lives   func(look int) bool
-		removed int
+		version func(sweep int) int64
+		alive   func(sweep int) bool
+		removed int // first sweep that removes the row, -1 if none
 	}{
-		{"dead all the time", func(int) int64 { return 7 }, func(int) bool { return false }, 3},
-		{"lives", func(int) int64 { return 7 }, func(int) bool { return true }, -1},
-		{"heard in between", func(int) int64 { return 7 }, func(look int) bool { return look == 2 }, 6},
-		{"written anew in between", func(look int) int64 { return int64(7 + look/2) }, func(int) bool { return false }, -1},
+		{"always dead", func(int) int64 { return 7 }, func(int) bool { return false }, 3},
+		{"always alive", func(int) int64 { return 7 }, func(int) bool { return true }, -1},
+		{"alive in between", func(int) int64 { return 7 }, func(sweep int) bool { return sweep == 2 }, 6},
+		{"row written again in between", func(sweep int) int64 { return int64(7 + sweep/2) }, func(int) bool { return false }, -1},
 	} {
 		var s Sweep
 		removed := -1
-		for look := range 8 {
-			now := start.Add(time.Duration(look) * SweepInterval)
-			got := s.Look(now, []Row{row(1, c.version(look)), row(2, 1)}, func(name string) bool { return name == "i02" || c.lives(look) })
+		for sweep := range 8 {
+			now := start.Add(time.Duration(sweep) * SweepInterval)
+			got := s.Look(now, []Row{row(1, c.version(sweep)), row(2, 1)}, func(name string) bool { return name == "i02" || c.alive(sweep) })
 			if len(got) > 0 && removed < 0 {
-				removed = look
+				removed = sweep
 			}
 			for _, r := range got {
 				if r.Name != "i01" {
-					t.Errorf("%s: %s is removed", c.name, r.Name)
+					t.Errorf("%s: row of %s removed, want only the row of i01", c.name, r.Name)
 				}
 			}
 		}
 		if removed != c.removed {
-			t.Errorf("%s: removed at look %d, want %d", c.name, removed, c.removed)
+			t.Errorf("%s: row removed in sweep %d, want %d", c.name, removed, c.removed)
 		}
 	}
 }
