--- a/internal/core/fleet/join.go
+++ b/internal/core/fleet/join.go
@@ -59,9 +59,9 @@
 // settings, or else through the store. Joining through the store does not scale to hundreds
 // of simultaneous starts, because writes to one table partition are serialised.
 type Join struct {
-	// seeds is set if the settings name seeds.
-	seeds   bool
-	started time.Time
+	// hasSeeds is set if the settings name seeds.
+	hasSeeds bool
+	started  time.Time
 	// asked is when the seeds were last asked; zero if they were not.
 	asked time.Time
 	// answers is the number of useful responses, known the number of known instances after the
@@ -72,8 +72,8 @@
 	complete bool
 }
 
-// NewJoin starts joining. seeds is set if the settings name seeds.
-func NewJoin(now time.Time, seeds bool) *Join { return &Join{seeds: seeds, started: now} }
+// NewJoin starts joining. hasSeeds is set if the settings name seeds.
+func NewJoin(now time.Time, hasSeeds bool) *Join { return &Join{hasSeeds: hasSeeds, started: now} }
 
 // Next returns the next action.
 func (j *Join) Next(now time.Time) JoinStep {
@@ -81,7 +81,7 @@
 	switch {
 	case j.complete, j.answers > 0 && age >= growthTimeout:
 		return JoinDone
-	case !j.seeds, age >= seedTimeout:
+	case !j.hasSeeds, age >= seedTimeout:
 		return JoinByStore
 	case j.asked.IsZero() || now.Sub(j.asked) >= seedRetryInterval:
 		j.asked = now
--- a/internal/core/fleet/presence.go
+++ b/internal/core/fleet/presence.go
@@ -128,7 +128,7 @@
 	return p
 }
 
-// applyChanges returns the members after the changes in an announcement.
+// applyChanges returns the members of p with the changes of an announcement applied.
 func (p *presence) applyChanges(changes msg.Presence) []msg.Heartbeat {
 	next := map[string]msg.Heartbeat{}
 	for _, b := range p.members {
--- a/internal/core/forward/forward_test.go
+++ b/internal/core/forward/forward_test.go
@@ -357,7 +357,7 @@
 		{0, 0, defaultTimeout},
 	} {
 		if got := effectiveTimeout(c.timeout, c.caller); got != c.want {
-			t.Errorf("timeoutOf(%v, %v) = %v, want %v", c.timeout, c.caller, got, c.want)
+			t.Errorf("effectiveTimeout(%v, %v) = %v, want %v", c.timeout, c.caller, got, c.want)
 		}
 	}
 }
--- a/internal/core/forward/request.go
+++ b/internal/core/forward/request.go
@@ -67,7 +67,7 @@
 	GrantLapsed   Reason = "grant_lapsed"
 )
 
-// Refusal is an error response that the instance sends without forwarding one of an upstream.
+// Refusal is an error response of the instance itself, not forwarded from an upstream.
 type Refusal struct {
 	Status int
 	Reason Reason
