--- a/internal/core/fleet/join.go
+++ b/internal/core/fleet/join.go
@@ -64,10 +64,10 @@
 	started  time.Time
 	// asked is when the seeds were last asked; zero if they were not.
 	asked time.Time
-	// answers is the number of useful responses, known the number of known instances after the
+	// responses is the number of useful responses, known the number of known instances after the
 	// last one.
-	answers int
-	known   int
+	responses int
+	known     int
 	// complete is set once the member list is complete.
 	complete bool
 }
@@ -79,7 +79,7 @@
 func (j *Join) Next(now time.Time) JoinStep {
 	age := now.Sub(j.started)
 	switch {
-	case j.complete, j.answers > 0 && age >= growthTimeout:
+	case j.complete, j.responses > 0 && age >= growthTimeout:
 		return JoinDone
 	case !j.hasSeeds, age >= seedTimeout:
 		return JoinByStore
@@ -98,10 +98,10 @@
 	if a.Isolated {
 		return
 	}
-	j.answers++
+	j.responses++
 	grown := known - j.known
 	j.known = known
-	if a.Settled || j.answers > 1 && grown*growthDivisor <= known {
+	if a.Settled || j.responses > 1 && grown*growthDivisor <= known {
 		j.complete = true
 	}
 }
--- a/internal/core/fleet/join_test.go
+++ b/internal/core/fleet/join_test.go
@@ -75,7 +75,7 @@
 // The response to an instance that has just started must list the live instances, but not the
 // dead ones that are still known. A sender that already knows the same instances must get no
 // list.
-func TestJoinAnswers(t *testing.T) {
+func TestJoinResponses(t *testing.T) {
 	f := fleetOf(0, 6)
 	now := start.Add(10 * time.Second)
 	for k := 1; k < 5; k++ {
--- a/internal/core/forward/forward_test.go
+++ b/internal/core/forward/forward_test.go
@@ -191,7 +191,7 @@
 // A booking is sent and its response is lost. The upstream may have run it, so it must not be
 // sent again, and the caller must not get a status that promises that it did not run: the
 // caller would retry and book twice.
-func TestABookingWithALostAnswerIsNotSentAgain(t *testing.T) {
+func TestABookingWithALostResponseIsNotSentAgain(t *testing.T) {
 	for _, path := range []string{"/once/1", "/twice/1", "/stream/1"} {
 		g := gate(t, 3)
 		c := admit(t, g, request(path))
