--- a/internal/daemon/actions.go
+++ b/internal/daemon/actions.go
@@ -8,10 +8,11 @@
 	"mulberrylug.example/mulberrylug/internal/core/config"
 )
 
-// tableTimeout bounds a table call; past it the outcome is unknown.
+// tableTimeout is the timeout of a table call. After a timeout it is unknown whether the call
+// took effect.
 const tableTimeout = time.Second
 
-// do starts an action. It never blocks the loop.
+// do starts an action of the core. It never blocks the loop.
 func (d *Daemon) do(ctx context.Context, a core.Action) {
 	switch a := a.(type) {
 	case core.Send:
@@ -21,11 +22,11 @@
 	case core.ResetPeer:
 		d.peers.Reset(a.To)
 	case core.Dispatch:
-		d.caller.Run(ctx, a)
+		d.upstreams.Run(ctx, a)
 	case core.Cancel:
 		go d.cancel(ctx, a)
 	case core.CloseUpstream:
-		d.caller.Close(a.Attempt)
+		d.upstreams.Close(a.Attempt)
 	case core.Deliver:
 		if s := d.sinks.get(a.Request); s != nil {
 			s.deliver(a)
@@ -43,24 +44,24 @@
 	case core.Fetch:
 		go d.fetch(ctx, a)
 	case core.AskTurn:
-		go d.askTurn(ctx, a)
+		go d.requestTurn(ctx, a)
 	case core.SendOrder:
-		go d.caller.Order(ctx, a)
+		go d.upstreams.Order(ctx, a)
 	case core.Poll:
-		go d.caller.Poll(ctx, a.Upstream, a.Address)
+		go d.upstreams.Poll(ctx, a.Upstream, a.Address)
 	case core.Count:
 		d.metrics.Count(a.Group, a.Name)
 	case core.Log:
 		d.log.Info(a.Event, a.Pairs...)
 	case core.Explained:
-		d.explains.answer(a.ID, a.Lines)
+		d.explains.reply(a.ID, a.Lines)
 	case core.Exit:
 		d.exitOnce.Do(func() { close(d.exited) })
 	}
 }
 
 func (d *Daemon) cancel(ctx context.Context, a core.Cancel) {
-	if err := d.caller.Cancel(ctx, a.Address, a.Attempt); err != nil {
+	if err := d.upstreams.Cancel(ctx, a.Address, a.Attempt); err != nil {
 		d.log.Debug("cancel failed", "attempt", a.Attempt, "error", err)
 	}
 }
@@ -89,14 +90,14 @@
 	data, err := d.platform.Get(ctx, a.Hash)
 	result := core.ObjectResult{Hash: a.Hash, OK: err == nil, Data: data}
 	if result.OK {
-		// Not in the loop: all tokens of the instance would wait meanwhile.
+		// Decoded here and not in the loop, where it would delay all tokens of the instance.
 		result.Config = decodeConfig(data, a.Hash)
 	}
 	d.loop.submit(result)
 }
 
-// decodeConfig returns nil for an object that can't be decoded: the core
-// decodes it again and says why.
+// decodeConfig returns nil for an object that can't be decoded; the core then decodes it again
+// and reports the error.
 func decodeConfig(data []byte, hash string) *config.Config {
 	cfg, err := config.Decode(data, hash)
 	if err != nil {
@@ -105,7 +106,7 @@
 	return cfg
 }
 
-func (d *Daemon) askTurn(ctx context.Context, a core.AskTurn) {
+func (d *Daemon) requestTurn(ctx context.Context, a core.AskTurn) {
 	wait, err := d.platform.Fetch(ctx, a.Model, a.Version, a.Upstream)
 	d.loop.submit(core.TurnAnswer{Upstream: a.Upstream, Wait: wait, OK: err == nil})
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,6 +1,5 @@
-// Package daemon runs one instance: the core in its loop, and round it the
-// sockets, timers and calls that the core's actions ask for, under a
-// supervision tree.
+// Package daemon runs one instance. The core runs in an event loop. Around it are the sockets,
+// timers and calls that carry out the core's actions, under a supervision tree.
 package daemon
 
 import (
@@ -29,19 +28,20 @@
 )
 
 const (
-	// listEvery is how often the instance list is read, announceEvery how
-	// often the platform is told that this instance lives.
-	listEvery     = time.Second
-	announceEvery = time.Second
-	// shutdownGrace is how long open answers may take to flush at the end.
+	// listInterval is the interval at which the instance list is read, announceInterval the
+	// interval at which the instance announces itself to the platform.
+	listInterval     = time.Second
+	announceInterval = time.Second
+	// shutdownGrace is how long a shutdown waits for open responses to complete.
 	shutdownGrace = 5 * time.Second
-	// flushGrace is how long the last messages to peers may take.
-	flushGrace = time.Second
-	// idleTimeout ends a caller's connection that carries no request.
+	// flushTimeout is how long a drain waits for the last messages to peers to be sent.
+	flushTimeout = time.Second
+	// idleTimeout is how long a caller's or an operator's connection is kept open without a
+	// request.
 	idleTimeout = 2 * time.Minute
 )
 
-// Platform is what a daemon needs of the platform.
+// Platform is the set of platform services that a daemon uses.
 type Platform interface {
 	platform.Table
 	platform.Scanner
@@ -57,38 +57,39 @@
 	boot     string
 	log      hclog.Logger
 
-	platform Platform
-	loop     *loop
-	peers    *peer.Transport
-	caller   *upstream.Caller
-	metrics  *metrics.Metrics
-	sinks    sinks
-	explains explains
-
-	callers   net.Listener
-	operators net.Listener
-	requests  atomic.Int64
-	killed    atomic.Bool
-	exited    chan struct{}
-	exitOnce  sync.Once
-	advertise func(listened string) string
+	platform  Platform
+	loop      *loop
+	peers     *peer.Transport
+	upstreams *upstream.Caller
+	metrics   *metrics.Metrics
+	sinks     sinks
+	explains  pendingExplains
+
+	callerListener   net.Listener
+	operatorListener net.Listener
+	lastRequest      atomic.Int64
+	killed           atomic.Bool
+	exited           chan struct{}
+	exitOnce         sync.Once
+	advertise        func(listened string) string
 }
 
-// Option changes how New sets an instance up.
+// Option configures an instance that New creates.
 type Option func(*Daemon)
 
-// Advertise makes the instance tell callers another address than the one it
-// listens on, for example a relay's. f gets the latter as host:port.
+// Advertise makes the instance announce an address to callers that differs from the one on which
+// it listens, for example the address of a proxy. f receives the listen address as host:port and
+// returns the address to announce.
 func Advertise(f func(listened string) string) Option {
 	return func(d *Daemon) { d.advertise = f }
 }
 
-// New opens the instance's addresses. Serve runs it.
+// New creates an instance and opens its listening addresses. Serve runs it.
 func New(s Settings, p Platform, log hclog.Logger, options ...Option) (*Daemon, error) {
 	d := &Daemon{
 		settings: s, platform: p, boot: fmt.Sprintf("%08x", rand.Uint32()), log: log,
 		metrics: metrics.NewMetrics(), sinks: sinks{byID: map[string]*Sink{}}, exited: make(chan struct{}),
-		explains:  explains{waiting: map[uint64]chan []string{}},
+		explains:  pendingExplains{replies: map[uint64]chan []string{}},
 		advertise: func(listened string) string { return listened },
 	}
 	for _, o := range options {
@@ -108,16 +109,16 @@
 	log.Info("starting", "name", s.Name, "data_centre", s.DataCentre, "without", without)
 	d.loop = newLoop(core.New(core.Options{Self: d.self, Boot: d.boot, Seed: rand.Uint64(), Without: without}))
 	d.loop.do = d.do
-	d.caller = upstream.NewCaller(d.loop.submit)
+	d.upstreams = upstream.NewCaller(d.loop.submit)
 	d.addGauges()
 	return d, nil
 }
 
 func (d *Daemon) listen() (err error) {
-	if d.callers, err = net.Listen("tcp", d.settings.CallerAddress); err != nil {
+	if d.callerListener, err = net.Listen("tcp", d.settings.CallerAddress); err != nil {
 		return fmt.Errorf("listen for callers on %s: %w", d.settings.CallerAddress, err)
 	}
-	if d.operators, err = net.Listen("tcp", d.settings.OperatorAddress); err != nil {
+	if d.operatorListener, err = net.Listen("tcp", d.settings.OperatorAddress); err != nil {
 		return fmt.Errorf("listen for operators on %s: %w", d.settings.OperatorAddress, err)
 	}
 	d.peers, err = peer.Listen(d.settings.PeerAddress, d.settings.Name, d.onPeer, d.log.Named("peer"))
@@ -133,13 +134,13 @@
 }
 
 // CallerAddress returns the address that callers connect to.
-func (d *Daemon) CallerAddress() string { return d.callers.Addr().String() }
+func (d *Daemon) CallerAddress() string { return d.callerListener.Addr().String() }
 
 // OperatorAddress returns the address that operators connect to.
-func (d *Daemon) OperatorAddress() string { return d.operators.Addr().String() }
+func (d *Daemon) OperatorAddress() string { return d.operatorListener.Addr().String() }
 
-// Serve runs the instance until the context ends or it has drained. callers
-// and operators are the HTTP sides of package server.
+// Serve runs the instance until the context ends or the instance has drained. callers and
+// operators are the HTTP handlers of package server.
 func (d *Daemon) Serve(ctx context.Context, callers, operators http.Handler) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -150,23 +151,23 @@
 	tree.Add(d.peers)
 	flushed := make(chan struct{})
 	tree.Add(task.Task{Name: "callers", Run: func(ctx context.Context) error {
-		err := d.serveHTTP(ctx, d.callers, callers, d.exited)
+		err := d.serveHTTP(ctx, d.callerListener, callers, d.exited)
 		if errors.Is(err, suture.ErrDoNotRestart) {
 			close(flushed)
 		}
 		return err
 	}})
-	tree.Add(task.Task{Name: "operators", Run: func(ctx context.Context) error { return d.serveHTTP(ctx, d.operators, operators, nil) }})
-	tree.Add(task.Every("list", listEvery, d.readList))
-	tree.Add(task.Every("announcements", announceEvery, d.announce))
+	tree.Add(task.Task{Name: "operators", Run: func(ctx context.Context) error { return d.serveHTTP(ctx, d.operatorListener, operators, nil) }})
+	tree.Add(task.Every("list", listInterval, d.readInstanceList))
+	tree.Add(task.Every("announcements", announceInterval, d.announce))
 	d.log.Info("serving", "name", d.settings.Name, "data_centre", d.settings.DataCentre,
 		"caller_address", d.CallerAddress(), "peer_address", d.peers.Address(), "operator_address", d.OperatorAddress())
 	ended := tree.ServeBackground(ctx)
-	defer close(d.loop.ended)
+	defer close(d.loop.stopped)
 	select {
 	case <-d.exited:
-		// Nothing runs any more, but callers may still read the end of their
-		// answers: the loop and its sockets stay until they have.
+		// No request is left, but callers may still be receiving the end of their
+		// responses. The loop and the sockets stay open until they have received it.
 		<-flushed
 		d.flush(ctx)
 		d.log.Info("drained", "name", d.settings.Name)
@@ -181,20 +182,21 @@
 	}
 }
 
-// flush gives the last messages to peers, settlements and ended grants, time
-// to leave: what is lost here stays held at the homes until they notice.
+// flush waits for the last messages to peers, such as settlements and ended grants, to be sent.
+// The resources that a lost message would have released stay reserved at the home until the home
+// detects the loss.
 func (d *Daemon) flush(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, flushGrace)
+	ctx, cancel := context.WithTimeout(ctx, flushTimeout)
 	defer cancel()
 	if err := d.peers.Flush(ctx); err != nil {
 		d.log.Warn("flush_failed", "step", "drain", "error", err)
 	}
 }
 
-// serveHTTP serves until the context ends or drained is closed. It returns
-// only once the open answers have finished: Serve returns as soon as Shutdown
-// begins, and a process that ended then would cut off answers that are still
-// being written. After a drain it waits for their callers without a bound.
+// serveHTTP serves until the context ends or drained is closed, and returns only once the open
+// responses have completed. http.Server.Serve returns as soon as Shutdown begins; a process that
+// exited then would truncate responses that are still being written. After a drain there is no
+// limit on the wait for open responses.
 func (d *Daemon) serveHTTP(ctx context.Context, ln net.Listener, h http.Handler, drained <-chan struct{}) error {
 	srv := &http.Server{Handler: h, ReadHeaderTimeout: 10 * time.Second, IdleTimeout: idleTimeout}
 	shut := make(chan struct{})
@@ -211,7 +213,7 @@
 	}()
 	err := srv.Serve(ln)
 	if !errors.Is(err, http.ErrServerClosed) {
-		return fmt.Errorf("serve %s: %w", ln.Addr(), err) // the listener broke
+		return fmt.Errorf("serve %s: %w", ln.Addr(), err) // the listener failed
 	}
 	<-shut
 	return suture.ErrDoNotRestart
@@ -229,7 +231,7 @@
 	}
 }
 
-func (d *Daemon) readList(ctx context.Context) {
+func (d *Daemon) readInstanceList(ctx context.Context) {
 	list, err := d.platform.List(ctx)
 	if err != nil {
 		d.metrics.Count("platform_failures_total", "list")
@@ -240,12 +242,12 @@
 
 func (d *Daemon) announce(ctx context.Context) {
 	m := d.self
-	_ = d.loop.ask(ctx, func(_ time.Time, inst *core.Instance) []core.Action {
+	_ = d.loop.call(ctx, func(_ time.Time, inst *core.Instance) []core.Action {
 		if inst.Leaving() {
 			m.State = membership.Leaving
 		}
 		return nil
-	}) // an error means that the instance stops
+	}) // an error means that the instance is stopping
 	if err := d.platform.Announce(ctx, m); err != nil {
 		d.metrics.Count("platform_failures_total", "announce")
 	}
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -18,62 +18,63 @@
 	"mulberrylug.example/mulberrylug/internal/testkit"
 )
 
-// patience bounds every wait; a busy machine must not change a verdict.
-const patience = 30 * time.Second
+// testTimeout limits every wait in these tests. It is long so that a test does not fail on a
+// busy machine.
+const testTimeout = 30 * time.Second
 
-// gonePlatform answers nothing until its caller gives up, as a platform behind
-// a dead link does.
-type gonePlatform struct{}
+// unresponsivePlatform returns nothing until the context of the call ends, like a platform
+// behind a dead network link.
+type unresponsivePlatform struct{}
 
-func (gonePlatform) Commit(ctx context.Context, _ table.Tx) table.Result {
+func (unresponsivePlatform) Commit(ctx context.Context, _ table.Tx) table.Result {
 	<-ctx.Done()
 	return table.Result{Status: table.Unknown}
 }
 
-func (gonePlatform) Read(ctx context.Context, _ []string) ([]table.Row, error) {
+func (unresponsivePlatform) Read(ctx context.Context, _ []string) ([]table.Row, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
 
-func (gonePlatform) Get(ctx context.Context, _ string) ([]byte, error) {
+func (unresponsivePlatform) Get(ctx context.Context, _ string) ([]byte, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
 
-func (gonePlatform) Put(ctx context.Context, _ string, _ []byte) error {
+func (unresponsivePlatform) Put(ctx context.Context, _ string, _ []byte) error {
 	<-ctx.Done()
 	return ctx.Err()
 }
 
-func (gonePlatform) Fetch(ctx context.Context, _, _, _ string) (time.Duration, error) {
+func (unresponsivePlatform) Fetch(ctx context.Context, _, _, _ string) (time.Duration, error) {
 	<-ctx.Done()
 	return 0, ctx.Err()
 }
 
-func (gonePlatform) Scan(ctx context.Context, _, _ string, _ int) ([]table.Row, error) {
+func (unresponsivePlatform) Scan(ctx context.Context, _, _ string, _ int) ([]table.Row, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
 
-func (gonePlatform) List(ctx context.Context) ([]membership.Member, error) {
+func (unresponsivePlatform) List(ctx context.Context) ([]membership.Member, error) {
 	<-ctx.Done()
 	return nil, ctx.Err()
 }
 
-func (gonePlatform) Announce(ctx context.Context, _ membership.Member) error {
+func (unresponsivePlatform) Announce(ctx context.Context, _ membership.Member) error {
 	<-ctx.Done()
 	return ctx.Err()
 }
 
-// serve runs an instance whose platform is gone; stop ends it and returns what
-// Serve returned.
-func serve(t *testing.T, callers http.Handler) (d *Daemon, stop func() error) {
+// startDaemon runs an instance whose platform does not respond. stop ends the instance and
+// returns the result of Serve.
+func startDaemon(t *testing.T, callers http.Handler) (d *Daemon, stop func() error) {
 	t.Helper()
 	s := Settings{
 		Name: "entry-1", DataCentre: "kochi-a", Platform: "http://127.0.0.1:1",
 		CallerAddress: "127.0.0.1:0", PeerAddress: "127.0.0.1:0", OperatorAddress: "127.0.0.1:0",
 	}
-	d, err := New(s, gonePlatform{}, hclog.NewNullLogger())
+	d, err := New(s, unresponsivePlatform{}, hclog.NewNullLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -86,70 +87,70 @@
 		case err := <-ended:
 			ended <- err
 			return err
-		case <-time.After(patience):
-			return errors.New("Serve did not return")
+		case <-time.After(testTimeout):
+			return errors.New("Serve did not return after its context ended")
 		}
 	}
 	t.Cleanup(func() { _ = stop() })
 	return d, stop
 }
 
-// The platform is gone before an instance starts. Its loop goes on, so that
-// operators and callers are answered (not ready yet), and it ends when told to:
-// nothing waits for a call that nobody will answer.
-func TestPlatformGoneHoldsNothingUp(t *testing.T) {
-	d, stop := serve(t, http.NotFoundHandler())
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+// The platform is unreachable before an instance starts. The loop must continue, so that
+// operators and callers get a response (callers: not ready yet), and the instance must stop when
+// asked to. Nothing may block on a call to the platform.
+func TestUnresponsivePlatformDoesNotBlockInstance(t *testing.T) {
+	d, stop := startDaemon(t, http.NotFoundHandler())
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	if _, err := d.Entries(ctx, ""); err != nil {
-		t.Errorf("entries: %v", err)
+		t.Errorf("Entries with an unresponsive platform: %v", err)
 	}
 	id, sink := d.Request(core.CallerRequest{Model: "any"})
-	testkit.Eventually(t, patience, "the request is refused", func() bool {
+	testkit.Eventually(t, testTimeout, "the request is refused", func() bool {
 		_, f := sink.Take()
 		return f != nil && f.Outcome == core.NotRun && f.Reason == core.ReasonNotReady && f.RetryAfter > 0
 	})
 	d.Leave(id, sink)
 	if err := stop(); err != nil {
-		t.Errorf("end: %v", err)
+		t.Errorf("stop with an unresponsive platform: %v", err)
 	}
 }
 
-// After the end, calls to upstreams and HTTP handlers may still report. They
-// must not wait for the loop for ever: each would leak, and the process that
-// runs several instances would fill up.
-func TestNothingWaitsForAnEndedLoop(t *testing.T) {
-	d, stop := serve(t, http.NotFoundHandler())
+// Calls to upstreams and HTTP handlers may still report events after the instance has stopped.
+// They must not block on the loop: each would leak a goroutine, and a process that runs several
+// instances would run out of memory.
+func TestSubmitDoesNotBlockAfterStop(t *testing.T) {
+	d, stop := startDaemon(t, http.NotFoundHandler())
 	if err := stop(); err != nil {
 		t.Fatal(err)
 	}
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		for range 2 * loopQueue {
+		for range 2 * loopQueueSize {
 			d.loop.submit(core.Tick{})
 		}
-		if _, err := d.Entries(context.Background(), ""); !errors.Is(err, errEnded) {
-			t.Errorf("entries of an ended instance: error %v, want %v", err, errEnded)
+		if _, err := d.Entries(context.Background(), ""); !errors.Is(err, errStopped) {
+			t.Errorf("Entries of a stopped instance: error %v, want %v", err, errStopped)
 		}
 	}()
 	select {
 	case <-done:
-	case <-time.After(patience):
-		t.Error("submit waits for an ended loop")
+	case <-time.After(testTimeout):
+		t.Error("submit blocks on a stopped loop")
 	}
 }
 
-// An instance ends while an answer is being written. The caller gets it whole:
-// Serve returns only after open answers have ended.
-func TestPromise6EndWaitsForOpenAnswers(t *testing.T) {
+// An instance stops while a response is being written. Serve must return only after open
+// responses have ended, so that the caller receives the complete response.
+func TestPromise6ServeWaitsForOpenResponses(t *testing.T) {
 	writing, ending := make(chan struct{}), make(chan struct{})
-	d, stop := serve(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	d, stop := startDaemon(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprint(w, "first ")
-		_ = http.NewResponseController(w).Flush() // an error shows at the reader
+		_ = http.NewResponseController(w).Flush() // after an error the reader receives a wrong body
 		close(writing)
 		<-ending
-		time.Sleep(50 * time.Millisecond) // the end is under way by now
+		time.Sleep(50 * time.Millisecond) // gives the shutdown time to begin
 		fmt.Fprint(w, "last")
 	}))
 	got := make(chan string, 1)
@@ -173,17 +174,17 @@
 	select {
 	case body := <-got:
 		if body != "first last <nil>" {
-			t.Errorf("the caller got %q", body)
+			t.Errorf("the caller received %q, want the complete response", body)
 		}
-	case <-time.After(patience):
-		t.Error("the caller got no end")
+	case <-time.After(testTimeout):
+		t.Error("the caller did not receive the end of the response")
 	}
 }
 
-// A killed instance cuts its callers at once, as a dead process does.
+// A killed instance must close its callers' connections at once, as a process that dies does.
 func TestKillCutsConnections(t *testing.T) {
 	begun := make(chan struct{})
-	d, stop := serve(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
+	d, stop := startDaemon(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		close(begun)
 		<-r.Context().Done()
 	}))
@@ -201,21 +202,21 @@
 		t.Error(err)
 	}
 	if raw, _ := io.ReadAll(conn); len(raw) != 0 {
-		t.Errorf("the caller got %q, want nothing", raw)
+		t.Errorf("the caller received %q, want a closed connection and no bytes", raw)
 	}
 }
 
-// A paused instance must not hold up those who hand it events; they wait in its
-// queue, and it takes them when it goes on.
+// Goroutines that submit events to a paused instance must not block. The events wait in the
+// loop's queue and are handled when the instance continues.
 func TestFrozenLoopTakesEventsLater(t *testing.T) {
-	d, _ := serve(t, http.NotFoundHandler())
+	d, _ := startDaemon(t, http.NotFoundHandler())
 	d.loop.pause.Lock()
 	id, sink := d.Request(core.CallerRequest{Model: "any"})
 	if _, f := sink.Take(); f != nil {
-		t.Errorf("a frozen instance answered %+v", f)
+		t.Errorf("request to a frozen instance ended with %+v, want no outcome yet", f)
 	}
 	d.loop.pause.Unlock()
-	testkit.Eventually(t, patience, "the request is answered", func() bool {
+	testkit.Eventually(t, testTimeout, "the request ends after the instance continues", func() bool {
 		_, f := sink.Take()
 		return f != nil
 	})
--- a/internal/daemon/loop.go
+++ b/internal/daemon/loop.go
@@ -10,78 +10,80 @@
 )
 
 const (
-	// loopQueue bounds the events that wait for the loop; senders block then,
-	// which pushes back on upstream streams.
-	loopQueue = 8192
-	// tickEvery is how often the core is told that time passes.
-	tickEvery = 20 * time.Millisecond
+	// loopQueueSize is the maximum number of events that wait for the loop. Senders block when
+	// the queue is full, which applies backpressure to the streams of upstreams.
+	loopQueueSize = 8192
+	// tickInterval is the interval of the Tick events that let the core act on the passage of
+	// time.
+	tickInterval = 20 * time.Millisecond
 )
 
-// errEnded is returned to who asks an instance that has stopped.
-var errEnded = errors.New("the instance has stopped")
+// errStopped is returned to callers of an instance that has stopped.
+var errStopped = errors.New("the instance has stopped")
 
-// loop feeds the instance one event at a time and starts its actions.
+// loop passes events to the instance one at a time and starts the actions that the instance
+// returns.
 type loop struct {
-	inst *core.Instance
-	work chan func(now time.Time) []core.Action
-	do   func(ctx context.Context, a core.Action)
-	// pause holds the loop up while it is locked: tests freeze an instance
-	// with it.
+	inst  *core.Instance
+	queue chan func(now time.Time) []core.Action
+	do    func(ctx context.Context, a core.Action)
+	// pause stops the loop from handling events while it is locked. Freeze uses
+	// it to simulate a paused process.
 	pause sync.Mutex
-	// ended is closed once the instance has stopped.
-	ended chan struct{}
+	// stopped is closed when the instance has stopped.
+	stopped chan struct{}
 }
 
 func newLoop(inst *core.Instance) *loop {
-	return &loop{inst: inst, work: make(chan func(time.Time) []core.Action, loopQueue), ended: make(chan struct{})}
+	return &loop{inst: inst, queue: make(chan func(time.Time) []core.Action, loopQueueSize), stopped: make(chan struct{})}
 }
 
-// submit queues an event. After the end of the instance it drops it: a call
-// that still reports must not wait for a loop that is gone.
+// submit queues an event. Once the instance has stopped, events are dropped: a call that still
+// reports must not block on a loop that no longer runs.
 func (l *loop) submit(ev core.Event) {
 	select {
-	case l.work <- func(now time.Time) []core.Action { return l.inst.Handle(now, ev) }:
-	case <-l.ended:
+	case l.queue <- func(now time.Time) []core.Action { return l.inst.Handle(now, ev) }:
+	case <-l.stopped:
 	}
 }
 
-// ask runs f on the instance between two events and waits for it.
-func (l *loop) ask(ctx context.Context, f func(now time.Time, inst *core.Instance) []core.Action) error {
+// call runs f on the instance between two events and waits for f to return.
+func (l *loop) call(ctx context.Context, f func(now time.Time, inst *core.Instance) []core.Action) error {
 	done := make(chan struct{})
 	work := func(now time.Time) []core.Action {
 		defer close(done)
 		return f(now, l.inst)
 	}
 	select {
-	case l.work <- work:
-	case <-l.ended:
-		return errEnded
+	case l.queue <- work:
+	case <-l.stopped:
+		return errStopped
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 	select {
 	case <-done:
 		return nil
-	case <-l.ended:
-		return errEnded
+	case <-l.stopped:
+		return errStopped
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// String names the loop to its supervisor, which would else print its fields
-// while others change them.
+// String returns the loop's name for the supervisor. Without this method the supervisor would
+// print the loop's fields while other goroutines change them.
 func (l *loop) String() string { return "loop" }
 
 // Serve runs the loop until the context ends.
 func (l *loop) Serve(ctx context.Context) error {
-	t := time.NewTicker(tickEvery)
+	t := time.NewTicker(tickInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case work := <-l.work:
+		case work := <-l.queue:
 			l.run(ctx, work)
 		case <-t.C:
 			l.run(ctx, func(now time.Time) []core.Action { return l.inst.Handle(now, core.Tick{}) })
--- a/internal/daemon/requests.go
+++ b/internal/daemon/requests.go
@@ -10,30 +10,32 @@
 	"mulberrylug.example/mulberrylug/internal/metrics"
 )
 
-// newID returns a request id that names this instance and is unique in the
-// fleet: the boot differs between runs of the same name.
-func (d *Daemon) newID() string {
-	return fmt.Sprintf("%s:%s:%d", d.settings.Name, d.boot, d.requests.Add(1))
+// newRequestID returns a request id that contains this instance's name and is unique in the
+// deployment: the boot id in it differs between runs of an instance under the same name.
+func (d *Daemon) newRequestID() string {
+	return fmt.Sprintf("%s:%s:%d", d.settings.Name, d.boot, d.lastRequest.Add(1))
 }
 
-// Request hands a caller's request to the core and returns its id and sink.
-// The caller must call Leave at the end.
+// Request passes a caller's request to the core. It returns the request's id and the sink that
+// receives the result. Leave must be called when the request has ended.
 func (d *Daemon) Request(r core.CallerRequest) (string, *Sink) {
-	r.ID = d.newID()
+	r.ID = d.newRequestID()
 	s := d.sinks.add(r.ID)
 	d.loop.submit(r)
 	return r.ID, s
 }
 
-// Resume hands a caller's wish to read on to the core.
+// Resume passes a caller's request to resume a stream after lastEventID to the core. Leave must
+// be called when the request has ended.
 func (d *Daemon) Resume(apiKey, lastEventID string) (string, *Sink) {
-	id := d.newID()
+	id := d.newRequestID()
 	s := d.sinks.add(id)
 	d.loop.submit(core.CallerResume{ID: id, APIKey: apiKey, LastEventID: lastEventID})
 	return id, s
 }
 
-// Leave ends a caller's interest in a request.
+// Leave removes a request's sink. If the request has no outcome yet, or the caller was cut off,
+// Leave notifies the core that the caller has disconnected.
 func (d *Daemon) Leave(id string, s *Sink) {
 	d.sinks.remove(id)
 	if _, finish := s.Take(); finish == nil || s.Over() {
@@ -41,10 +43,11 @@
 	}
 }
 
-// Entries answers where callers with a key, "" if they sent none, should connect.
+// Entries returns the addresses to which callers with an API key should connect. apiKey is ""
+// for a caller that sent none.
 func (d *Daemon) Entries(ctx context.Context, apiKey string) (core.Entries, error) {
 	var e core.Entries
-	err := d.loop.ask(ctx, func(now time.Time, inst *core.Instance) []core.Action {
+	err := d.loop.call(ctx, func(now time.Time, inst *core.Instance) []core.Action {
 		e = inst.Entries(now, apiKey)
 		return nil
 	})
@@ -54,7 +57,7 @@
 	return e, nil
 }
 
-// Status is an instance's account of itself.
+// Status is the state of an instance as shown to operators.
 type Status struct {
 	Name         string `json:"name"`
 	DataCentre   string `json:"data_centre"`
@@ -64,24 +67,24 @@
 	ConfigHash   string `json:"config_hash"`
 	Requests     int    `json:"requests"`
 	Instances    int    `json:"instances"`
-	// Ready is whether new requests are accepted.
+	// Ready reports whether new requests are accepted.
 	Ready   bool    `json:"ready"`
 	Cordons Cordons `json:"cordons"`
 }
 
-// Cordons is what an instance knows of cordoned data centres.
+// Cordons is an instance's view of the cordoned data centres.
 type Cordons struct {
 	DataCentres []string `json:"data_centres"`
-	// Number is the configuration version that they go with, Age how long ago it was
-	// confirmed that no newer one is in force, in seconds.
+	// Number is the configuration version that the list belongs to. Age is the time in seconds
+	// since it was last confirmed that no newer version is in force.
 	Number int64   `json:"config_number"`
 	Age    float64 `json:"age_seconds"`
 }
 
-// Status returns the instance's account of itself.
+// Status returns the state of the instance.
 func (d *Daemon) Status(ctx context.Context) (Status, error) {
 	st := Status{Name: d.settings.Name, DataCentre: d.settings.DataCentre, Boot: d.boot}
-	err := d.loop.ask(ctx, func(now time.Time, inst *core.Instance) []core.Action {
+	err := d.loop.call(ctx, func(now time.Time, inst *core.Instance) []core.Action {
 		st.Ready = inst.Ready(now)
 		st.Leaving, st.ConfigNumber, st.ConfigHash = inst.Leaving(), inst.ConfigNumber(), inst.ConfigHash()
 		st.Requests, st.Instances = inst.Requests(), inst.Instances()
@@ -95,68 +98,70 @@
 	return st, nil
 }
 
-// ConfigApplied tells the instance of a change that was accepted through it.
+// ConfigApplied notifies the instance of a configuration change that an operator applied through
+// it.
 func (d *Daemon) ConfigApplied(p core.ConfigPointer, object []byte) {
 	d.loop.submit(core.ConfigApplied{Pointer: p, Object: object})
 }
 
-// Drain makes the instance leave without cutting off a request.
+// Drain makes the instance leave once its requests have ended. No request is cut off.
 func (d *Daemon) Drain() { d.loop.submit(core.Drain{}) }
 
-// Exited is closed once the instance has drained.
+// Exited returns a channel that is closed when the instance has drained.
 func (d *Daemon) Exited() <-chan struct{} { return d.exited }
 
 // Metrics returns the instance's counters.
 func (d *Daemon) Metrics() *metrics.Metrics { return d.metrics }
 
-// Freeze holds the instance up for a while, as a paused process is.
+// Freeze blocks the instance's loop for the given duration, to simulate a paused process.
 func (d *Daemon) Freeze(pause time.Duration) {
 	d.loop.pause.Lock()
 	defer d.loop.pause.Unlock()
 	time.Sleep(pause)
 }
 
-// Kill makes the end of Serve's context cut every connection at once, as the
-// end of a process does.
+// Kill makes the instance close all connections at once when the context of Serve ends, to
+// simulate a process that was killed.
 func (d *Daemon) Kill() { d.killed.Store(true) }
 
-// explains matches the answers of other instances to who asked.
-type explains struct {
+// pendingExplains holds the operators' explain requests that wait for an instance's reply.
+// replies is keyed by the request's id.
+type pendingExplains struct {
 	mu      sync.Mutex
-	next    uint64
-	waiting map[uint64]chan []string
+	lastID  uint64
+	replies map[uint64]chan []string
 }
 
-func (e *explains) open() (uint64, chan []string) {
+func (e *pendingExplains) open() (uint64, chan []string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.next++
+	e.lastID++
 	ch := make(chan []string, 1)
-	e.waiting[e.next] = ch
-	return e.next, ch
+	e.replies[e.lastID] = ch
+	return e.lastID, ch
 }
 
-func (e *explains) close(id uint64) {
+func (e *pendingExplains) close(id uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	delete(e.waiting, id)
+	delete(e.replies, id)
 }
 
-func (e *explains) answer(id uint64, lines []string) {
+func (e *pendingExplains) reply(id uint64, lines []string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if ch := e.waiting[id]; ch != nil {
+	if ch := e.replies[id]; ch != nil {
 		ch <- lines
-		delete(e.waiting, id)
+		delete(e.replies, id)
 	}
 }
 
-// Explain returns the recorded decisions on a request, from the instance that
+// Explain returns the recorded decisions on a request. They are requested from the instance that
 // the request's id names.
 func (d *Daemon) Explain(ctx context.Context, request string) ([]string, error) {
 	id, ch := d.explains.open()
 	defer d.explains.close(id)
-	err := d.loop.ask(ctx, func(_ time.Time, inst *core.Instance) []core.Action {
+	err := d.loop.call(ctx, func(_ time.Time, inst *core.Instance) []core.Action {
 		return inst.AskExplain(id, request)
 	})
 	if err != nil {
@@ -166,6 +171,6 @@
 	case lines := <-ch:
 		return lines, nil
 	case <-ctx.Done():
-		return nil, fmt.Errorf("explain %s: the instance that it names did not answer: %w", request, ctx.Err())
+		return nil, fmt.Errorf("explain %s: no reply from the instance named in the request id: %w", request, ctx.Err())
 	}
 }
--- a/internal/daemon/sink.go
+++ b/internal/daemon/sink.go
@@ -6,31 +6,32 @@
 	"mulberrylug.example/mulberrylug/internal/core"
 )
 
-// maxBacklog is how many tokens a sink holds for a caller that reads slowly.
-const maxBacklog = 4096
+// maxBacklogTokens is the maximum number of tokens that a sink buffers for a caller that reads
+// slowly.
+const maxBacklogTokens = 4096
 
-// Sink collects what the core has for one caller. It never blocks the loop. A
-// caller that falls behind by maxBacklog tokens is cut off, so that it can't
-// hold memory without bound; it may resume from the last event that it read.
+// Sink buffers the tokens and the outcome of one request for its caller. It never blocks the
+// loop. A caller that falls behind by maxBacklogTokens tokens is cut off, so that its backlog
+// can't use unlimited memory. It may resume from the last event that it read.
 type Sink struct {
-	// Ready has a value whenever there is something to take.
+	// Ready receives a value when Take has new tokens or the outcome to return.
 	Ready chan struct{}
 
-	mu     sync.Mutex
-	tokens []core.Deliver
-	finish *core.Finish
-	over   bool
+	mu         sync.Mutex
+	tokens     []core.Deliver
+	finish     *core.Finish
+	overflowed bool
 }
 
 func newSink() *Sink { return &Sink{Ready: make(chan struct{}, 1)} }
 
 func (s *Sink) deliver(d core.Deliver) {
 	s.mu.Lock()
-	if len(s.tokens) >= maxBacklog {
-		s.over = true
+	if len(s.tokens) >= maxBacklogTokens {
+		s.overflowed = true
 	}
-	if s.over {
-		s.tokens = nil // a token must not follow on a gap
+	if s.overflowed {
+		s.tokens = nil // no token may be delivered after a gap
 	} else {
 		s.tokens = append(s.tokens, d)
 	}
@@ -52,7 +53,8 @@
 	}
 }
 
-// Take returns the tokens since the last call, and the end once it has come.
+// Take returns the tokens that arrived since the last call, and the outcome, which is nil until
+// the request has ended.
 func (s *Sink) Take() ([]core.Deliver, *core.Finish) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -61,15 +63,15 @@
 	return tokens, s.finish
 }
 
-// Over reports that the caller has fallen too far behind: no token or end that
-// Take returns from then on may reach it.
+// Over reports whether the caller has fallen too far behind. From then on, nothing that Take
+// returns may be sent to the caller.
 func (s *Sink) Over() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.over
+	return s.overflowed
 }
 
-// sinks maps request ids to their callers.
+// sinks holds the sinks of open requests by request id.
 type sinks struct {
 	mu   sync.Mutex
 	byID map[string]*Sink
--- a/internal/daemon/sink_test.go
+++ b/internal/daemon/sink_test.go
@@ -6,23 +6,24 @@
 	"mulberrylug.example/mulberrylug/internal/core"
 )
 
-// A caller stops reading while its stream goes on. Its backlog is bounded; past
-// the bound it is cut off without a gap, and gets no end that would say "done".
+// A caller that stops reading while its stream continues would make the sink's backlog grow
+// without limit. At maxBacklogTokens the caller must be cut off: the sink must not return tokens
+// after a gap, nor let the stream end with the outcome "done".
 func TestPromise1SlowCallerIsCutOff(t *testing.T) {
 	s := newSink()
-	for n := range maxBacklog {
+	for n := range maxBacklogTokens {
 		s.deliver(core.Deliver{Index: n})
 	}
-	if tokens, _ := s.Take(); len(tokens) != maxBacklog || s.Over() {
-		t.Fatalf("%d tokens, over %t; want %d and false", len(tokens), s.Over(), maxBacklog)
+	if tokens, _ := s.Take(); len(tokens) != maxBacklogTokens || s.Over() {
+		t.Fatalf("backlog at its limit: %d tokens, cut off = %t; want %d and false", len(tokens), s.Over(), maxBacklogTokens)
 	}
-	for n := range 3 * maxBacklog {
+	for n := range 3 * maxBacklogTokens {
 		s.deliver(core.Deliver{Index: n})
-		if len(s.tokens) > maxBacklog {
-			t.Fatalf("%d tokens held, want at most %d", len(s.tokens), maxBacklog)
+		if len(s.tokens) > maxBacklogTokens {
+			t.Fatalf("sink holds %d tokens, want at most %d", len(s.tokens), maxBacklogTokens)
 		}
 	}
 	if tokens, _ := s.Take(); len(tokens) != 0 || !s.Over() {
-		t.Errorf("%d tokens after a gap, over %t; want none and true", len(tokens), s.Over())
+		t.Errorf("backlog beyond its limit: %d tokens returned after a gap, cut off = %t; want none and true", len(tokens), s.Over())
 	}
 }
