--- a/internal/server/callers.go
+++ b/internal/server/callers.go
@@ -1,5 +1,5 @@
-// Package server is the HTTP side of an instance: callers.go and stream.go face
-// the callers, operators.go the operators.
+// Package server contains the HTTP handlers of an instance. callers.go and stream.go serve
+// callers, operators.go serves operators.
 package server
 
 import (
@@ -23,71 +23,72 @@
 )
 
 const (
-	// maxBody bounds a caller's body in bytes.
+	// maxBody is the maximum size of a request body from a caller, in bytes.
 	maxBody = 1 << 20
 
-	// HeaderIdempotencyKey names a call, so that a repeat gets its outcome.
+	// HeaderIdempotencyKey identifies a call, so that a repeat of the call returns the first
+	// call's outcome.
 	HeaderIdempotencyKey = "Idempotency-Key"
 	// HeaderNotRepeatable marks a call that must run at most once.
 	HeaderNotRepeatable = "X-Not-Repeatable"
-	// HeaderRequestID is the id under which a request can be explained.
+	// HeaderRequestID carries the id under which operators can have the request explained.
 	HeaderRequestID = "X-Request-Id"
-	// HeaderOutcome is the request's outcome.
+	// HeaderOutcome carries the request's outcome.
 	HeaderOutcome = "X-Outcome"
 )
 
-// Reasons of refusals before the core sees a request.
+// Reasons for requests that are refused before they reach the core.
 const (
-	reasonBody   = "bad_body"
-	reasonTooBig = "body_too_large"
-	reasonPath   = "unknown_path"
-	reasonMethod = "wrong_method"
+	reasonBadBody     = "bad_body"
+	reasonTooLarge    = "body_too_large"
+	reasonUnknownPath = "unknown_path"
+	reasonWrongMethod = "wrong_method"
 )
 
 type callers struct{ d *daemon.Daemon }
 
-// Callers returns the HTTP side towards callers.
+// Callers returns the HTTP handler for callers.
 func Callers(d *daemon.Daemon) http.Handler {
 	s := &callers{d: d}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/entries", s.entries)
-	mux.HandleFunc("POST /v1/chat/completions", s.complete)
-	mux.HandleFunc("POST /v1/completions", s.complete)
+	mux.HandleFunc("POST /v1/chat/completions", s.completions)
+	mux.HandleFunc("POST /v1/completions", s.completions)
 	mux.HandleFunc("GET /v1/stream", s.resume)
-	mux.HandleFunc("/v1/services/{service}/{path...}", s.call)
+	mux.HandleFunc("/v1/services/{service}/{path...}", s.callService)
 	for path, method := range map[string]string{
 		"/v1/entries": http.MethodGet, "/v1/stream": http.MethodGet,
 		"/v1/completions": http.MethodPost, "/v1/chat/completions": http.MethodPost,
 	} {
 		mux.HandleFunc(path, s.wrongMethod(method))
 	}
-	mux.HandleFunc("/", s.unknown)
+	mux.HandleFunc("/", s.unknownPath)
 	return mux
 }
 
-// entriesAnswer is the body of GET /v1/entries.
-type entriesAnswer struct {
+// entriesResponse is the response body of GET /v1/entries.
+type entriesResponse struct {
 	Addresses []string `json:"addresses"`
-	// KeepSeconds is how long the answer may be kept.
+	// KeepSeconds is how long the caller may cache the response, in seconds.
 	KeepSeconds float64 `json:"keep_seconds"`
 }
 
 func (s *callers) entries(w http.ResponseWriter, r *http.Request) {
 	e, err := s.d.Entries(r.Context(), apiKey(r))
 	if err != nil {
-		return // the caller has left
+		return // the caller has disconnected
 	}
-	writeJSON(w, http.StatusOK, entriesAnswer{Addresses: e.Addresses, KeepSeconds: e.TTL.Seconds()})
+	writeJSON(w, http.StatusOK, entriesResponse{Addresses: e.Addresses, KeepSeconds: e.TTL.Seconds()})
 }
 
-func (s *callers) unknown(w http.ResponseWriter, _ *http.Request) {
-	s.refuse(w, http.StatusNotFound, reasonPath, "no such path; see GET /v1/entries, POST /v1/chat/completions, POST /v1/completions, GET /v1/stream, POST /v1/services/{service}/…")
+func (s *callers) unknownPath(w http.ResponseWriter, _ *http.Request) {
+	s.refuse(w, http.StatusNotFound, reasonUnknownPath, "no such path; see GET /v1/entries, POST /v1/chat/completions, POST /v1/completions, GET /v1/stream, POST /v1/services/{service}/…")
 }
 
 func (s *callers) wrongMethod(allowed string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Allow", allowed)
-		s.refuse(w, http.StatusMethodNotAllowed, reasonMethod, "this path takes "+allowed+" only")
+		s.refuse(w, http.StatusMethodNotAllowed, reasonWrongMethod, "this path accepts "+allowed+" only")
 	}
 }
 
@@ -98,22 +99,23 @@
 
 func (s *callers) readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
 	rc := http.NewResponseController(w)
-	// A caller that stops in the middle of its body must not hold a
-	// connection for ever. The zero time lifts the bound for what follows.
-	_ = rc.SetReadDeadline(time.Now().Add(bodyDeadline)) // fails only on a dead connection
+	// A caller that stops in the middle of its body must not occupy a
+	// connection for ever. The zero time removes the read deadline after the body.
+	_ = rc.SetReadDeadline(time.Now().Add(bodyTimeout)) // fails only on a closed connection
 	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBody))
 	_ = rc.SetReadDeadline(time.Time{})
-	var tooBig *http.MaxBytesError
+	var tooLarge *http.MaxBytesError
 	switch {
-	case errors.As(err, &tooBig):
-		s.refuse(w, http.StatusRequestEntityTooLarge, reasonTooBig, "the body may have at most "+strconv.Itoa(maxBody)+" bytes")
+	case errors.As(err, &tooLarge):
+		s.refuse(w, http.StatusRequestEntityTooLarge, reasonTooLarge, "the body is too large: the maximum is "+strconv.Itoa(maxBody)+" bytes")
 	case err != nil:
-		s.refuse(w, http.StatusBadRequest, reasonBody, "the body could not be read")
+		s.refuse(w, http.StatusBadRequest, reasonBadBody, "the body could not be read")
 	}
 	return body, err == nil
 }
 
-func (s *callers) complete(w http.ResponseWriter, r *http.Request) {
+// completions handles POST /v1/completions and POST /v1/chat/completions.
+func (s *callers) completions(w http.ResponseWriter, r *http.Request) {
 	body, ok := s.readBody(w, r)
 	if !ok {
 		return
@@ -124,7 +126,7 @@
 		return
 	}
 	if err != nil {
-		s.refuse(w, http.StatusBadRequest, reasonBody, err.Error())
+		s.refuse(w, http.StatusBadRequest, reasonBadBody, err.Error())
 		return
 	}
 	req := core.CallerRequest{
@@ -133,15 +135,15 @@
 		Fingerprint: xxhash.Sum64String(p.Model + "\x00" + p.Text),
 	}
 	id, sink := s.d.Request(req)
-	s.answer(w, r, id, sink, p.Stream)
+	s.respond(w, r, id, sink, p.Stream)
 }
 
 func (s *callers) resume(w http.ResponseWriter, r *http.Request) {
 	id, sink := s.d.Resume(apiKey(r), r.Header.Get("Last-Event-ID"))
-	s.answer(w, r, id, sink, true)
+	s.respond(w, r, id, sink, true)
 }
 
-func (s *callers) call(w http.ResponseWriter, r *http.Request) {
+func (s *callers) callService(w http.ResponseWriter, r *http.Request) {
 	body, ok := s.readBody(w, r)
 	if !ok {
 		return
@@ -150,7 +152,7 @@
 	sum := sha256.Sum256(bytes.Join([][]byte{[]byte(r.Method), []byte(path), body}, []byte{0}))
 	notRepeatable := r.Header.Get(HeaderNotRepeatable)
 	if notRepeatable != "" && notRepeatable != "true" && notRepeatable != "false" {
-		s.refuse(w, http.StatusBadRequest, reasonBody, HeaderNotRepeatable+" must be true or false")
+		s.refuse(w, http.StatusBadRequest, reasonBadBody, HeaderNotRepeatable+" must be true or false")
 		return
 	}
 	id, sink := s.d.Request(core.CallerRequest{
@@ -158,7 +160,7 @@
 		BodyHash: hex.EncodeToString(sum[:]), Fingerprint: xxhash.Sum64(sum[:]),
 		IdempotencyKey: r.Header.Get(HeaderIdempotencyKey), NotRepeatable: notRepeatable == "true",
 	})
-	s.answer(w, r, id, sink, false)
+	s.respond(w, r, id, sink, false)
 }
 
 func apiKey(r *http.Request) string {
@@ -166,7 +168,7 @@
 	return key
 }
 
-// problem is the body of a refusal, as application/problem+json.
+// problem is the response body of a refusal, sent as application/problem+json.
 type problem struct {
 	Title      string  `json:"title"`
 	Status     int     `json:"status"`
@@ -182,18 +184,18 @@
 func problemOf(id string, f *core.Finish) problem {
 	return problem{
 		Status: f.Status, Outcome: string(f.Outcome), Reason: f.Reason, Step: f.Step, Peer: f.Peer,
-		RequestID: id, RetryAfter: f.RetryAfter.Seconds(), Detail: details[f.Reason],
+		RequestID: id, RetryAfter: f.RetryAfter.Seconds(), Detail: reasonDetails[f.Reason],
 	}
 }
 
-// details tell a caller what to change.
-var details = map[string]string{
-	core.ReasonBadKey:         "send the organisation's API key as Authorization: Bearer KEY",
+// reasonDetails maps refusal reasons to explanations for callers.
+var reasonDetails = map[string]string{
+	core.ReasonBadKey:         "send the organisation's API key in the header Authorization: Bearer KEY",
 	core.ReasonUnknownModel:   "no service of the configuration serves this model",
 	core.ReasonUnknownService: "the configuration has no plain service of this name",
 	core.ReasonForbidden:      "the organisation may not call this service",
-	core.ReasonMaxTokens:      "max_tokens must lie between 0 and the organisation's max_output_tokens; 0 or none stands for that limit",
-	core.ReasonNoKey:          HeaderNotRepeatable + ": true needs an " + HeaderIdempotencyKey,
+	core.ReasonMaxTokens:      "max_tokens must be between 0 and the organisation's max_output_tokens; without max_tokens, or with 0, that limit applies",
+	core.ReasonNoKey:          HeaderNotRepeatable + ": true requires the header " + HeaderIdempotencyKey,
 	core.ReasonBadHandle:      "Last-Event-ID is not an event id of this organisation's streams",
 	core.ReasonPoison:         "upstreams crashed while they ran this request",
 }
@@ -206,18 +208,18 @@
 		w.Header().Set("Retry-After", strconv.Itoa(int(math.Ceil(p.RetryAfter))))
 	}
 	w.WriteHeader(p.Status)
-	_ = json.NewEncoder(w).Encode(p) // an error means that the caller left
+	_ = json.NewEncoder(w).Encode(p) // an error means that the caller has disconnected
 }
 
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(v) // an error means that the caller left
+	_ = json.NewEncoder(w).Encode(v) // an error means that the caller has disconnected
 }
 
-// writeDeadline bounds each write to a caller, so that a caller that no longer
-// reads does not hold its request for ever.
-const writeDeadline = 10 * time.Second
+// writeTimeout is the timeout of each write to a caller, so that a caller that stops reading
+// does not keep its request open for ever.
+const writeTimeout = 10 * time.Second
 
-// bodyDeadline bounds how long a caller may take to send its body.
-const bodyDeadline = 30 * time.Second
+// bodyTimeout is the maximum time for a caller to send its body.
+const bodyTimeout = 30 * time.Second
--- a/internal/server/operators.go
+++ b/internal/server/operators.go
@@ -13,15 +13,15 @@
 )
 
 const (
-	// operatorTimeout bounds an operator's question.
+	// operatorTimeout is the timeout of an operator's read-only request.
 	operatorTimeout = 5 * time.Second
-	// applyTimeout bounds an apply with its read-backs.
+	// applyTimeout is the timeout of an apply, including the reads that confirm it.
 	applyTimeout = 15 * time.Second
-	// maxConfig bounds the files of an apply in bytes: a configuration of
+	// maxConfigBody is the maximum size of an apply request, in bytes. A configuration with
 	// 31,000 organisations has about 12 MB.
-	maxConfig = 64 << 20
-	// maxCordon bounds an operator's wish about a data centre in bytes.
-	maxCordon = 64 << 10
+	maxConfigBody = 64 << 20
+	// maxCordonBody is the maximum size of a cordon request, in bytes.
+	maxCordonBody = 64 << 10
 )
 
 type operators struct {
@@ -29,8 +29,8 @@
 	store apply.Store
 }
 
-// Operators returns the HTTP side towards operators: metrics, status, explain,
-// configuration, apply, cordons and drain.
+// Operators returns the HTTP handler for operators: metrics, status, explain, configuration,
+// apply, cordons and drain.
 func Operators(d *daemon.Daemon, store apply.Store) http.Handler {
 	s := &operators{d: d, store: store}
 	mux := http.NewServeMux()
@@ -48,7 +48,7 @@
 func (s *operators) status(w http.ResponseWriter, r *http.Request) {
 	st, err := s.d.Status(r.Context())
 	if err != nil {
-		return // the operator has left
+		return // the operator has disconnected
 	}
 	writeJSON(w, http.StatusOK, st)
 }
@@ -66,7 +66,7 @@
 
 func (s *operators) apply(w http.ResponseWriter, r *http.Request) {
 	var req apply.Request
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxConfig)).Decode(&req); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxConfigBody)).Decode(&req); err != nil {
 		writeJSON(w, http.StatusBadRequest, apply.Answer{Failed: "nothing was applied: decode request: " + err.Error()})
 		return
 	}
@@ -74,28 +74,30 @@
 	defer cancel()
 	p, err := apply.Apply(ctx, s.store, req)
 	if err == nil {
-		s.tell(p, req.Files)
+		s.applyLocally(p, req.Files)
 	}
-	status, answer := apply.AnswerOf(p, err)
-	writeJSON(w, status, answer)
+	status, response := apply.AnswerOf(p, err)
+	writeJSON(w, status, response)
 }
 
-// tell hands an accepted change to the instance at once. A repeat of an old
-// apply may have been replaced meanwhile: the instance looks at the number.
-func (s *operators) tell(p core.ConfigPointer, files []config.File) {
+// applyLocally passes an accepted configuration change to this instance at once. If the apply
+// request was a repeat, a newer configuration may be in force by now; the instance compares the
+// numbers.
+func (s *operators) applyLocally(p core.ConfigPointer, files []config.File) {
 	cfg, err := config.Parse(files)
 	if err != nil {
-		return // apply has refused it
+		return // apply has already refused files that don't parse
 	}
 	if object, hash, err := cfg.Encode(); err == nil && hash == p.Hash {
 		s.d.ConfigApplied(p, object)
 	}
 }
 
-// cordon takes an operator's wish about a data centre and tells the others at once.
+// cordon handles a request to change the cordons. Accepted changes are announced to the other
+// instances at once.
 func (s *operators) cordon(w http.ResponseWriter, r *http.Request) {
 	var req apply.CordonRequest
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxCordon)).Decode(&req); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxCordonBody)).Decode(&req); err != nil {
 		writeJSON(w, http.StatusBadRequest, apply.Answer{Failed: "nothing was changed: decode request: " + err.Error()})
 		return
 	}
@@ -105,15 +107,15 @@
 	if err == nil {
 		s.d.ConfigApplied(p, nil)
 	}
-	status, answer := apply.AnswerOf(p, err)
-	writeJSON(w, status, answer)
+	status, response := apply.AnswerOf(p, err)
+	writeJSON(w, status, response)
 }
 
-// cordons tells which data centres are cordoned as this instance knows it.
+// cordons returns this instance's view of the cordoned data centres.
 func (s *operators) cordons(w http.ResponseWriter, r *http.Request) {
 	st, err := s.d.Status(r.Context())
 	if err != nil {
-		return // the operator has left
+		return // the operator has disconnected
 	}
 	writeJSON(w, http.StatusOK, st.Cordons)
 }
--- a/internal/server/stream.go
+++ b/internal/server/stream.go
@@ -11,19 +11,21 @@
 )
 
 const (
-	// commitAfter is how long a stream waits before it sends its header:
-	// until then a refusal can still be a plain HTTP answer.
-	commitAfter = 5 * time.Second
-	// keepAliveEvery is how often a quiet stream carries a comment.
-	keepAliveEvery = time.Second
+	// headerDelay is how long a stream waits before it sends its response header. Until then a
+	// refusal can be sent as an ordinary HTTP response with its own status.
+	headerDelay = 5 * time.Second
+	// keepAliveInterval is the interval of the comments that keep a stream open while no tokens
+	// arrive.
+	keepAliveInterval = time.Second
 )
 
-// answer follows a request to its end.
-func (s *callers) answer(w http.ResponseWriter, r *http.Request, id string, sink *daemon.Sink, stream bool) {
+// respond writes the request's tokens and outcome to the caller until the request ends or the
+// caller disconnects.
+func (s *callers) respond(w http.ResponseWriter, r *http.Request, id string, sink *daemon.Sink, stream bool) {
 	defer s.d.Leave(id, sink)
 	w.Header().Set(HeaderRequestID, id)
 	out := &streamWriter{w: w, rc: http.NewResponseController(w), id: id}
-	quiet := time.NewTicker(keepAliveEvery)
+	quiet := time.NewTicker(keepAliveInterval)
 	defer quiet.Stop()
 	started := time.Now()
 	for {
@@ -32,14 +34,14 @@
 			return
 		case <-sink.Ready:
 		case <-quiet.C:
-			if stream && (out.begun || time.Since(started) > commitAfter) && out.keepAlive() != nil {
+			if stream && (out.headerSent || time.Since(started) > headerDelay) && out.keepAlive() != nil {
 				return
 			}
 			continue
 		}
 		tokens, finish := sink.Take()
 		if sink.Over() {
-			return // cut off: the caller may resume from what it has read
+			return // cut off: the caller may resume after the last event that it read
 		}
 		for _, t := range tokens {
 			if out.token(t) != nil {
@@ -47,35 +49,38 @@
 			}
 		}
 		if finish != nil {
-			s.end(w, out, id, finish, stream)
+			s.writeOutcome(w, out, id, finish, stream)
 			return
 		}
-		if out.begun && out.flush() != nil {
+		if out.headerSent && out.flush() != nil {
 			return
 		}
 	}
 }
 
-func (s *callers) end(w http.ResponseWriter, out *streamWriter, id string, f *core.Finish, stream bool) {
+// writeOutcome sends the end of a response: as the terminal event of a stream, as a problem
+// document or as a complete JSON response.
+func (s *callers) writeOutcome(w http.ResponseWriter, out *streamWriter, id string, f *core.Finish, stream bool) {
 	switch {
-	case out.begun || stream && f.Outcome == core.Done:
-		_ = out.end(f) // an error means that the caller left
-	case out.rc.SetWriteDeadline(time.Now().Add(writeDeadline)) != nil:
-		return // the connection is gone
+	case out.headerSent || stream && f.Outcome == core.Done:
+		_ = out.end(f) // an error means that the caller has disconnected
+	case out.rc.SetWriteDeadline(time.Now().Add(writeTimeout)) != nil:
+		return // the connection is closed
 	case f.Outcome != core.Done:
 		writeProblem(w, problemOf(id, f))
 	case f.Body != nil:
 		w.Header().Set(HeaderOutcome, string(f.Outcome))
 		w.Header().Set("Content-Type", "application/json")
 		w.WriteHeader(f.Status)
-		_, _ = w.Write(f.Body) // an error means that the caller left
+		_, _ = w.Write(f.Body) // an error means that the caller has disconnected
 	default:
 		w.Header().Set(HeaderOutcome, string(f.Outcome))
-		writeJSON(w, http.StatusOK, wholeAnswer(id, f))
+		writeJSON(w, http.StatusOK, completeResponse(id, f))
 	}
 }
 
-// completion is a whole answer, or one event of a stream.
+// completion is a complete response to a completion request, or one event of a streamed
+// response.
 type completion struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -100,7 +105,7 @@
 	CompletionTokens int `json:"completion_tokens"`
 }
 
-func wholeAnswer(id string, f *core.Finish) completion {
+func completeResponse(id string, f *core.Finish) completion {
 	return completion{
 		ID: id, Object: "chat.completion", Usage: &usage{CompletionTokens: f.Tokens},
 		Choices: []choice{{
@@ -109,8 +114,8 @@
 	}
 }
 
-// terminal is the data of a stream's one terminal event.
-type terminal struct {
+// endEvent is the data of the event that ends a stream. A stream has one such event.
+type endEvent struct {
 	Outcome      string  `json:"outcome"`
 	Tokens       int     `json:"tokens"`
 	FinishReason string  `json:"finish_reason,omitempty"`
@@ -121,26 +126,28 @@
 	RetryAfter   float64 `json:"retry_after_seconds,omitempty"`
 }
 
-// streamWriter writes server-sent events.
+// streamWriter writes a response as a stream of server-sent events.
 type streamWriter struct {
-	w     http.ResponseWriter
-	rc    *http.ResponseController
-	id    string
-	begun bool
+	w          http.ResponseWriter
+	rc         *http.ResponseController
+	id         string
+	headerSent bool
 }
 
-func (o *streamWriter) begin() error {
-	if !o.begun {
-		o.begun = true
+// prepareWrite sends the response header before the first event, and sets the deadline for the
+// next write.
+func (o *streamWriter) prepareWrite() error {
+	if !o.headerSent {
+		o.headerSent = true
 		o.w.Header().Set("Content-Type", "text/event-stream")
 		o.w.Header().Set("Cache-Control", "no-store")
 		o.w.WriteHeader(http.StatusOK)
 	}
-	return o.rc.SetWriteDeadline(time.Now().Add(writeDeadline))
+	return o.rc.SetWriteDeadline(time.Now().Add(writeTimeout))
 }
 
 func (o *streamWriter) token(t core.Deliver) error {
-	if err := o.begin(); err != nil {
+	if err := o.prepareWrite(); err != nil {
 		return err
 	}
 	raw, err := json.Marshal(completion{
@@ -155,7 +162,7 @@
 }
 
 func (o *streamWriter) keepAlive() error {
-	if err := o.begin(); err != nil {
+	if err := o.prepareWrite(); err != nil {
 		return err
 	}
 	if _, err := fmt.Fprint(o.w, ": keep-alive\n\n"); err != nil {
@@ -164,12 +171,12 @@
 	return o.flush()
 }
 
-// end writes the terminal event.
+// end writes the event that ends the stream.
 func (o *streamWriter) end(f *core.Finish) error {
-	if err := o.begin(); err != nil {
+	if err := o.prepareWrite(); err != nil {
 		return err
 	}
-	raw, err := json.Marshal(terminal{
+	raw, err := json.Marshal(endEvent{
 		Outcome: string(f.Outcome), Tokens: f.Tokens, FinishReason: f.FinishReason, Reason: f.Reason,
 		Step: f.Step, Peer: f.Peer, RequestID: o.id, RetryAfter: f.RetryAfter.Seconds(),
 	})
