--- a/internal/conn/dial.go
+++ b/internal/conn/dial.go
@@ -1,6 +1,6 @@
-// Package conn holds connections to upstreams and other HTTP servers: dialling
-// with bounds on silence, reuse, and single exchanges on them. It never sends a
-// request twice by itself.
+// Package conn makes connections to upstreams and other HTTP servers. It dials with limits on
+// how long a connection may be silent, keeps idle connections for reuse and carries out single
+// exchanges on them. It never sends a request twice by itself.
 package conn
 
 import (
@@ -15,66 +15,69 @@
 )
 
 const (
-	// DialTimeout bounds the making of a connection. Data centres lie a few
-	// milliseconds apart; a lost opening packet is sent again after a second.
+	// DialTimeout is the timeout of a connection attempt. The round trip between data centres
+	// takes a few milliseconds; a lost SYN packet is sent again after a second.
 	DialTimeout = 700 * time.Millisecond
-	// probeAfter, probeEvery and probes find a connection whose other end is
-	// gone without a word: after 2 s at most.
-	probeAfter = time.Second
-	probeEvery = 500 * time.Millisecond
-	probes     = 2
-	// ackTimeout is how long sent bytes may stay unacknowledged. Something
-	// between the ends may lose track of a connection, which is then silent
-	// for good while new ones work.
+	// keepAliveIdle, keepAliveInterval and keepAliveCount set the TCP keep-alive probes, which
+	// detect after at most 2 s that the other end of a connection has disappeared without
+	// closing it.
+	keepAliveIdle     = time.Second
+	keepAliveInterval = 500 * time.Millisecond
+	keepAliveCount    = 2
+	// ackTimeout is how long sent bytes may stay unacknowledged. A device between the two ends,
+	// such as a firewall, may lose its state of a connection; the connection then stays silent
+	// for ever, while new connections work.
 	ackTimeout = 1200 * time.Millisecond
 )
 
-// Dialer returns a dialer whose connections notice a silent peer.
+// Dialer returns a dialer whose connections fail when the other end falls silent.
 func Dialer() *net.Dialer {
-	return &net.Dialer{Timeout: DialTimeout, KeepAliveConfig: keepAlive, Control: control}
+	return &net.Dialer{Timeout: DialTimeout, KeepAliveConfig: keepAlive, Control: setAckTimeout}
 }
 
-// ListenConfig returns a listen configuration whose accepted connections notice
-// a silent peer.
+// ListenConfig returns a listen configuration whose accepted connections fail when the other end
+// falls silent.
 func ListenConfig() *net.ListenConfig {
-	return &net.ListenConfig{KeepAliveConfig: keepAlive, Control: control}
+	return &net.ListenConfig{KeepAliveConfig: keepAlive, Control: setAckTimeout}
 }
 
-var keepAlive = net.KeepAliveConfig{Enable: true, Idle: probeAfter, Interval: probeEvery, Count: probes}
+// keepAlive is the TCP keep-alive setting of dialled and accepted connections.
+var keepAlive = net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveCount}
 
-// control bounds the time that sent bytes may wait for an acknowledgement.
+// setAckTimeout limits how long sent bytes may wait for an acknowledgement, by TCP_USER_TIMEOUT.
 // Accepted connections inherit the option from their listener.
-func control(_, _ string, raw syscall.RawConn) error {
-	var failed error
+func setAckTimeout(_, _ string, raw syscall.RawConn) error {
+	var sockErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(ackTimeout.Milliseconds()))
+		sockErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(ackTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return fmt.Errorf("set acknowledgement timeout: %w", err)
 	}
-	if failed != nil {
-		return fmt.Errorf("set acknowledgement timeout: %w", failed)
+	if sockErr != nil {
+		return fmt.Errorf("set acknowledgement timeout: %w", sockErr)
 	}
 	return nil
 }
 
-// Presence is what a try to connect tells of a process.
+// Presence is the state of a process as shown by an attempt to connect to its address.
 type Presence int
 
-// Presences.
+// Results of Probe.
 const (
-	// Listens: a connection could be made.
+	// Listens: the connection was accepted.
 	Listens Presence = iota + 1
-	// Refuses: the machine answers, and nothing listens there: the process has
-	// ended.
+	// Refuses: the host refused the connection, as no process listens at the address; the
+	// process has ended.
 	Refuses
-	// Silent: no answer in time; the machine or the way to it is down.
+	// Silent: there was no response within the timeout; the host or the network path to it is
+	// down.
 	Silent
-	// Unknown: the try failed here.
+	// Unknown: the attempt failed for another reason, which says nothing about the process.
 	Unknown
 )
 
-// Probe tries to connect to an address within a time.
+// Probe attempts to connect to an address. within is the timeout.
 func Probe(address string, within time.Duration) Presence {
 	ctx, cancel := context.WithTimeout(context.Background(), within)
 	defer cancel()
--- a/internal/conn/exchange.go
+++ b/internal/conn/exchange.go
@@ -12,27 +12,29 @@
 	"time"
 )
 
-// UnknownLength marks a body that is sent in chunks.
+// UnknownLength is the Request.Length of a body of unknown size, which is sent in chunked
+// encoding.
 const UnknownLength = -1
 
-// ErrNotHTTP means that what arrived is no answer.
-var ErrNotHTTP = errors.New("not an HTTP answer")
+// ErrNotHTTP means that a request's method, target or host can't be written as HTTP.
+var ErrNotHTTP = errors.New("not a valid HTTP message")
 
-// Request is one request as it goes onto a connection.
+// Request is one HTTP request as it is written to a connection.
 type Request struct {
 	Method string
-	// Target is the path and query exactly as the caller wrote them.
+	// Target is the path and query exactly as the caller sent them.
 	Target string
 	Host   string
 	Header http.Header
-	// Body is nil for no body; Length is its size or UnknownLength.
+	// Body is nil if the request has no body. Length is the size of the body in bytes, or
+	// UnknownLength.
 	Body   io.Reader
 	Length int64
 }
 
-// Write sends the request. The body is read as it is sent.
+// Write sends the request. The body is read while it is being sent.
 func (c *Conn) Write(r *Request) error {
-	w := bufio.NewWriterSize(c.Conn, readBuffer)
+	w := bufio.NewWriterSize(c.Conn, readBufferSize)
 	if err := writeHead(w, r); err != nil {
 		return fmt.Errorf("send head to %s: %w", c.address, err)
 	}
@@ -75,7 +77,7 @@
 	if r.Length != UnknownLength {
 		n, err := io.Copy(w, r.Body)
 		if err == nil && n != r.Length {
-			err = fmt.Errorf("body of %d bytes has %d: %w", r.Length, n, io.ErrUnexpectedEOF)
+			err = fmt.Errorf("body length differs: want %d bytes, got %d: %w", r.Length, n, io.ErrUnexpectedEOF)
 		}
 		return err
 	}
@@ -90,13 +92,14 @@
 	return err
 }
 
-// ReadAnswer reads the head of the next final answer to a request with the
-// method. The body must be read to its end before the connection is reused.
+// ReadAnswer reads the head of the next final response to a request with the given method;
+// informational (1xx) responses are skipped. The body must be read to its end before the
+// connection is reused.
 func (c *Conn) ReadAnswer(method string) (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(c.r, &http.Request{Method: method})
 		if err != nil {
-			return nil, fmt.Errorf("read answer of %s: %w", c.address, err)
+			return nil, fmt.Errorf("read response of %s: %w", c.address, err)
 		}
 		if resp.StatusCode >= http.StatusOK || resp.StatusCode == http.StatusSwitchingProtocols {
 			return resp, nil
@@ -104,13 +107,14 @@
 	}
 }
 
-// Clean reports whether the connection can carry another exchange after an
-// answer whose body was read to its end.
+// Clean reports whether the connection can be reused for another exchange after a response whose
+// body was read to its end.
 func (c *Conn) Clean(resp *http.Response) bool {
 	return !resp.Close && resp.ContentLength >= -1 && (resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0) && c.r.Buffered() == 0
 }
 
-// KeepAlive returns how long the server says it keeps an idle connection, or 0.
+// KeepAlive returns how long the server keeps an idle connection, as stated in the Keep-Alive
+// header, or 0 if the header states no timeout.
 func KeepAlive(h http.Header) time.Duration {
 	for _, part := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
--- a/internal/conn/pool.go
+++ b/internal/conn/pool.go
@@ -11,48 +11,49 @@
 )
 
 const (
-	// idlePerAddress bounds the connections kept for one address. At today's
-	// sizes an instance has a handful of calls at one upstream at once, and
-	// upstreams take 200 connections from a dozen instances.
-	idlePerAddress = 6
-	// idleDefault is how long a connection is kept whose server did not say
-	// how long it keeps it.
-	idleDefault = 4 * time.Second
-	// idleMargin is taken off the time that a server states, so that no
-	// request crosses its close.
+	// maxIdlePerAddress is the maximum number of idle connections kept for one address. At
+	// today's sizes an instance has a handful of concurrent calls to one upstream, and an
+	// upstream accepts 200 connections from a dozen instances.
+	maxIdlePerAddress = 6
+	// defaultIdleTimeout is how long an idle connection is kept if the server did not state how
+	// long it keeps the connection.
+	defaultIdleTimeout = 4 * time.Second
+	// idleMargin is subtracted from the idle timeout that a server states, so that no request is
+	// sent while the server closes the connection.
 	idleMargin = 700 * time.Millisecond
-	// readBuffer holds the head of an answer and small bodies.
-	readBuffer = 4096
+	// readBufferSize is the size of a connection's buffers, in bytes. The read buffer has room
+	// for the head of a response and a small body.
+	readBufferSize = 4096
 )
 
-// Conn is a connection for one exchange at a time.
+// Conn is a connection that carries one exchange at a time.
 type Conn struct {
 	net.Conn
 	r       *bufio.Reader
 	address string
-	// until is when an idle connection is given up.
-	until time.Time
+	// idleUntil is when an idle connection expires.
+	idleUntil time.Time
 }
 
 // Pool keeps idle connections by address.
 type Pool struct {
 	mu   sync.Mutex
 	idle map[string][]*Conn
-	// Dialled is called after each new connection, to count them.
+	// Dialled is called after each new connection, to count new connections.
 	Dialled func()
 }
 
 // NewPool returns an empty pool.
 func NewPool() *Pool { return &Pool{idle: map[string][]*Conn{}, Dialled: func() {}} }
 
-// Get returns an idle connection that is silent and open, or dials a new one.
+// Get returns an idle connection that is still usable, or dials a new one.
 func (p *Pool) Get(ctx context.Context, address string) (*Conn, error) {
 	for {
-		c := p.take(address)
+		c := p.pop(address)
 		if c == nil {
 			break
 		}
-		if time.Now().Before(c.until) && c.silent() {
+		if time.Now().Before(c.idleUntil) && c.reusable() {
 			return c, nil
 		}
 		c.Close()
@@ -62,10 +63,10 @@
 		return nil, err
 	}
 	p.Dialled()
-	return &Conn{Conn: raw, r: bufio.NewReaderSize(raw, readBuffer), address: address}, nil
+	return &Conn{Conn: raw, r: bufio.NewReaderSize(raw, readBufferSize), address: address}, nil
 }
 
-func (p *Pool) take(address string) *Conn {
+func (p *Pool) pop(address string) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[address]
@@ -77,24 +78,25 @@
 	return c
 }
 
-// Put keeps a connection after a complete exchange; keep is how long the server
-// said it keeps it, 0 if it did not say.
+// Put returns a connection to the pool after a complete exchange. keep is how long the server
+// keeps an idle connection, 0 if the server did not state it. A connection that can't be kept is
+// closed.
 func (p *Pool) Put(c *Conn, keep time.Duration) {
-	c.until = time.Now().Add(idleDefault)
+	c.idleUntil = time.Now().Add(defaultIdleTimeout)
 	if keep > 0 {
-		c.until = time.Now().Add(min(keep-idleMargin, 4*idleDefault))
+		c.idleUntil = time.Now().Add(min(keep-idleMargin, 4*defaultIdleTimeout))
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[c.address]
-	if c.r.Buffered() > 0 || len(list) >= idlePerAddress || !time.Now().Before(c.until) {
+	if c.r.Buffered() > 0 || len(list) >= maxIdlePerAddress || !time.Now().Before(c.idleUntil) {
 		c.Close()
 		return
 	}
 	p.idle[c.address] = append(list, c)
 }
 
-// Sweep closes idle connections whose time is over.
+// Sweep closes idle connections that have expired.
 func (p *Pool) Sweep() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -102,7 +104,7 @@
 	for address, list := range p.idle {
 		kept := list[:0]
 		for _, c := range list {
-			if now.Before(c.until) {
+			if now.Before(c.idleUntil) {
 				kept = append(kept, c)
 			} else {
 				c.Close()
@@ -116,9 +118,10 @@
 	}
 }
 
-// silent reports whether nothing has arrived on an idle connection: bytes there
-// belong to no request, and an end means that the server has closed it.
-func (c *Conn) silent() bool {
+// reusable reports whether an idle connection is open and has received nothing. Bytes that
+// arrived on an idle connection belong to no request, and an end of file means that the server
+// has closed it.
+func (c *Conn) reusable() bool {
 	if c.r.Buffered() > 0 {
 		return false
 	}
@@ -131,9 +134,9 @@
 		return false
 	}
 	open := false
-	var one [1]byte
+	var buf [1]byte
 	err = raw.Read(func(fd uintptr) bool {
-		_, _, err := unix.Recvfrom(int(fd), one[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
+		_, _, err := unix.Recvfrom(int(fd), buf[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 		open = err == unix.EAGAIN
 		return true
 	})
