--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -1,5 +1,5 @@
-// Package peer carries messages between instances: TCP connections, each frame
-// a length, a protocol version and a msgpack body.
+// Package peer sends messages between instances over TCP connections. Each frame consists of a
+// length, a protocol version and a msgpack body.
 package peer
 
 import (
@@ -15,30 +15,32 @@
 )
 
 const (
-	// protocolVersion is the first byte of every frame's body. Instances of
-	// different versions refuse each other's frames rather than misread them.
+	// protocolVersion is the byte after the length in every frame. Instances with different
+	// versions reject each other's frames instead of misreading them.
 	protocolVersion = 2
-	// maxFrame bounds a frame in bytes, so that a broken peer can't make
-	// this instance allocate without limit.
+	// maxFrame is the maximum size of a frame's body in bytes. It limits how much memory a
+	// faulty peer can make this instance allocate.
 	maxFrame = 1 << 20
-	// headerSize is a 4-byte big-endian length followed by the version.
+	// headerSize is the size of a frame's header in bytes: a 4-byte big-endian length and a
+	// 1-byte version.
 	headerSize = 5
 )
 
-// Frame errors.
+// Reasons why a frame can't be encoded or decoded.
 var (
-	ErrTooLarge = errors.New("frame is larger than allowed")
-	ErrVersion  = errors.New("frame has another protocol version")
+	ErrTooLarge = errors.New("frame exceeds the maximum size")
+	ErrVersion  = errors.New("frame has an unsupported protocol version")
 	ErrKind     = errors.New("frame has an unknown message kind")
 )
 
+// envelope is the body of a frame. Kind determines the type of the message in Body.
 type envelope struct {
 	From string
 	Kind msg.Kind
 	Body msgpack.RawMessage
 }
 
-// Encode returns the frame for a message.
+// Encode returns the frame for a message from the instance named from.
 func Encode(from string, m msg.Message) ([]byte, error) {
 	body, err := marshal(m)
 	if err != nil {
@@ -66,8 +68,8 @@
 	return buf.Bytes(), err
 }
 
-// Decode reads one frame. It returns io.EOF at the end of the connection and
-// io.ErrUnexpectedEOF for a truncated frame.
+// Decode reads one frame and returns the sender's name and the message. The error is io.EOF at
+// the end of the connection and wraps io.ErrUnexpectedEOF for a truncated frame.
 func Decode(r io.Reader) (from string, m msg.Message, err error) {
 	var head [headerSize]byte
 	if _, err := io.ReadFull(r, head[:]); err != nil {
@@ -107,6 +109,7 @@
 	return m, nil
 }
 
+// decoders holds the decoder of each message kind.
 var decoders = map[msg.Kind]func([]byte) (msg.Message, error){
 	msg.KindGrantAsk:      decodeAs[msg.GrantAsk],
 	msg.KindGrantAnswer:   decodeAs[msg.GrantAnswer],
--- a/internal/peer/codec_test.go
+++ b/internal/peer/codec_test.go
@@ -12,7 +12,9 @@
 	"mulberrylug.example/mulberrylug/internal/core/msg"
 )
 
-func TestEveryKindComesBack(t *testing.T) {
+// Each message kind must be unchanged after encoding and decoding, have a sample and have a name
+// for metrics. A kind without a decoder would be rejected by every receiver.
+func TestEveryKindRoundTrips(t *testing.T) {
 	seen := map[msg.Kind]bool{}
 	all := samples()
 	for _, s := range all {
@@ -22,28 +24,28 @@
 		}
 		from, got, err := Decode(bytes.NewReader(frame))
 		if err != nil || from != "entry-1" || !reflect.DeepEqual(got, s.msg) {
-			t.Errorf("%s: decoded %+v from %q, error %v; want %+v", s.name, got, from, err, s.msg)
+			t.Errorf("%s: decoded %+v from sender %q, error %v; want %+v from entry-1", s.name, got, from, err, s.msg)
 		}
 		seen[s.msg.Kind()] = true
 	}
 	for kind := range decoders {
 		if !seen[kind] {
-			t.Errorf("message kind %d has no sample", kind)
+			t.Errorf("message kind %d has no sample in samples()", kind)
 		}
 		if name := kind.String(); strings.HasPrefix(name, "kind_") {
-			t.Errorf("message kind %d has no name for metrics", kind)
+			t.Errorf("message kind %d has no name for metrics in Kind.String", kind)
 		}
 	}
 }
 
-// frame builds a frame by hand.
+// frame returns a frame with the given header fields and body, which need not be valid.
 func frame(size uint32, version byte, body ...byte) []byte {
 	return append(append(binary.BigEndian.AppendUint32(nil, size), version), body...)
 }
 
-// A broken or newer peer sends frames that this instance can't read. It must
-// say which kind of frame that was and end the connection, never misread one,
-// wait for ever or allocate what a length field claims.
+// A faulty or newer peer sends frames that this instance can't decode. Decode must return the
+// error for that kind of frame, so that the connection is closed. It must not misread a frame,
+// wait for ever or allocate as much memory as the length field claims.
 func TestDecodeRefusesBadFrames(t *testing.T) {
 	good, err := Encode("entry-1", msg.Strike{Fingerprint: 7, Upstream: "engine-1"})
 	if err != nil {
@@ -62,32 +64,32 @@
 	for _, c := range []struct {
 		name string
 		raw  []byte
-		want error // nil for any error
+		want error // nil accepts any error
 	}{
-		{"nothing", nil, io.EOF},
-		{"half a header", good[:3], io.ErrUnexpectedEOF},
-		{"header alone", good[:headerSize], io.ErrUnexpectedEOF},
+		{"no bytes", nil, io.EOF},
+		{"truncated header", good[:3], io.ErrUnexpectedEOF},
+		{"header without body", good[:headerSize], io.ErrUnexpectedEOF},
 		{"truncated body", good[:len(good)-1], io.ErrUnexpectedEOF},
-		{"oversized", frame(maxFrame+1, protocolVersion), ErrTooLarge},
-		{"four gigabytes", frame(1<<32-1, protocolVersion), ErrTooLarge},
+		{"one byte too large", frame(maxFrame+1, protocolVersion), ErrTooLarge},
+		{"maximum length field", frame(1<<32-1, protocolVersion), ErrTooLarge},
 		{"another version", otherVersion, ErrVersion},
 		{"unknown kind", frame(uint32(len(body)), protocolVersion, body...), ErrKind},
 		{"body of another type", frame(uint32(len(wrongBody)), protocolVersion, wrongBody...), nil},
-		{"no msgpack", frame(3, protocolVersion, 0xc1, 0xc1, 0xc1), nil},
+		{"body is not msgpack", frame(3, protocolVersion, 0xc1, 0xc1, 0xc1), nil},
 		{"empty body", frame(0, protocolVersion), nil},
 	} {
 		_, m, err := Decode(bytes.NewReader(c.raw))
 		if err == nil || c.want != nil && !errors.Is(err, c.want) {
-			t.Errorf("%s: decoded %+v, error %v, want %v", c.name, m, err, c.want)
+			t.Errorf("%s: decoded %+v, error %v, want error %v (nil: any error)", c.name, m, err, c.want)
 		}
 	}
 	if _, err := Encode("entry-1", msg.ExplainAnswer{Lines: []string{string(make([]byte, maxFrame))}}); !errors.Is(err, ErrTooLarge) {
-		t.Errorf("an oversized message: error %v, want %v", err, ErrTooLarge)
+		t.Errorf("Encode of a message above the maximum size: error %v, want %v", err, ErrTooLarge)
 	}
 }
 
-// FuzzDecode shows that no bytes make Decode panic, and that what it accepts
-// can be encoded again.
+// FuzzDecode checks that Decode does not panic on any input and that every message that it
+// accepts can be encoded again.
 func FuzzDecode(f *testing.F) {
 	for _, s := range samples() {
 		raw, err := Encode("entry-1", s.msg)
@@ -106,7 +108,7 @@
 			return
 		}
 		if _, err := Encode(from, m); err != nil && !errors.Is(err, ErrTooLarge) {
-			t.Errorf("%+v was decoded but can't be encoded: %v", m, err)
+			t.Errorf("Encode of the decoded message %+v: %v, want no error", m, err)
 		}
 	})
 }
--- a/internal/peer/queue.go
+++ b/internal/peer/queue.go
@@ -6,33 +6,33 @@
 )
 
 const (
-	// queueFrames and queueBytes bound what waits for one peer. Beyond them
-	// frames are dropped: every sender has a timeout and asks again.
-	queueFrames = 4096
-	queueBytes  = 4 << 20
+	// maxQueueFrames and maxQueueBytes limit the queue for one peer. Frames beyond these limits
+	// are dropped; every sender has a timeout and repeats its request.
+	maxQueueFrames = 4096
+	maxQueueBytes  = 4 << 20
 )
 
-// queue holds the frames that wait for one peer. It takes memory only for what
-// waits: a channel of the same depth takes 98 KB for each of 389 peers.
+// queue holds the frames waiting to be sent to one peer. It allocates memory only for waiting
+// frames: a channel with the same capacity takes 98 KB for each of 389 peers.
 type queue struct {
-	// ready has a value whenever frames wait.
+	// ready receives a value when frames are waiting.
 	ready chan struct{}
 
 	mu     sync.Mutex
 	frames net.Buffers
-	bytes  int
-	// unwritten counts the frames that wait or are being written.
+	bytes  int // total size of frames
+	// unwritten is the number of frames that are waiting or being written.
 	unwritten int
 	closed    bool
 }
 
 func newQueue() *queue { return &queue{ready: make(chan struct{}, 1)} }
 
-// push adds a frame. It reports false if the queue is full or closed.
+// push adds a frame. It returns false if the queue is full or closed.
 func (q *queue) push(frame []byte) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.closed || len(q.frames) >= queueFrames || q.bytes+len(frame) > queueBytes {
+	if q.closed || len(q.frames) >= maxQueueFrames || q.bytes+len(frame) > maxQueueBytes {
 		return false
 	}
 	q.frames = append(q.frames, frame)
@@ -45,7 +45,7 @@
 	return true
 }
 
-// take returns all that waits, oldest first.
+// take removes and returns all waiting frames, oldest first.
 func (q *queue) take() net.Buffers {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -54,22 +54,22 @@
 	return frames
 }
 
-// done tells that taken frames were written or lost.
+// done records that a number of frames returned by take have been written or lost.
 func (q *queue) done(frames int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.unwritten -= frames
 }
 
-// empty reports whether every frame was written or lost.
+// empty reports whether every frame has been written or lost.
 func (q *queue) empty() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.unwritten == 0
 }
 
-// closeIdle closes the queue if nothing waits in it.
-func (q *queue) closeIdle() bool {
+// closeIfEmpty closes the queue if no frames are waiting and reports whether it did.
+func (q *queue) closeIfEmpty() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.closed = len(q.frames) == 0
--- a/internal/peer/size_test.go
+++ b/internal/peer/size_test.go
@@ -14,15 +14,18 @@
 	"mulberrylug.example/mulberrylug/internal/core/route"
 )
 
-const attempt = "entry-123:0123abcd:100000/1"
+// sampleAttempt is an attempt id of realistic length.
+const sampleAttempt = "entry-123:0123abcd:100000/1"
 
+// sampleAsk returns a placement request with values of realistic length.
 func sampleAsk() placement.Ask {
 	return placement.Ask{
-		Attempt: attempt, Org: "organisation-12345", Fingerprint: 1 << 60, Prompt: 512, MaxOutput: 1024,
+		Attempt: sampleAttempt, Org: "organisation-12345", Fingerprint: 1 << 60, Prompt: 512, MaxOutput: 1024,
 		Prefix: []uint64{1 << 60, 1 << 61, 1 << 62, 1 << 63, 1 << 60, 1 << 61, 1 << 62, 1 << 63}, MaxWait: 20 * time.Second, FirstTarget: 1800 * time.Millisecond,
 	}
 }
 
+// sampleHeartbeat returns a heartbeat with values of realistic length.
 func sampleHeartbeat() msg.Heartbeat {
 	return msg.Heartbeat{
 		Name: "entry-123", DataCentre: "dc-a", CallerAddress: "127.100.100.100:8000",
@@ -30,8 +33,8 @@
 	}
 }
 
-// packed returns the transfer form of a small configuration, which always has one.
-func packed(c *route.Config) msg.PackedConfig {
+// packConfig returns the transfer form of a small configuration, for which packing never fails.
+func packConfig(c *route.Config) msg.PackedConfig {
 	p, err := msg.PackConfig(c)
 	if err != nil {
 		panic(err)
@@ -39,12 +42,12 @@
 	return p
 }
 
-// samples are messages as they are at the target size; most bounds the frame
-// in bytes.
+// samples returns a message of each kind with values as they occur at the target size. maxBytes
+// is the maximum size of the frame.
 func samples() []struct {
-	name string
-	msg  msg.Message
-	most int
+	name     string
+	msg      msg.Message
+	maxBytes int
 } {
 	running := msg.RunningAttempt{Ask: sampleAsk(), Upstream: "engine-123", Tokens: 128, Pace: 7120 * time.Microsecond}
 	running.Ask.Prefix = nil
@@ -52,35 +55,35 @@
 		Spend: 1 << 40, Period: "day", RequestsPerSecond: 50, TokensPerSecond: 20_000, MaxOutputTokens: 4096, Concurrent: 64,
 	}
 	return []struct {
-		name string
-		msg  msg.Message
-		most int
+		name     string
+		msg      msg.Message
+		maxBytes int
 	}{
 		{"grant_ask", msg.GrantAsk{Pool: "assistant-12@dc-a", Ask: sampleAsk()}, 200},
 		{"grant_answer", msg.GrantAnswer{
 			Pool: "assistant-12@dc-a", Address: "127.100.100.100:8000", TTL: time.Second,
-			Decision: placement.Decision{Attempt: attempt, Kind: placement.Granted, Upstream: "engine-123"},
+			Decision: placement.Decision{Attempt: sampleAttempt, Kind: placement.Granted, Upstream: "engine-123"},
 		}, 130},
-		{"grant_end", msg.GrantEnd{Pool: "assistant-12@dc-a", Attempt: attempt, Tokens: 250}, 80},
+		{"grant_end", msg.GrantEnd{Pool: "assistant-12@dc-a", Attempt: sampleAttempt, Tokens: 250}, 80},
 		{"reserve_ask", msg.ReserveAsk{Ask: budget.Ask{
-			Request: attempt, Org: "organisation-12345", Limits: limits, Amount: 409_600, Tokens: 1024,
+			Request: sampleAttempt, Org: "organisation-12345", Limits: limits, Amount: 409_600, Tokens: 1024,
 		}}, 130},
-		{"reserve_answer", msg.ReserveAnswer{Answer: budget.Answer{Org: "organisation-12345", Request: attempt, Granted: true}}, 85},
-		{"settle", msg.Settle{Org: "organisation-12345", Request: attempt, Used: 100_000, Tokens: 250}, 85},
+		{"reserve_answer", msg.ReserveAnswer{Answer: budget.Answer{Org: "organisation-12345", Request: sampleAttempt, Granted: true}}, 85},
+		{"settle", msg.Settle{Org: "organisation-12345", Request: sampleAttempt, Used: 100_000, Tokens: 250}, 85},
 		{"strike", msg.Strike{Fingerprint: 1 << 60, Upstream: "engine-123"}, 50},
 		{"config_told", msg.ConfigTold{Number: 100_000, Hash: fmt.Sprintf("%064x", 1)}, 100},
 		{"announce_empty", msg.Announce{Pool: "assistant-12@dc-a"}, 50},
 		{"announce_one", msg.Announce{Pool: "assistant-12@dc-a", Running: []msg.RunningAttempt{running}}, 150},
 		{"strikes_ask", msg.StrikesAsk{}, 20},
 		{"strikes", msg.Strikes{List: []msg.Strike{{Fingerprint: 1 << 60, Upstream: "engine-123", Boot: "0123456789abcdef"}}}, 70},
-		{"adopted", msg.Adopted{Request: attempt, Attempt: attempt}, 80},
-		{"follow_ask", msg.FollowAsk{Pool: "assistant-12@dc-a", Attempts: []string{attempt}}, 70},
-		{"follow_answer", msg.FollowAnswer{Pool: "assistant-12@dc-a", Attempts: []string{attempt}, Following: []string{attempt}}, 110},
+		{"adopted", msg.Adopted{Request: sampleAttempt, Attempt: sampleAttempt}, 80},
+		{"follow_ask", msg.FollowAsk{Pool: "assistant-12@dc-a", Attempts: []string{sampleAttempt}}, 70},
+		{"follow_answer", msg.FollowAnswer{Pool: "assistant-12@dc-a", Attempts: []string{sampleAttempt}, Following: []string{sampleAttempt}}, 110},
 		{"config_ask", msg.ConfigAsk{}, 40},
 		{"config_object_ask", msg.ConfigObjectAsk{Hash: fmt.Sprintf("%064x", 1)}, 90},
 		{"config_object_part", msg.ConfigObjectPart{Hash: fmt.Sprintf("%064x", 1), Data: []byte("part")}, 110},
 		{"leaving", msg.Leaving{}, 20},
-		{"explain_ask", msg.ExplainAsk{ID: 1, Request: attempt}, 60},
+		{"explain_ask", msg.ExplainAsk{ID: 1, Request: sampleAttempt}, 60},
 		{"heartbeat", sampleHeartbeat(), 90},
 		{"join_ask", msg.JoinAsk{Sender: sampleHeartbeat(), Known: 1 << 63}, 110},
 		{"join_answer", msg.JoinAnswer{Settled: true, Instances: slices.Repeat([]msg.Heartbeat{sampleHeartbeat()}, 390)}, 35_000},
@@ -94,7 +97,7 @@
 		{"sync_ask", msg.SyncAsk{Number: 100_000, Config: 100_000, List: roster.Question{Version: 100_000}}, 40},
 		{"sync_answer_empty", msg.SyncAnswer{Number: 100_000, ConfigAge: time.Second}, 40},
 		{"sync_answer", msg.SyncAnswer{
-			Number: 100_000, ConfigAge: time.Second, Config: packed(&route.Config{Version: 7}),
+			Number: 100_000, ConfigAge: time.Second, Config: packConfig(&route.Config{Version: 7}),
 			List: &roster.Share{Version: 100_000, Groups: []roster.GroupCopy{{
 				Group: roster.Whole("assistant-12"),
 				List: []roster.Change{{ID: "engine-123", Version: 100_000, Valid: true, Entry: roster.Entry{
@@ -103,17 +106,17 @@
 			}}},
 		}, 150},
 		{"move_order", msg.MoveOrder{
-			Pool: "assistant-12", Attempt: attempt, Number: 100_000, From: "engine-123", To: "engine-124", ToAddress: "127.100.100.100:8000",
+			Pool: "assistant-12", Attempt: sampleAttempt, Number: 100_000, From: "engine-123", To: "engine-124", ToAddress: "127.100.100.100:8000",
 		}, 120},
-		{"moved", msg.Moved{Pool: "assistant-12", Attempt: attempt, Number: 100_000, Outcome: msg.MoveDone}, 80},
+		{"moved", msg.Moved{Pool: "assistant-12", Attempt: sampleAttempt, Number: 100_000, Outcome: msg.MoveDone}, 80},
 		{"failing", msg.Failing{Upstream: "engine-123", Born: 1_790_000_000_000}, 50},
-		{"begun", msg.Begun{Pool: "assistant-12@dc-a", Attempt: attempt}, 80},
+		{"begun", msg.Begun{Pool: "assistant-12@dc-a", Attempt: sampleAttempt}, 80},
 		{"explain_answer", msg.ExplainAnswer{ID: 1, Lines: []string{"time=2026-01-01T00:00:00Z request=entry-1:0:1 step=finish"}}, 90},
 	}
 }
 
-// Each daemon may use 20 KB a second for control at the target; frames that
-// grow unnoticed would use it up.
+// At the target size each daemon may use 20 KB a second for control messages. Frames that grow
+// unnoticed would exceed that budget.
 func TestFrameSizes(t *testing.T) {
 	for _, s := range samples() {
 		frame, err := Encode("entry-321", s.msg)
@@ -121,12 +124,13 @@
 			t.Fatal(err)
 		}
 		t.Logf("message=%s bytes=%d", s.name, len(frame))
-		if len(frame) > s.most {
-			t.Errorf("%s takes %d bytes, want at most %d", s.name, len(frame), s.most)
+		if len(frame) > s.maxBytes {
+			t.Errorf("frame size of %s = %d bytes, want at most %d", s.name, len(frame), s.maxBytes)
 		}
 	}
 }
 
+// BenchmarkEncode measures the encoding of each sample message.
 func BenchmarkEncode(b *testing.B) {
 	for _, s := range samples() {
 		b.Run(s.name, func(b *testing.B) {
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -16,40 +16,44 @@
 )
 
 const (
+	// writeTimeout is the timeout of each write to a connection.
 	writeTimeout = time.Second
-	// idleAfter is how long a connection may carry nothing before its sender
-	// closes it: at the target size an instance talks to 389 others, and 130
-	// of those are replaced each day.
-	idleAfter = time.Minute
-	// silentAfter ends a connection that its sender should have closed: the
-	// end was lost on its way, and the reader would wait for ever.
-	silentAfter = 3 * idleAfter
+	// idleTimeout is how long a connection may carry no message before its sender closes it. At
+	// the target size an instance communicates with 389 others, 130 of which are replaced each
+	// day.
+	idleTimeout = time.Minute
+	// readTimeout is how long a receiver waits for the next message. It ends a connection whose
+	// sender should have closed it but whose closing packet was lost; otherwise the reader would
+	// wait for ever.
+	readTimeout = 3 * idleTimeout
 )
 
-// Handler takes a message that arrived from another instance.
+// Handler handles a message from another instance. from is the sender's name.
 type Handler func(from string, m msg.Message)
 
-// Transport sends to and receives from other instances. Connections are dialled
-// on the first message and kept; each carries messages one way only.
+// Transport sends messages to other instances and receives messages from them. A connection is
+// dialled for the first message to an instance and kept; each connection carries messages in one
+// direction only.
 type Transport struct {
 	self      string
 	listeners []net.Listener
 	handle    Handler
 	log       hclog.Logger
-	// Dropped is called with the number of frames that were lost with a
-	// broken connection. Set it before the first Send.
+	// Dropped is called with the number of frames lost when a connection fails. It must be set
+	// before the first Send.
 	Dropped func(to string, frames int)
-	// Sent is called with the size of each frame that is queued. Set it before
-	// the first Send.
+	// Sent is called with the size in bytes of each frame that is to be queued. It must be set
+	// before the first Send.
 	Sent func(to string, kind msg.Kind, bytes int)
-	// Ended is called when a connection from another instance has ended. Set
-	// it before Serve.
+	// Ended is called when a connection from another instance has ended, with the name of that
+	// instance. It must be set before Serve.
 	Ended func(from string)
 
 	mu    sync.Mutex
 	links map[string]*link
 }
 
+// link is the outgoing connection to one instance, with the queue of frames for it.
 type link struct {
 	to      string
 	address string
@@ -57,7 +61,8 @@
 	cancel  context.CancelFunc
 }
 
-// Listen opens the peer address of an instance.
+// Listen returns the transport of the instance named self, which listens on address and passes
+// received messages to handle.
 func Listen(address, self string, handle Handler, log hclog.Logger) (*Transport, error) {
 	t := &Transport{
 		self: self, handle: handle, log: log, links: map[string]*link{},
@@ -66,7 +71,7 @@
 	return t, t.ListenAlso(address)
 }
 
-// ListenAlso opens one more address for peers. Call it before Serve.
+// ListenAlso listens on a further address for peers. It must be called before Serve.
 func (t *Transport) ListenAlso(address string) error {
 	ln, err := conn.ListenConfig().Listen(context.Background(), "tcp", address)
 	if err != nil {
@@ -79,8 +84,8 @@
 // Address returns the address that peers dial.
 func (t *Transport) Address() string { return t.listeners[0].Addr().String() }
 
-// String names the transport to its supervisor, which would else print its
-// fields while others change them.
+// String returns the transport's name for the supervisor. Without this method the supervisor
+// would print the transport's fields while other goroutines change them.
 func (t *Transport) String() string { return "peer transport " + t.Address() }
 
 // Serve accepts connections until the context ends.
@@ -127,12 +132,12 @@
 	r := bufio.NewReader(conn)
 	sender := ""
 	for {
-		if err := conn.SetReadDeadline(time.Now().Add(silentAfter)); err != nil {
+		if err := conn.SetReadDeadline(time.Now().Add(readTimeout)); err != nil {
 			return // the connection has ended
 		}
 		from, m, err := Decode(r)
 		if err != nil {
-			t.ended(conn, err)
+			t.logEnd(conn, err)
 			if ctx.Err() == nil && sender != "" {
 				t.Ended(sender)
 			}
@@ -143,8 +148,8 @@
 	}
 }
 
-// ended logs why a connection ended; frames that can't be read are logged as warnings.
-func (t *Transport) ended(conn net.Conn, err error) {
+// logEnd logs why a connection ended. Frames that can't be decoded are logged as warnings.
+func (t *Transport) logEnd(conn net.Conn, err error) {
 	level := hclog.Debug
 	if errors.Is(err, ErrVersion) || errors.Is(err, ErrKind) || errors.Is(err, ErrTooLarge) {
 		level = hclog.Warn
@@ -152,8 +157,8 @@
 	t.log.Log(level, "peer_connection_ended", "step", "receive", "peer", conn.RemoteAddr().String(), "error", err)
 }
 
-// Send queues a message for an instance. It never blocks; a message that does
-// not fit is dropped.
+// Send queues a message for an instance. It never blocks. A message for which the queue has no
+// room is dropped, and Send returns an error.
 func (t *Transport) Send(to, address string, m msg.Message) error {
 	frame, err := Encode(t.self, m)
 	if err != nil {
@@ -168,15 +173,15 @@
 	return nil
 }
 
-// Flush waits until all that is queued was written or lost. It returns the
-// context's error if that ends first.
+// Flush waits until all queued frames have been written or lost. It returns an error that wraps
+// the context's if the context ends first.
 func (t *Transport) Flush(ctx context.Context) error {
-	const pause = 5 * time.Millisecond
+	const pollInterval = 5 * time.Millisecond
 	for !t.empty() {
 		select {
 		case <-ctx.Done():
 			return fmt.Errorf("flush messages to peers: %w", ctx.Err())
-		case <-time.After(pause):
+		case <-time.After(pollInterval):
 		}
 	}
 	return nil
@@ -193,7 +198,7 @@
 	return true
 }
 
-// Reset drops the connection to an instance; the next Send dials anew.
+// Reset drops the connection to an instance; the next Send dials a new one.
 func (t *Transport) Reset(to string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -203,15 +208,15 @@
 	}
 }
 
-// link returns the connection to a peer, beginning it if need be. The caller
-// holds the lock.
+// link returns the link to a peer and starts one if there is none to this address. t.mu must be
+// held.
 func (t *Transport) link(to, address string) *link {
 	l := t.links[to]
 	if l != nil && l.address == address {
 		return l
 	}
 	if l != nil {
-		l.cancel() // the instance was replaced under the same name
+		l.cancel() // another instance has replaced this one under the same name
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	l = &link{to: to, address: address, queue: newQueue(), cancel: cancel}
@@ -220,17 +225,16 @@
 	return l
 }
 
-// run dials and writes until the link is cancelled or idle. After a failure it
-// drops what is queued, as that is late by then, and dials again for the next
-// frame.
+// run dials and writes until the link is cancelled or idle. After a failure it drops the queued
+// frames, which are too late to be of use by then, and dials again for the next frame.
 func (t *Transport) run(ctx context.Context, l *link) {
 	defer l.cancel()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(idleAfter):
-			if t.forget(l) {
+		case <-time.After(idleTimeout):
+			if t.removeIdle(l) {
 				return
 			}
 		case <-l.queue.ready:
@@ -247,12 +251,12 @@
 	}
 }
 
-// forget takes an idle link out of the map. It reports false if a frame came
-// in the meantime.
-func (t *Transport) forget(l *link) bool {
+// removeIdle removes an idle link from the map. It returns false if a frame was queued in the
+// meantime.
+func (t *Transport) removeIdle(l *link) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !l.queue.closeIdle() {
+	if !l.queue.closeIfEmpty() {
 		return false
 	}
 	if t.links[l.to] == l {
@@ -261,9 +265,9 @@
 	return true
 }
 
-// write dials and writes all that is queued, several frames at once where
-// several wait. It returns how many frames an error lost, and nil once the
-// connection has been idle.
+// write dials and writes all queued frames; frames that wait together are written together. It
+// returns the number of frames lost by an error, or a nil error once the connection has been
+// idle for idleTimeout.
 func (t *Transport) write(ctx context.Context, l *link) (lost int, err error) {
 	c, err := conn.Dialer().DialContext(ctx, "tcp", l.address)
 	if err != nil {
@@ -272,7 +276,7 @@
 	defer c.Close()
 	stop := context.AfterFunc(ctx, func() { c.Close() })
 	defer stop()
-	idle := time.NewTimer(idleAfter)
+	idle := time.NewTimer(idleTimeout)
 	defer idle.Stop()
 	for {
 		if err := c.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
@@ -285,7 +289,7 @@
 		if err != nil {
 			return n, fmt.Errorf("write to %s: %w", l.address, err)
 		}
-		idle.Reset(idleAfter)
+		idle.Reset(idleTimeout)
 		select {
 		case <-ctx.Done():
 			return 0, ctx.Err()
--- a/internal/peer/transport_test.go
+++ b/internal/peer/transport_test.go
@@ -16,16 +16,17 @@
 	"mulberrylug.example/mulberrylug/internal/testkit"
 )
 
-// node is a transport that runs and keeps what it received.
-type node struct {
+// testTransport is a running transport that keeps the messages it received.
+type testTransport struct {
 	*Transport
-	got chan msg.Message
+	received chan msg.Message
 }
 
-func newNode(t testing.TB, name string) *node {
+// newTestTransport starts a transport for the instance with the given name.
+func newTestTransport(t testing.TB, name string) *testTransport {
 	t.Helper()
-	n := &node{got: make(chan msg.Message, 2*queueFrames)}
-	tr, err := Listen("127.0.0.1:0", name, func(_ string, m msg.Message) { n.got <- m }, hclog.NewNullLogger())
+	n := &testTransport{received: make(chan msg.Message, 2*maxQueueFrames)}
+	tr, err := Listen("127.0.0.1:0", name, func(_ string, m msg.Message) { n.received <- m }, hclog.NewNullLogger())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,19 +41,22 @@
 	return n
 }
 
-func (n *node) next(t *testing.T) msg.Message {
+// next returns the next received message.
+func (n *testTransport) next(t *testing.T) msg.Message {
 	t.Helper()
 	select {
-	case m := <-n.got:
+	case m := <-n.received:
 		return m
 	case <-time.After(20 * time.Second):
-		t.Fatal("no message came")
+		t.Fatal("no message received within 20 s")
 		return nil
 	}
 }
 
+// Messages to one peer must arrive in the order in which they were sent, and Flush must return
+// once all have been written.
 func TestMessagesArriveInOrder(t *testing.T) {
-	a, b := newNode(t, "a"), newNode(t, "b")
+	a, b := newTestTransport(t, "a"), newTestTransport(t, "b")
 	const many = 1000
 	for n := range many {
 		if err := a.Send("b", b.Address(), msg.Settle{Org: "o", Tokens: n}); err != nil {
@@ -61,21 +65,21 @@
 	}
 	for n := range many {
 		if got := b.next(t).(msg.Settle).Tokens; got != n {
-			t.Fatalf("message %d is number %d", n, got)
+			t.Fatalf("message at position %d has number %d, want messages in the order sent", n, got)
 		}
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
 	if err := a.Flush(ctx); err != nil {
-		t.Errorf("all messages arrived, but: %v", err)
+		t.Errorf("Flush after all messages arrived: %v, want no error", err)
 	}
 }
 
-// Something between two instances has lost track of their connection: it stays
-// open, swallows everything, and new connections work. The sender can't see it;
-// whoever waits for the answer resets the link, and the next message arrives.
-func TestResetLeavesSilentConnection(t *testing.T) {
-	a, b := newNode(t, "a"), newNode(t, "b")
+// A device between two instances has lost its state of their connection: the connection stays
+// open and discards all data, while new connections work. The sender can't detect this. The code
+// that waits for the reply resets the link, and the next message must arrive.
+func TestResetReplacesSilentConnection(t *testing.T) {
+	a, b := newTestTransport(t, "a"), newTestTransport(t, "b")
 	r, err := relay.Start(b.Address())
 	if err != nil {
 		t.Fatal(err)
@@ -94,29 +98,29 @@
 	a.Reset("b")
 	send(3)
 	if got := b.next(t).(msg.Settle).Tokens; got != 3 {
-		t.Errorf("after the reset message %d arrived, want 3", got)
+		t.Errorf("first message after the reset = %d, want 3", got)
 	}
 }
 
-// A peer accepts connections but reads nothing, as a paused process does.
-// Senders must not wait for it: once its queue is full, messages to it are
-// dropped with an error, while messages to others arrive.
+// A peer accepts connections but reads nothing, as a paused process does. Senders must not block
+// on it: once its queue is full, messages to it must be dropped with an error, while messages to
+// other peers arrive.
 func TestFullQueueDropsAndNeverBlocks(t *testing.T) {
 	paused, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer paused.Close()
-	a, b := newNode(t, "a"), newNode(t, "b")
+	a, b := newTestTransport(t, "a"), newTestTransport(t, "b")
 	big := msg.ExplainAnswer{Lines: []string{string(make([]byte, 64<<10))}}
 	dropped := 0
-	for range 4 * queueBytes / (64 << 10) {
+	for range 4 * maxQueueBytes / (64 << 10) {
 		if a.Send("paused", paused.Addr().String(), big) != nil {
 			dropped++
 		}
 	}
 	if dropped == 0 {
-		t.Error("nothing was dropped though the peer reads nothing")
+		t.Error("no message was dropped, want drops once the queue of a peer that reads nothing is full")
 	}
 	if err := a.Send("b", b.Address(), msg.Settle{Tokens: 1}); err != nil {
 		t.Fatal(err)
@@ -124,18 +128,18 @@
 	b.next(t)
 }
 
-// A peer is gone: what was queued for it is late, so that it is dropped and
-// counted; a peer that comes back under the same name gets what follows.
+// A peer has ended. Frames queued for it must be dropped, as they would be too late later, and
+// counted as lost. A peer that restarts under the same name must receive later messages.
 func TestDeadPeerCountsLostFrames(t *testing.T) {
-	a, b := newNode(t, "a"), newNode(t, "b")
-	gone, err := net.Listen("tcp", "127.0.0.1:0")
+	a, b := newTestTransport(t, "a"), newTestTransport(t, "b")
+	closed, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	gone.Close()
+	closed.Close()
 	var lost atomic.Int64
 	a.Dropped = func(_ string, n int) { lost.Add(int64(n)) }
-	if err := a.Send("b", gone.Addr().String(), msg.Settle{Tokens: 1}); err != nil {
+	if err := a.Send("b", closed.Addr().String(), msg.Settle{Tokens: 1}); err != nil {
 		t.Fatal(err)
 	}
 	testkit.Eventually(t, 20*time.Second, "the lost frame is counted", func() bool { return lost.Load() == 1 })
@@ -143,13 +147,14 @@
 		t.Fatal(err)
 	}
 	if got := b.next(t).(msg.Settle).Tokens; got != 2 {
-		t.Errorf("message %d arrived, want 2", got)
+		t.Errorf("first message after the restart = %d, want 2", got)
 	}
 }
 
-// Bytes that are no frames end their connection; others live on.
+// Bytes that are not a valid frame must end the connection on which they arrive, and no other
+// connection.
 func TestGarbageEndsOnlyItsConnection(t *testing.T) {
-	a, b := newNode(t, "a"), newNode(t, "b")
+	a, b := newTestTransport(t, "a"), newTestTransport(t, "b")
 	conn, err := net.Dial("tcp", b.Address())
 	if err != nil {
 		t.Fatal(err)
@@ -159,7 +164,7 @@
 		t.Fatal(err)
 	}
 	if _, err := bufio.NewReader(conn).ReadByte(); err == nil {
-		t.Error("the connection answered, want its end")
+		t.Error("the connection returned a byte, want it closed")
 	}
 	if err := a.Send("b", b.Address(), msg.Settle{Tokens: 1}); err != nil {
 		t.Fatal(err)
@@ -167,20 +172,20 @@
 	b.next(t)
 }
 
-// An idle queue must stay small: an instance has 389 at the target size.
+// An idle queue must take little memory: at the target size an instance has 389.
 func TestQueueMemory(t *testing.T) {
-	const many = 20_000 // outweighs what else the process frees meanwhile
-	before := inUse()
+	const many = 20_000 // makes other changes of the process's memory insignificant
+	before := memoryInUse()
 	queues := make([]*queue, many)
 	for k := range queues {
 		queues[k] = newQueue()
 		queues[k].push(nil)
 		queues[k].take()
 	}
-	each := (inUse() - before) / many
+	each := (memoryInUse() - before) / many
 	t.Logf("bytes_per_idle_queue=%d", each)
 	if each > 512 {
-		t.Errorf("an idle queue takes %d bytes, want at most 512", each)
+		t.Errorf("an idle queue uses %d bytes, want at most 512", each)
 	}
 	runtime.KeepAlive(queues)
 }
