--- a/internal/upstream/bench_test.go
+++ b/internal/upstream/bench_test.go
@@ -15,8 +15,8 @@
 	"mulberrylug.example/mulberrylug/internal/core/placement"
 )
 
-// BenchmarkPoll is one poll of an upstream's load; cpu-ns/poll is the whole
-// process's, so that it includes the upstream's side.
+// BenchmarkPoll measures one poll of an upstream's load. cpu-ns/poll is the CPU time of the
+// whole process and thus includes the upstream's side.
 func BenchmarkPoll(b *testing.B) {
 	for _, gens := range []int{0, 78} {
 		b.Run(fmt.Sprintf("generations=%d", gens), func(b *testing.B) {
@@ -25,29 +25,29 @@
 				r.Gens = append(r.Gens, placement.GenLoad{Attempt: fmt.Sprintf("entry-%d:0123abcd:100000/1", n), Tokens: n})
 			}
 			srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-				_ = json.NewEncoder(w).Encode(r) // an error means that the caller left
+				_ = json.NewEncoder(w).Encode(r) // an error means that the caller has disconnected
 			}))
 			defer srv.Close()
-			answers := 0
+			reports := 0
 			c := NewCaller(func(ev core.Event) {
 				if _, ok := ev.(core.UpstreamReport); ok {
-					answers++
+					reports++
 				}
 			})
-			start := processorTime(b)
+			start := cpuTime(b)
 			for b.Loop() {
 				c.Poll(context.Background(), "engine-123", strings.TrimPrefix(srv.URL, "http://"))
 			}
-			b.ReportMetric(float64(processorTime(b)-start)/float64(b.N), "cpu-ns/poll")
-			if answers < b.N {
-				b.Fatalf("%d of %d polls were answered", answers, b.N)
+			b.ReportMetric(float64(cpuTime(b)-start)/float64(b.N), "cpu-ns/poll")
+			if reports < b.N {
+				b.Fatalf("%d of %d polls returned a report, want all", reports, b.N)
 			}
 		})
 	}
 }
 
-// processorTime is what the whole process has used.
-func processorTime(tb testing.TB) time.Duration {
+// cpuTime returns the CPU time used by the whole process so far.
+func cpuTime(tb testing.TB) time.Duration {
 	tb.Helper()
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
--- a/internal/upstream/lapse_test.go
+++ b/internal/upstream/lapse_test.go
@@ -12,9 +12,9 @@
 	"mulberrylug.example/mulberrylug/internal/testkit"
 )
 
-// An entry decided to send while its grant was good and froze before the call
-// went out. The upstream may have begun to leave since: nothing is sent, and the
-// core learns that nothing was.
+// An entry decides to send a call while its grant is valid, and is paused before the call is
+// sent. When the entry continues, the grant has expired and the upstream may be leaving. The
+// call must not be sent, and the core must receive one failure that says so.
 func TestPromise5LapsedGrantIsNotSent(t *testing.T) {
 	var calls atomic.Int64
 	srv := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { calls.Add(1) }))
@@ -27,9 +27,9 @@
 			Body: []byte(`{"model":"m","prompt":"p"}`), Before: time.Now().Add(-time.Millisecond), Timeout: time.Second,
 		})
 		ev := <-events
-		testkit.Eventually(t, time.Minute, "the call has ended", func() bool { return c.Running() == 0 })
+		testkit.Eventually(t, time.Minute, "the caller has no call in progress", func() bool { return c.Running() == 0 })
 		if f, ok := ev.(core.UpstreamFailed); !ok || f.Sent || calls.Load() != 0 || len(events) != 0 {
-			t.Errorf("engine=%v: %d calls arrived, event %+v and %d more, want one failure, not sent", engine, calls.Load(), ev, len(events))
+			t.Errorf("engine=%v: %d calls arrived, first event %+v, %d further events; want no call and one UpstreamFailed with Sent false", engine, calls.Load(), ev, len(events))
 		}
 	}
 }
--- a/internal/upstream/order.go
+++ b/internal/upstream/order.go
@@ -11,30 +11,31 @@
 	"mulberrylug.example/mulberrylug/internal/core"
 )
 
-// orderBody is an order as engines take it.
+// orderBody is the request body of an order to an engine.
 type orderBody struct {
 	Fence int64  `json:"fence"`
 	Kind  string `json:"kind"`
 	Value string `json:"value"`
 }
 
-// kindVersion is the kind of an order to load a model version.
-const kindVersion = "version"
+// orderKindVersion is the kind of an order to load a model version.
+const orderKindVersion = "version"
 
-// Order sends an order and reports if its fencing number was refused. Any
-// other failure shows in the upstream's reports, which the home compares with
-// what it wants.
+// Order sends an order and reports whether the upstream refused its fencing number. Any other
+// failure is not reported here: it shows in the upstream's load reports, which the home compares
+// with the version that it ordered.
 func (c *Caller) Order(ctx context.Context, o core.SendOrder) {
 	ctx, cancel := context.WithTimeout(ctx, o.Timeout)
 	defer cancel()
-	refused, err := c.order(ctx, o)
+	refused, err := c.sendOrder(ctx, o)
 	if err == nil {
 		c.sink(core.OrderAnswer{Upstream: o.Upstream, Fence: o.Fence, Refused: refused})
 	}
 }
 
-func (c *Caller) order(ctx context.Context, o core.SendOrder) (refused bool, err error) {
-	body, err := json.Marshal(orderBody{Fence: o.Fence, Kind: kindVersion, Value: o.Version})
+// sendOrder sends an order. refused is true if the upstream refused the fencing number.
+func (c *Caller) sendOrder(ctx context.Context, o core.SendOrder) (refused bool, err error) {
+	body, err := json.Marshal(orderBody{Fence: o.Fence, Kind: orderKindVersion, Value: o.Version})
 	if err != nil {
 		return false, fmt.Errorf("encode order for %s: %w", o.Upstream, err)
 	}
@@ -43,12 +44,12 @@
 		return false, fmt.Errorf("make order for %s: %w", o.Upstream, err)
 	}
 	req.GetBody = nil
-	// The process may have been paused since the core decided: an order sent
-	// now could come after its successor's.
+	// The process may have been paused since the core issued the order. An order
+	// sent after the lease's end could arrive after an order from the next holder of the lease.
 	if !time.Now().Before(o.Before) {
-		return false, fmt.Errorf("order for %s: its lease has ended", o.Upstream)
+		return false, fmt.Errorf("order for %s: lease expired before the order was sent", o.Upstream)
 	}
-	resp, err := c.single.Do(req)
+	resp, err := c.unpooled.Do(req)
 	if err != nil {
 		return false, fmt.Errorf("order for %s: %w", o.Upstream, err)
 	}
--- a/internal/upstream/sse.go
+++ b/internal/upstream/sse.go
@@ -11,19 +11,19 @@
 	"mulberrylug.example/mulberrylug/internal/core"
 )
 
-// maxLine bounds one line of a stream in bytes.
+// maxLine is the maximum size of a line of a stream, in bytes.
 const maxLine = 1 << 20
 
-// errCut means that the stream stopped before its end.
-var errCut = errors.New("stream ended early")
+// errTruncated means that the stream stopped before its final event.
+var errTruncated = errors.New("stream truncated: no final event received")
 
 var (
 	dataPrefix = []byte("data: ")
-	doneMark   = []byte("[DONE]")
+	doneMarker = []byte("[DONE]")
 )
 
-// event is the part of an engine's stream event that matters here.
-type event struct {
+// streamEvent holds the fields used here of an event in an engine's stream.
+type streamEvent struct {
 	Index   int `json:"index"`
 	Choices []struct {
 		Text  string `json:"text"`
@@ -37,9 +37,9 @@
 	} `json:"usage"`
 }
 
-// read reports a stream's tokens and its end. It returns errCut if the stream
-// stops before its end.
-func (c *call) read(body io.Reader) error {
+// readStream reports the stream's tokens and its end to the core. It returns errTruncated if the
+// stream stops before its final event.
+func (c *call) readStream(body io.Reader) error {
 	sc := bufio.NewScanner(body)
 	sc.Buffer(nil, maxLine)
 	for sc.Scan() {
@@ -49,7 +49,7 @@
 			continue
 		}
 		data, ok := bytes.CutPrefix(line, dataPrefix)
-		if !ok || bytes.Equal(data, doneMark) {
+		if !ok || bytes.Equal(data, doneMarker) {
 			continue
 		}
 		ended, err := c.onData(data)
@@ -60,11 +60,13 @@
 	if err := sc.Err(); err != nil {
 		return fmt.Errorf("read stream of %s: %w", c.d.Upstream, err)
 	}
-	return errCut
+	return errTruncated
 }
 
+// onData reports the token or the end that an event's data contains. ended is true for the final
+// event.
 func (c *call) onData(data []byte) (ended bool, err error) {
-	var ev event
+	var ev streamEvent
 	if err := json.Unmarshal(data, &ev); err != nil || len(ev.Choices) == 0 {
 		return false, fmt.Errorf("decode stream of %s: %q: %w", c.d.Upstream, data, err)
 	}
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -1,5 +1,5 @@
-// Package upstream calls engines and plain services over HTTP and turns what
-// they answer into events of the core.
+// Package upstream calls engines and plain services over HTTP and reports their responses to the
+// core as events.
 package upstream
 
 import (
@@ -23,62 +23,64 @@
 )
 
 const (
+	// pollTimeout is the timeout of a load poll, cancelTimeout that of a cancel.
 	pollTimeout   = 600 * time.Millisecond
 	cancelTimeout = 2 * time.Second
-	// maxAnswer bounds a plain service's answer in bytes.
-	maxAnswer = 1 << 20
+	// maxResponse is the maximum number of bytes read from the response body of a plain service.
+	maxResponse = 1 << 20
 
 	headerRequestID = "X-Request-Id"
 	headerPriority  = "X-Priority"
 	headerBooking   = "X-Booking-Key"
-	// headerBoot names the engine's run in the answer to a generation, as its
-	// load report does.
+	// headerBoot carries the engine's boot id in the response to a generation request. The id
+	// identifies one run of the engine; its load report contains the same id.
 	headerBoot = "X-Engine-Boot"
 )
 
-// errLapsed means that the grant lapsed before the call could be sent.
-var errLapsed = errors.New("grant lapsed before the call was sent")
+// errGrantExpired means that the grant expired before the call could be sent.
+var errGrantExpired = errors.New("grant expired before the call was sent")
 
-// Caller makes calls to upstreams. Its events go to the sink.
+// Caller calls upstreams and passes the resulting events to sink.
 type Caller struct {
 	sink func(core.Event)
-	// pooled reuses connections: for polls, cancels and fresh generations.
+	// pooled reuses connections. It is used for polls and new generations.
 	pooled *http.Client
-	// single dials anew for every call. A booking must not be sent on a
-	// pooled connection: if that turns out dead, the library sends the call
-	// again by itself. A resumed stream must not either: the pooled
-	// connection may be the very one that went silent.
-	single *http.Client
+	// unpooled dials a new connection for every call. A booking must not be sent on a pooled
+	// connection: if that connection turns out to be dead, the HTTP library sends the call again
+	// by itself. A resumed stream must not use a pooled connection either, which may be the very
+	// connection that went silent.
+	unpooled *http.Client
 
-	mu      sync.Mutex
-	running map[string]*tracked
+	mu sync.Mutex
+	// running holds the calls in progress by attempt id.
+	running map[string]*trackedCall
 }
 
-// tracked is a call that can be stopped.
-type tracked struct{ stop context.CancelFunc }
+// trackedCall is a call in progress that can be cancelled.
+type trackedCall struct{ cancel context.CancelFunc }
 
-// NewCaller returns a caller whose events go to sink.
+// NewCaller returns a caller that passes its events to sink.
 func NewCaller(sink func(core.Event)) *Caller {
 	dialer := conn.Dialer()
 	return &Caller{
 		sink:   sink,
 		pooled: &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: 64, IdleConnTimeout: 10 * time.Second}},
-		single: &http.Client{
+		unpooled: &http.Client{
 			Transport: &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true},
-			// A redirect would make the library send a call without a body
-			// a second time, to wherever the first answer names.
+			// When it follows a redirect, the library sends a call without a body
+			// a second time, to the address named in the first response.
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		},
-		running: map[string]*tracked{},
+		running: map[string]*trackedCall{},
 	}
 }
 
-// Run starts the call of a dispatch, which then reports how it goes. The call
-// can be closed from the moment that Run returns: a call that began later than
-// the one that replaces it would stop that one.
+// Run starts the call of a dispatch in a goroutine; the result is reported as events. The call
+// is tracked before Run returns and can be closed from then on: if it were tracked later, an old
+// call could be tracked after the call that replaces it, and would stop the new call.
 func (c *Caller) Run(ctx context.Context, d core.Dispatch) {
 	ctx, stop := context.WithCancel(ctx)
-	t := &tracked{stop: stop}
+	t := &trackedCall{cancel: stop}
 	c.track(d.Attempt, t)
 	go func() {
 		defer c.untrack(d.Attempt, t)
@@ -88,31 +90,35 @@
 		if d.Engine {
 			call.generate(ctx, c.client(d))
 		} else {
-			call.plain(ctx, c.single)
+			call.callService(ctx, c.unpooled)
 		}
 	}()
 }
 
+// client returns the HTTP client for a generation: unpooled for a resumed one, pooled for a new
+// one.
 func (c *Caller) client(d core.Dispatch) *http.Client {
 	if d.Resume {
-		return c.single
+		return c.unpooled
 	}
 	return c.pooled
 }
 
-// track remembers how to stop an attempt's call; an older call of the same
-// attempt is stopped, as only one of them may report.
-func (c *Caller) track(attempt string, t *tracked) {
+// track records how to cancel an attempt's call. An older call of the same attempt is cancelled,
+// as only one call of an attempt may report events.
+func (c *Caller) track(attempt string, t *trackedCall) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if old := c.running[attempt]; old != nil {
-		old.stop()
+		old.cancel()
 	}
 	c.running[attempt] = t
 }
 
-func (c *Caller) untrack(attempt string, t *tracked) {
-	t.stop()
+// untrack cancels a call that has ended and removes it, unless a newer call of the same attempt
+// has taken its place.
+func (c *Caller) untrack(attempt string, t *trackedCall) {
+	t.cancel()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.running[attempt] == t {
@@ -120,25 +126,25 @@
 	}
 }
 
-// Running returns how many calls are in progress.
+// Running returns the number of calls in progress.
 func (c *Caller) Running() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.running)
 }
 
-// Close stops reading from an attempt without cancelling it upstream.
+// Close stops reading an attempt's response without cancelling the attempt at the upstream.
 func (c *Caller) Close(attempt string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if t := c.running[attempt]; t != nil {
-		t.stop()
+		t.cancel()
 		delete(c.running, attempt)
 	}
 }
 
-// Cancel tells an engine to stop a generation. A lost cancel is made good by
-// the pool's home, which cancels what no entry announces.
+// Cancel requests an engine to stop a generation. If the request is lost, the pool's home makes
+// up for it: it cancels generations that no entry announces.
 func (c *Caller) Cancel(ctx context.Context, address, attempt string) error {
 	ctx, cancel := context.WithTimeout(ctx, cancelTimeout)
 	defer cancel()
@@ -146,19 +152,19 @@
 	if err != nil {
 		return fmt.Errorf("cancel at %s: %w", address, err)
 	}
-	resp, err := c.single.Do(req)
+	resp, err := c.unpooled.Do(req)
 	if err != nil {
 		return fmt.Errorf("cancel at %s: %w", address, err)
 	}
 	return resp.Body.Close()
 }
 
-// Poll asks an upstream for its load.
+// Poll requests an upstream's load and reports the result.
 func (c *Caller) Poll(ctx context.Context, name, address string) {
 	asked := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
-	report, refused, err := c.load(ctx, address)
+	report, refused, err := c.pollLoad(ctx, address)
 	if err != nil {
 		c.sink(core.UpstreamSilent{Upstream: name, Refused: refused})
 		return
@@ -167,14 +173,16 @@
 	c.sink(core.UpstreamReport{Report: report, Asked: asked})
 }
 
-func (c *Caller) load(ctx context.Context, address string) (r placement.Report, refused bool, err error) {
+// pollLoad requests a load report. refused is true if the upstream's host refused the
+// connection.
+func (c *Caller) pollLoad(ctx context.Context, address string) (r placement.Report, refused bool, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/load", nil)
 	if err != nil {
 		return r, false, fmt.Errorf("poll %s: %w", address, err)
 	}
 	resp, err := c.pooled.Do(req)
 	if err != nil {
-		// The pooled connection may be dead while new ones work.
+		// The pooled connection may be dead while new connections work.
 		c.pooled.CloseIdleConnections()
 		return r, isRefused(err), fmt.Errorf("poll %s: %w", address, err)
 	}
@@ -185,47 +193,48 @@
 	return r, false, nil
 }
 
-// call is one dispatch in progress.
+// call is a dispatch in progress.
 type call struct {
 	d    core.Dispatch
 	sink func(core.Event)
-	// sent is set as soon as the call has a connection: from then on bytes
-	// may have left.
+	// sent is set once the call has a connection: from then on part of the request may have been
+	// sent.
 	sent bool
-	// boot is the engine's run, once it has answered.
+	// boot is the boot id of the engine's run, "" until the engine has responded.
 	boot string
 }
 
+// request returns an HTTP request for the attempt, or errGrantExpired if the grant has expired.
 func (c *call) request(ctx context.Context, method, url string, body []byte) (*http.Request, error) {
 	if !c.d.Before.IsZero() && time.Now().After(c.d.Before) {
-		return nil, errLapsed
+		return nil, errGrantExpired
 	}
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { c.sent = true }}
 	req, err := http.NewRequestWithContext(httptrace.WithClientTrace(ctx, trace), method, url, bytes.NewReader(body))
 	if err != nil {
 		return nil, fmt.Errorf("make request for %s: %w", c.d.Upstream, err)
 	}
-	// Without GetBody the library can't send the call a second time.
+	// Without GetBody the HTTP library can't send the call a second time.
 	req.GetBody = nil
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set(headerRequestID, c.d.Attempt)
 	return req, nil
 }
 
-// fail reports a failure, unless the core itself has closed the call: that is
-// no failure of the upstream, and the core may read from another call by now.
+// fail reports a failure, unless the core itself closed the call. A closed call is no failure of
+// the upstream, and the core may already read from another call of the attempt.
 func (c *call) fail(ctx context.Context, step string, err error) {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return
 	}
 	c.sink(core.UpstreamFailed{
 		Request: c.d.Request, Attempt: c.d.Attempt, Link: c.d.Link, Sent: c.sent, Step: step,
-		Gone: errors.Is(err, errGone) || c.d.Resume && isRefused(err), Err: err.Error(),
+		Gone: errors.Is(err, errGenerationUnknown) || c.d.Resume && isRefused(err), Err: err.Error(),
 	})
 }
 
-// plain calls a plain service and reports its whole answer.
-func (c *call) plain(ctx context.Context, client *http.Client) {
+// callService calls a plain service and reports its complete response.
+func (c *call) callService(ctx context.Context, client *http.Client) {
 	req, err := c.request(ctx, c.d.Method, "http://"+c.d.Address+c.d.Path, c.d.Body)
 	if err != nil {
 		c.fail(ctx, "request", err)
@@ -238,7 +247,7 @@
 		return
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxResponse))
 	if err != nil {
 		c.fail(ctx, "read", err)
 		return
@@ -248,7 +257,7 @@
 
 // generate starts or resumes a generation and reports its tokens.
 func (c *call) generate(ctx context.Context, client *http.Client) {
-	req, err := c.generation(ctx)
+	req, err := c.generationRequest(ctx)
 	if err != nil {
 		c.fail(ctx, "request", err)
 		return
@@ -264,12 +273,14 @@
 		return
 	}
 	c.boot = resp.Header.Get(headerBoot)
-	if err := c.read(resp.Body); err != nil {
+	if err := c.readStream(resp.Body); err != nil {
 		c.fail(ctx, "stream", err)
 	}
 }
 
-func (c *call) generation(ctx context.Context) (*http.Request, error) {
+// generationRequest returns the HTTP request that starts the generation, or resumes it at token
+// From.
+func (c *call) generationRequest(ctx context.Context) (*http.Request, error) {
 	if c.d.Resume {
 		url := "http://" + c.d.Address + "/v1/generations/" + c.d.Attempt + "?from=" + strconv.Itoa(c.d.From)
 		return c.request(ctx, http.MethodGet, url, nil)
@@ -286,18 +297,21 @@
 	return req, nil
 }
 
-// errGone means that the engine does not know the generation any more.
-var errGone = errors.New("generation is gone")
+// errGenerationUnknown means that the engine no longer has the generation.
+var errGenerationUnknown = errors.New("the engine no longer has the generation")
 
+// statusError returns the error for a response to a generation request with a status other than
+// 200.
 func statusError(d core.Dispatch, status int) error {
 	if d.Resume && status == http.StatusNotFound {
-		return errGone
+		return errGenerationUnknown
 	}
-	return fmt.Errorf("%s answered status %d", d.Upstream, status)
+	return fmt.Errorf("%s responded with status %d", d.Upstream, status)
 }
 
-// isRefused reports that nothing listens at the address, which only the host
-// itself can say: an unreachable network says nothing about the upstream.
+// isRefused reports whether the connection was refused, that is, no process listens at the
+// address. Only the host itself can refuse a connection; an unreachable network shows nothing
+// about the upstream.
 func isRefused(err error) bool {
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
