--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -1,9 +1,9 @@
-// Package boottime reads a clock that never jumps and also counts the time for
-// which the machine was suspended.
+// Package boottime reads a clock that never jumps and that includes the time during which the
+// host was suspended.
 //
-// The ordinary steady clock stands still while a machine is suspended: a lease
-// or a confirmation that lapsed meanwhile would still look fresh after it wakes.
-// The time of day counts suspension but jumps.
+// Go's monotonic clock stops while the host is suspended: a lease or a confirmation that expired
+// in the meantime would still look valid after the host resumes. The wall clock includes
+// suspension but jumps.
 package boottime
 
 import (
@@ -12,13 +12,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now returns the time since the machine's start as a moment. Only differences
-// and comparisons of such moments mean anything, and only within one machine.
+// Now returns the time since the host's start, as a time.Time. Such values may only be compared
+// with and subtracted from each other, on the same host.
 func Now() time.Time {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		// Linux has had the clock since 2.6.39; without it freshness can't
-		// be told, and serving on would break the bound on revocation.
+		// Linux has had this clock since 2.6.39. Without it the age of a confirmation
+		// is unknown, and continuing to serve would break the limit on revocation time.
 		panic("boottime: " + err.Error())
 	}
 	return time.Unix(ts.Unix())
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -1,6 +1,6 @@
-// Package metrics holds the counters and latency histograms of one instance and
-// serves them as JSON. They are not published globally, as several instances
-// may run in one process.
+// Package metrics holds the counters and latency histograms of one instance and serves them as
+// JSON. They are not published in expvar's global registry, as several instances may run in one
+// process.
 package metrics
 
 import (
@@ -14,11 +14,12 @@
 )
 
 const (
-	// longest bounds the latencies that are told apart, in milliseconds: the
-	// longest answers take tens of seconds.
-	longest = 120_000
-	// digits is the precision of a histogram; a histogram takes 20 KB.
-	digits = 2
+	// maxLatencyMillis is the maximum latency that a histogram records, in milliseconds; longer
+	// latencies are recorded as this value. The longest responses take tens of seconds.
+	maxLatencyMillis = 120_000
+	// significantDigits is the precision of a histogram in decimal digits. With this precision a
+	// histogram takes 20 KB.
+	significantDigits = 2
 )
 
 // Metrics are the counters and histograms of one instance.
@@ -47,21 +48,21 @@
 	return g
 }
 
-// Set serves a value that is asked for at each reading.
+// Set registers a metric whose value is computed each time the metrics are read.
 func (m *Metrics) Set(name string, value expvar.Var) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.root.Set(name, value)
 }
 
-// Observe adds a duration to the histogram of a label in a group, whose name
-// ends in _milliseconds.
+// Observe adds a duration to the histogram of a label in a group. The group's name ends in
+// _milliseconds.
 func (m *Metrics) Observe(group, label string, d time.Duration) {
 	g := m.group(group)
 	m.mu.Lock()
 	h, ok := g.Get(label).(*histogram)
 	if !ok {
-		h = &histogram{values: hdrhistogram.New(1, longest, digits)}
+		h = &histogram{values: hdrhistogram.New(1, maxLatencyMillis, significantDigits)}
 		g.Set(label, h)
 	}
 	m.mu.Unlock()
@@ -71,10 +72,10 @@
 // ServeHTTP writes the metrics as JSON, as expvar.Handler does.
 func (m *Metrics) ServeHTTP(w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Content-Type", "application/json; charset=utf-8")
-	_, _ = w.Write([]byte(m.root.String())) // an error means the reader left
+	_, _ = w.Write([]byte(m.root.String())) // an error means that the reader has disconnected
 }
 
-// histogram is a latency histogram as a metric.
+// histogram is a latency histogram that implements expvar.Var.
 type histogram struct {
 	mu     sync.Mutex
 	values *hdrhistogram.Histogram
@@ -83,11 +84,11 @@
 func (h *histogram) record(d time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	// Values out of range are set to the nearest bound, so no error is left.
-	_ = h.values.RecordValue(min(max(d.Milliseconds(), 1), longest))
+	// Values out of range are set to the nearest limit, so RecordValue can't fail.
+	_ = h.values.RecordValue(min(max(d.Milliseconds(), 1), maxLatencyMillis))
 }
 
-// quantiles are the parts of a histogram that are served, in milliseconds.
+// quantiles are the values of a histogram that are served. All but Count are in milliseconds.
 type quantiles struct {
 	Count int64 `json:"count"`
 	P50   int64 `json:"p50"`
@@ -97,7 +98,7 @@
 	Max   int64 `json:"max"`
 }
 
-// String implements expvar.Var.
+// String returns the histogram's quantiles as JSON. It implements expvar.Var.
 func (h *histogram) String() string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// A counter or histogram that operators read as something else than what was counted: values
-// must come back by group and label, and durations out of range must not be lost.
+// Operators must read the values that were recorded: each value must be served under its group
+// and label, and durations out of range must be counted.
 func TestMetricsAreServedAsCounted(t *testing.T) {
 	m := NewMetrics()
 	m.Count("refusals_total", "cordoned")
@@ -23,13 +23,13 @@
 		Requests map[string]quantiles `json:"request_milliseconds"`
 	}
 	if err := json.Unmarshal(w.Body.Bytes(), &got); err != nil {
-		t.Fatalf("%v in %s", err, w.Body)
+		t.Fatalf("decode the served metrics: %v in %s", err, w.Body)
 	}
 	if n := got.Refusals["cordoned"]; n != 3 {
-		t.Errorf("%d refusals, want 3", n)
+		t.Errorf("refusals with reason cordoned = %d, want 3", n)
 	}
 	q := got.Requests["drafts"]
-	if q.Count != 4 || q.P50 != 40 || q.Max < longest {
-		t.Errorf("histogram %+v, want 4 values with a median of 40 and a maximum of %d", q, longest)
+	if q.Count != 4 || q.P50 != 40 || q.Max < maxLatencyMillis {
+		t.Errorf("histogram = %+v, want 4 values with a median of 40 ms and a maximum of %d ms", q, maxLatencyMillis)
 	}
 }
--- a/internal/platform/list.go
+++ b/internal/platform/list.go
@@ -11,17 +11,17 @@
 	"mulberrylug.example/mulberrylug/internal/core/membership"
 )
 
-// listCache keeps the last instance list with its entity tag. At the target
-// size the list has 1,260 rows and each instance reads it every second: whole
-// it would take ten times what an instance may use for control, while it
-// changes a few hundred times a day.
+// listCache holds the last instance list and its entity tag (ETag). At the target size the list
+// has 1,260 rows and each instance reads it every second. Sent in full each time, the list would
+// take ten times the bandwidth that an instance may use for control, while it changes only a few
+// hundred times a day.
 type listCache struct {
 	mu   sync.Mutex
 	etag string
 	list []membership.Member
 }
 
-// List implements Instances. The result must not be changed.
+// List implements Instances. The returned slice is shared and must not be changed.
 func (c *Client) List(ctx context.Context) ([]membership.Member, error) {
 	const path = "/instances"
 	c.list.mu.Lock()
--- a/internal/platform/list_test.go
+++ b/internal/platform/list_test.go
@@ -15,12 +15,13 @@
 	standin "mulberrylug.example/mulberrylug/internal/standin/platform"
 )
 
-// countingListener counts the bytes that the server sends.
+// countingListener counts the bytes that the server sends on accepted connections.
 type countingListener struct {
 	net.Listener
 	sent atomic.Int64
 }
 
+// countingConn adds the bytes written to a connection to sent.
 type countingConn struct {
 	net.Conn
 	sent *atomic.Int64
@@ -36,8 +37,8 @@
 	return c.Conn.Write(b)
 }
 
-// Every instance reads the instance list each second. Unchanged, it must cost
-// next to nothing, and a change must show at the next read.
+// Every instance reads the instance list every second. Reading an unchanged list must take few
+// bytes, and a change must be visible at the next read.
 func TestUnchangedInstanceListIsNotSentAgain(t *testing.T) {
 	srv := httptest.NewUnstartedServer(http.Handler(standin.New()))
 	counted := &countingListener{Listener: srv.Listener}
@@ -64,11 +65,11 @@
 		}
 		return list, counted.sent.Load() - before
 	}
-	first, whole := read()
-	second, again := read()
-	t.Logf("members=%d whole_bytes=%d unchanged_bytes=%d", len(first), whole, again)
-	if len(first) != 1260 || !slices.Equal(first, second) || again > 512 {
-		t.Errorf("unchanged list: %d members, then %d in %d bytes, want the same list in at most 512", len(first), len(second), again)
+	first, firstBytes := read()
+	second, secondBytes := read()
+	t.Logf("members=%d whole_bytes=%d unchanged_bytes=%d", len(first), firstBytes, secondBytes)
+	if len(first) != 1260 || !slices.Equal(first, second) || secondBytes > 512 {
+		t.Errorf("unchanged list: first read %d members, second read %d members in %d bytes; want 1260 and the same list in at most 512 bytes", len(first), len(second), secondBytes)
 	}
 	leaving := first[0]
 	leaving.State = membership.Leaving
@@ -76,6 +77,6 @@
 		t.Fatal(err)
 	}
 	if third, _ := read(); third[0].State != membership.Leaving {
-		t.Errorf("after the change the list has %+v first, want it leaving", third[0])
+		t.Errorf("first member after its change = %+v, want state leaving", third[0])
 	}
 }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -1,5 +1,5 @@
-// Package platform holds the ports to the platform's services and their HTTP
-// adapters. The ports are narrow, so that another adapter is quickly written.
+// Package platform defines the interfaces to the platform's services and implements them over
+// HTTP. The interfaces are narrow, so that another implementation is quick to write.
 package platform
 
 import (
@@ -16,54 +16,57 @@
 	"mulberrylug.example/mulberrylug/internal/core/table"
 )
 
-// timeout bounds every call to the platform; past it the outcome is unknown.
-const timeout = 1500 * time.Millisecond
+// callTimeout is the timeout of every call to the platform. After a timeout it is unknown
+// whether the call took effect.
+const callTimeout = 1500 * time.Millisecond
 
-// Table is the transactional table service.
+// Table is the platform's transactional store of rows.
 type Table interface {
-	// Commit never fails: no answer is the status Unknown.
+	// Commit returns no error: without a response from the table, the result's status is
+	// Unknown.
 	Commit(ctx context.Context, tx table.Tx) table.Result
-	// Read returns a row for each key, absent ones with version 0.
+	// Read returns one row for each key. The row of a key that does not exist has version 0.
 	Read(ctx context.Context, keys []string) ([]table.Row, error)
 }
 
-// Scanner reads rows of the table in the order of their keys: at most limit rows
-// whose key starts with prefix and comes after the given one.
+// Scanner reads rows of the table in the order of their keys. Scan returns at most limit rows
+// whose key starts with prefix and is greater than after.
 type Scanner interface {
 	Scan(ctx context.Context, prefix, after string, limit int) ([]table.Row, error)
 }
 
-// Objects is the object store. Objects are immutable, named by their hash.
+// Objects is the platform's object store. Objects are immutable and named by their hash.
 type Objects interface {
 	Get(ctx context.Context, name string) ([]byte, error)
 	Put(ctx context.Context, name string, data []byte) error
 }
 
-// Instances is the platform's lagging list of live and leaving instances.
+// Instances is the platform's list of live and leaving instances. The list lags behind changes.
 type Instances interface {
 	List(ctx context.Context) ([]membership.Member, error)
-	// Announce makes a process known to the platform and keeps it listed.
+	// Announce adds an instance to the list, or updates it. It must be repeated to keep the
+	// instance listed.
 	Announce(ctx context.Context, m membership.Member) error
 }
 
-// Weights is the rate-limited store of model weights.
+// Weights is the platform's rate-limited store of model weights.
 type Weights interface {
-	// Fetch asks for a turn to load weights; it returns how long to wait
-	// for the turn, 0 if it has come.
+	// Fetch requests a turn to load a model version's weights. It returns how long to wait for
+	// the turn, 0 if the turn has come.
 	Fetch(ctx context.Context, model, version, upstream string) (time.Duration, error)
 }
 
-// Client is the HTTP adapter for all four ports.
+// Client implements the interfaces of this package over HTTP.
 type Client struct {
 	base string
 	http *http.Client
 	list listCache
 }
 
-// NewClient returns an adapter for the platform at a base URL.
+// NewClient returns a client for the platform with the given base URL.
 func NewClient(base string) *Client {
 	return &Client{base: base, http: &http.Client{
-		Timeout: timeout,
+		Timeout: callTimeout,
 		Transport: &http.Transport{
 			DialContext: conn.Dialer().DialContext, MaxIdleConnsPerHost: 32, IdleConnTimeout: 10 * time.Second,
 		},
@@ -94,7 +97,7 @@
 	return rows, err
 }
 
-// ScanRequest is the body of a scan.
+// ScanRequest is the request body of a scan.
 type ScanRequest struct {
 	Prefix string `json:"prefix"`
 	After  string `json:"after"`
@@ -148,8 +151,8 @@
 	if err != nil {
 		return nil, fmt.Errorf("platform %s: %w", path, err)
 	}
-	// A write that is sent twice by the library could conflict with itself;
-	// the core handles the unknown outcome, so nothing is retried here.
+	// Without GetBody the HTTP library can't send a call twice. A write sent twice
+	// could conflict with itself. Nothing is retried here: the core handles unknown outcomes.
 	req.GetBody = nil
 	resp, err := c.http.Do(req)
 	if err != nil {
--- a/internal/task/task.go
+++ b/internal/task/task.go
@@ -1,4 +1,4 @@
-// Package task makes functions services of a supervision tree.
+// Package task turns functions into services of a supervision tree.
 package task
 
 import (
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Task is a named function that runs until its context ends or it fails.
+// Task is a named function that runs until its context ends or the function fails.
 type Task struct {
 	Name string
 	Run  func(ctx context.Context) error
@@ -15,11 +15,11 @@
 // Serve implements suture.Service.
 func (t Task) Serve(ctx context.Context) error { return t.Run(ctx) }
 
-// String names the task to its supervisor, which would else print its fields
-// while others change them.
+// String returns the task's name for the supervisor. Without this method the supervisor would
+// print the task's fields while other goroutines change them.
 func (t Task) String() string { return t.Name }
 
-// Every returns a task that calls f at once and then at an interval.
+// Every returns a task that calls f at once and then at the given interval.
 func Every(name string, interval time.Duration, f func(ctx context.Context)) Task {
 	return Task{Name: name, Run: func(ctx context.Context) error {
 		t := time.NewTicker(interval)
