--- a/internal/conn/dial.go
+++ b/internal/conn/dial.go
@@ -77,19 +77,19 @@
 	Unknown
 )
 
-// Probe attempts to connect to an address. within is the timeout.
-func Probe(address string, within time.Duration) Presence {
-	ctx, cancel := context.WithTimeout(context.Background(), within)
+// Probe attempts to connect to an address and reports the result.
+func Probe(address string, timeout time.Duration) Presence {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	c, err := Dialer().DialContext(ctx, "tcp", address)
-	var timeout net.Error
+	var netErr net.Error
 	switch {
 	case err == nil:
 		c.Close()
 		return Listens
 	case errors.Is(err, syscall.ECONNREFUSED):
 		return Refuses
-	case errors.As(err, &timeout) && timeout.Timeout():
+	case errors.As(err, &netErr) && netErr.Timeout():
 		return Silent
 	}
 	return Unknown
--- a/internal/conn/pool.go
+++ b/internal/conn/pool.go
@@ -78,13 +78,13 @@
 	return c
 }
 
-// Put returns a connection to the pool after a complete exchange. keep is how long the server
-// keeps an idle connection, 0 if the server did not state it. A connection that can't be kept is
-// closed.
-func (p *Pool) Put(c *Conn, keep time.Duration) {
+// Put returns a connection to the pool after a complete exchange. serverTimeout is how long the
+// server keeps an idle connection, 0 if the server did not state it. A connection that can't be
+// kept is closed.
+func (p *Pool) Put(c *Conn, serverTimeout time.Duration) {
 	c.idleUntil = time.Now().Add(defaultIdleTimeout)
-	if keep > 0 {
-		c.idleUntil = time.Now().Add(min(keep-idleMargin, 4*defaultIdleTimeout))
+	if serverTimeout > 0 {
+		c.idleUntil = time.Now().Add(min(serverTimeout-idleMargin, 4*defaultIdleTimeout))
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -54,7 +54,7 @@
 type Daemon struct {
 	settings Settings
 	self     membership.Member
-	boot     string
+	boot     string // identifies this run of the instance
 	log      hclog.Logger
 
 	platform  Platform
@@ -67,11 +67,11 @@
 
 	callerListener   net.Listener
 	operatorListener net.Listener
-	lastRequest      atomic.Int64
-	killed           atomic.Bool
-	exited           chan struct{}
+	lastRequest      atomic.Int64  // number of the last request, part of its id
+	killed           atomic.Bool   // set by Kill
+	exited           chan struct{} // closed once the instance has drained
 	exitOnce         sync.Once
-	advertise        func(listened string) string
+	advertise        func(listened string) string // returns the address to announce to callers
 }
 
 // Option configures an instance that New creates.
@@ -199,9 +199,9 @@
 // limit on the wait for open responses.
 func (d *Daemon) serveHTTP(ctx context.Context, ln net.Listener, h http.Handler, drained <-chan struct{}) error {
 	srv := &http.Server{Handler: h, ReadHeaderTimeout: 10 * time.Second, IdleTimeout: idleTimeout}
-	shut := make(chan struct{})
+	shutdownDone := make(chan struct{})
 	go func() {
-		defer close(shut)
+		defer close(shutdownDone)
 		select {
 		case <-drained:
 			if srv.Shutdown(ctx) == nil {
@@ -215,19 +215,19 @@
 	if !errors.Is(err, http.ErrServerClosed) {
 		return fmt.Errorf("serve %s: %w", ln.Addr(), err) // the listener failed
 	}
-	<-shut
+	<-shutdownDone
 	return suture.ErrDoNotRestart
 }
 
 func (d *Daemon) shutdown(srv *http.Server) {
 	if d.killed.Load() {
-		_ = srv.Close() // nothing is left to do about an error
+		_ = srv.Close() // an error changes nothing: the server ends anyway
 		return
 	}
 	grace, cancel := context.WithTimeout(context.Background(), shutdownGrace)
 	defer cancel()
 	if srv.Shutdown(grace) != nil {
-		_ = srv.Close() // nothing is left to do about an error
+		_ = srv.Close() // an error changes nothing: the server ends anyway
 	}
 }
 
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -144,12 +144,12 @@
 // An instance stops while a response is being written. Serve must return only after open
 // responses have ended, so that the caller receives the complete response.
 func TestPromise6ServeWaitsForOpenResponses(t *testing.T) {
-	writing, ending := make(chan struct{}), make(chan struct{})
+	firstWritten, stopping := make(chan struct{}), make(chan struct{})
 	d, stop := startDaemon(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprint(w, "first ")
-		_ = http.NewResponseController(w).Flush() // after an error the reader receives a wrong body
-		close(writing)
-		<-ending
+		_ = http.NewResponseController(w).Flush() // an error shows as a wrong body at the reader below
+		close(firstWritten)
+		<-stopping
 		time.Sleep(50 * time.Millisecond) // gives the shutdown time to begin
 		fmt.Fprint(w, "last")
 	}))
@@ -164,10 +164,10 @@
 		body, err := io.ReadAll(resp.Body)
 		got <- fmt.Sprintf("%s %v", body, err)
 	}()
-	<-writing
+	<-firstWritten
 	returned := make(chan error, 1)
 	go func() { returned <- stop() }()
-	close(ending)
+	close(stopping)
 	if err := <-returned; err != nil {
 		t.Fatal(err)
 	}
@@ -183,9 +183,9 @@
 
 // A killed instance must close its callers' connections at once, as a process that dies does.
 func TestKillCutsConnections(t *testing.T) {
-	begun := make(chan struct{})
+	started := make(chan struct{})
 	d, stop := startDaemon(t, http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
-		close(begun)
+		close(started)
 		<-r.Context().Done()
 	}))
 	conn, err := net.Dial("tcp", d.CallerAddress())
@@ -196,7 +196,7 @@
 	if _, err := fmt.Fprint(conn, "GET / HTTP/1.1\r\nHost: x\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	<-begun
+	<-started
 	d.Kill()
 	if err := stop(); err != nil {
 		t.Error(err)
--- a/internal/daemon/requests.go
+++ b/internal/daemon/requests.go
@@ -52,7 +52,7 @@
 		return nil
 	})
 	if err != nil {
-		return core.Entries{}, err // the loop may still write e
+		return core.Entries{}, err // e is not returned: the loop may still write to it
 	}
 	return e, nil
 }
@@ -93,7 +93,7 @@
 		return nil
 	})
 	if err != nil {
-		return Status{}, err // the loop may still write st
+		return Status{}, err // st is not returned: the loop may still write to it
 	}
 	return st, nil
 }
@@ -114,10 +114,10 @@
 func (d *Daemon) Metrics() *metrics.Metrics { return d.metrics }
 
 // Freeze blocks the instance's loop for the given duration, to simulate a paused process.
-func (d *Daemon) Freeze(pause time.Duration) {
+func (d *Daemon) Freeze(duration time.Duration) {
 	d.loop.pause.Lock()
 	defer d.loop.pause.Unlock()
-	time.Sleep(pause)
+	time.Sleep(duration)
 }
 
 // Kill makes the instance close all connections at once when the context of Serve ends, to
--- a/internal/daemon/sink.go
+++ b/internal/daemon/sink.go
@@ -19,8 +19,8 @@
 
 	mu         sync.Mutex
 	tokens     []core.Deliver
-	finish     *core.Finish
-	overflowed bool
+	finish     *core.Finish // the outcome, nil until the request has ended
+	overflowed bool         // a token arrived while the backlog was full
 }
 
 func newSink() *Sink { return &Sink{Ready: make(chan struct{}, 1)} }
--- a/internal/peer/link_test.go
+++ b/internal/peer/link_test.go
@@ -32,10 +32,10 @@
 	for range peers {
 		b.next(t)
 	}
-	each := (memoryInUse() - before) / peers
-	t.Logf("bytes_per_peer=%d (both ends) peers=%d bytes=%d", each, peers, each*peers)
-	if each > 40<<10 {
-		t.Errorf("a link and its receiving end use %d bytes, want at most %d", each, 40<<10)
+	perPeer := (memoryInUse() - before) / peers
+	t.Logf("bytes_per_peer=%d (both ends) peers=%d bytes=%d", perPeer, peers, perPeer*peers)
+	if perPeer > 40<<10 {
+		t.Errorf("a link and its receiving end use %d bytes, want at most %d", perPeer, 40<<10)
 	}
 }
 
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -242,9 +242,9 @@
 			if err == nil || ctx.Err() != nil {
 				continue
 			}
-			late := len(l.queue.take())
-			l.queue.done(late)
-			lost += late
+			queued := len(l.queue.take())
+			l.queue.done(queued)
+			lost += queued
 			t.Dropped(l.to, lost)
 			t.log.Debug("peer_link_broke", "step", "send", "peer", l.to, "address", l.address, "lost", lost, "error", err)
 		}
--- a/internal/peer/transport_test.go
+++ b/internal/peer/transport_test.go
@@ -57,13 +57,13 @@
 // once all have been written.
 func TestMessagesArriveInOrder(t *testing.T) {
 	a, b := newTestTransport(t, "a"), newTestTransport(t, "b")
-	const many = 1000
-	for n := range many {
+	const messages = 1000
+	for n := range messages {
 		if err := a.Send("b", b.Address(), msg.Settle{Org: "o", Tokens: n}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	for n := range many {
+	for n := range messages {
 		if got := b.next(t).(msg.Settle).Tokens; got != n {
 			t.Fatalf("message at position %d has number %d, want messages in the order sent", n, got)
 		}
@@ -174,18 +174,18 @@
 
 // An idle queue must take little memory: at the target size an instance has 389.
 func TestQueueMemory(t *testing.T) {
-	const many = 20_000 // makes other changes of the process's memory insignificant
+	const queueCount = 20_000 // makes other changes of the process's memory insignificant
 	before := memoryInUse()
-	queues := make([]*queue, many)
+	queues := make([]*queue, queueCount)
 	for k := range queues {
 		queues[k] = newQueue()
 		queues[k].push(nil)
 		queues[k].take()
 	}
-	each := (memoryInUse() - before) / many
-	t.Logf("bytes_per_idle_queue=%d", each)
-	if each > 512 {
-		t.Errorf("an idle queue uses %d bytes, want at most 512", each)
+	perQueue := (memoryInUse() - before) / queueCount
+	t.Logf("bytes_per_idle_queue=%d", perQueue)
+	if perQueue > 512 {
+		t.Errorf("an idle queue uses %d bytes, want at most 512", perQueue)
 	}
 	runtime.KeepAlive(queues)
 }
--- a/internal/server/stream.go
+++ b/internal/server/stream.go
@@ -25,15 +25,15 @@
 	defer s.d.Leave(id, sink)
 	w.Header().Set(HeaderRequestID, id)
 	out := &streamWriter{w: w, rc: http.NewResponseController(w), id: id}
-	quiet := time.NewTicker(keepAliveInterval)
-	defer quiet.Stop()
+	keepAlive := time.NewTicker(keepAliveInterval)
+	defer keepAlive.Stop()
 	started := time.Now()
 	for {
 		select {
 		case <-r.Context().Done():
 			return
 		case <-sink.Ready:
-		case <-quiet.C:
+		case <-keepAlive.C:
 			if stream && (out.headerSent || time.Since(started) > headerDelay) && out.keepAlive() != nil {
 				return
 			}
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -78,15 +78,15 @@
 func TestPromise3SentOnlyIfConnected(t *testing.T) {
 	var calls atomic.Int64
 	c, address, events := newTestCaller(t, func(http.ResponseWriter, *http.Request) { calls.Add(1); panic(http.ErrAbortHandler) })
-	const dead = "127.0.0.1:1" // a port that no test server ever listens on
+	const refusingAddress = "127.0.0.1:1" // a port that no test server ever listens on
 	cases := []struct {
 		name       string
 		d          core.Dispatch
 		sent, gone bool
 	}{
 		{"aborted", core.Dispatch{Address: address}, true, false},
-		{"refused", core.Dispatch{Address: dead}, false, false},
-		{"refused while resuming", core.Dispatch{Address: dead, Resume: true}, false, true},
+		{"refused", core.Dispatch{Address: refusingAddress}, false, false},
+		{"refused while resuming", core.Dispatch{Address: refusingAddress, Resume: true}, false, true},
 		{"grant expired", core.Dispatch{Address: address, Before: time.Now().Add(-time.Second)}, false, false},
 	}
 	for _, tc := range cases {
@@ -100,7 +100,7 @@
 	if n := calls.Load(); n != 1 {
 		t.Errorf("%d calls arrived, want only the aborted call", n)
 	}
-	c.Poll(context.Background(), "engine-1", dead)
+	c.Poll(context.Background(), "engine-1", refusingAddress)
 	if s, ok := next(t, events).(core.UpstreamSilent); !ok || !s.Refused {
 		t.Errorf("poll of a port without a listener: %+v, want UpstreamSilent with Refused", s)
 	}
