--- a/internal/conn/dial.go
+++ b/internal/conn/dial.go
@@ -24,9 +24,9 @@
 	keepAliveIdle     = time.Second
 	keepAliveInterval = 500 * time.Millisecond
 	keepAliveCount    = 2
-	// ackTimeout is how long sent bytes may stay unacknowledged. A device between the two ends,
-	// such as a firewall, may lose its state of a connection; the connection then stays silent
-	// for ever, while new connections work.
+	// ackTimeout is how long sent bytes may stay unacknowledged. A device between the two ends
+	// may lose its state of a connection; the connection then stays silent for ever, while new
+	// connections work.
 	ackTimeout = 1200 * time.Millisecond
 )
 
