--- a/internal/server/callers.go
+++ b/internal/server/callers.go
@@ -88,7 +88,7 @@
 func (s *callers) wrongMethod(allowed string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Allow", allowed)
-		s.refuse(w, http.StatusMethodNotAllowed, reasonWrongMethod, "this path accepts "+allowed+" only")
+		s.refuse(w, http.StatusMethodNotAllowed, reasonWrongMethod, "this path takes "+allowed+" only")
 	}
 }
 
@@ -107,7 +107,7 @@
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		s.refuse(w, http.StatusRequestEntityTooLarge, reasonTooLarge, "the body is too large: the maximum is "+strconv.Itoa(maxBody)+" bytes")
+		s.refuse(w, http.StatusRequestEntityTooLarge, reasonTooLarge, "the body may have at most "+strconv.Itoa(maxBody)+" bytes")
 	case err != nil:
 		s.refuse(w, http.StatusBadRequest, reasonBadBody, "the body could not be read")
 	}
@@ -190,12 +190,12 @@
 
 // reasonDetails maps refusal reasons to explanations for callers.
 var reasonDetails = map[string]string{
-	core.ReasonBadKey:         "send the organisation's API key in the header Authorization: Bearer KEY",
+	core.ReasonBadKey:         "send the organisation's API key as Authorization: Bearer KEY",
 	core.ReasonUnknownModel:   "no service of the configuration serves this model",
 	core.ReasonUnknownService: "the configuration has no plain service of this name",
 	core.ReasonForbidden:      "the organisation may not call this service",
-	core.ReasonMaxTokens:      "max_tokens must be between 0 and the organisation's max_output_tokens; without max_tokens, or with 0, that limit applies",
-	core.ReasonNoKey:          HeaderNotRepeatable + ": true requires the header " + HeaderIdempotencyKey,
+	core.ReasonMaxTokens:      "max_tokens must lie between 0 and the organisation's max_output_tokens; 0 or none stands for that limit",
+	core.ReasonNoKey:          HeaderNotRepeatable + ": true needs an " + HeaderIdempotencyKey,
 	core.ReasonBadHandle:      "Last-Event-ID is not an event id of this organisation's streams",
 	core.ReasonPoison:         "upstreams crashed while they ran this request",
 }
