--- a/client/call.go
+++ b/client/call.go
@@ -15,28 +15,29 @@
 	Service string
 	Path    string
 	Body    []byte
-	// Key names the call: a repeat with the same key gets the same outcome.
+	// Key is the idempotency key: repeated calls with the same key get the
+	// same outcome.
 	Key string
 	// NotRepeatable marks a call that must run at most once.
 	NotRepeatable bool
 }
 
-// Answer is a service's answer.
+// Answer is the response of a service.
 type Answer struct {
 	RequestID string
 	Status    int
 	Body      []byte
 }
 
-// callTimeout bounds one try of a call at one entry.
+// callTimeout limits one try of a call at one entry.
 const callTimeout = 60 * time.Second
 
-// Do makes a call. It returns a *Problem for every outcome but Done. A call
-// whose connection broke is asked about again under its key at other entries,
-// which is safe: the key runs at most once. Such a call is never reported as
-// NotRun, whatever the later tries are told.
+// Do makes a call. It returns a *Problem for every outcome but Done. If the
+// connection breaks, a call with a key is repeated at other entries. That is
+// safe, since a key runs at most once. If a broken try may have run, the call
+// is never reported as NotRun, whatever the responses to later tries say.
 func (c *Client) Do(ctx context.Context, call Call) (Answer, error) {
-	lost := 0
+	repeats := 0
 	uncertain := false
 	for try := 0; ; try++ {
 		a, err := c.doOnce(ctx, call)
@@ -46,15 +47,16 @@
 		}
 		uncertain = uncertain || p.Outcome == Unknown
 		if uncertain && p.Outcome == NotRun {
-			// This try did not run, but one whose answer was lost may have.
+			// This try did not run, but an earlier one whose response was
+			// lost may have.
 			p.Outcome = Unknown
 		}
 		switch {
-		case p.again(call) && lost < resumeTries:
-			lost++
-			p.RetryAfter = max(p.RetryAfter, backoff(lost))
-		case uncertain && call.Key != "" && p.RetryAfter > 0 && p.RetryAfter <= uncertainPause && lost < resumeTries:
-			lost++ // refused while the outcome of an earlier try is open
+		case p.repeatable(call) && repeats < resumeTries:
+			repeats++
+			p.RetryAfter = max(p.RetryAfter, backoff(repeats))
+		case uncertain && call.Key != "" && p.RetryAfter > 0 && p.RetryAfter <= maxUncertainPause && repeats < resumeTries:
+			repeats++ // refused while the outcome of an earlier try is unknown
 		case p.Outcome != NotRun || p.RetryAfter == 0 || try >= c.opts.Retries:
 			return a, err
 		}
@@ -64,16 +66,18 @@
 	}
 }
 
-// uncertainPause is the longest pause after which a call whose outcome is open
-// is asked about again.
-const uncertainPause = 5 * time.Second
+// maxUncertainPause is the longest RetryAfter that is waited for in order to
+// repeat a call whose outcome is unknown.
+const maxUncertainPause = 5 * time.Second
 
-// reasonInProgress tells that an earlier call under the key still runs.
+// reasonInProgress means that an earlier call with the same key is still
+// running.
 const reasonInProgress = "earlier_attempt_in_progress"
 
-// again reports whether the same call may be sent once more at once: its key
-// makes that safe, or it never left.
-func (p *Problem) again(call Call) bool {
+// repeatable reports whether the call may be repeated without regard to
+// Options.Retries: its connection was lost or an earlier call is still running,
+// and either its key makes a repeat safe or it was never sent.
+func (p *Problem) repeatable(call Call) bool {
 	switch p.Reason {
 	case reasonLost:
 		return call.Key != "" || p.Outcome == NotRun
@@ -84,8 +88,9 @@
 	}
 }
 
+// doOnce makes one try of a call at one entry.
 func (c *Client) doOnce(ctx context.Context, call Call) (Answer, error) {
-	address, err := c.entry(ctx)
+	address, err := c.pickEntry(ctx)
 	if err != nil {
 		return Answer{}, err
 	}
@@ -95,7 +100,7 @@
 	if err != nil {
 		return Answer{}, fmt.Errorf("call %s: %w", call.Service, err)
 	}
-	req.GetBody = nil
+	req.GetBody = nil // prevents net/http from resending the request
 	c.authorize(req)
 	req.Header.Set("Idempotency-Key", call.Key)
 	if call.NotRepeatable {
--- a/client/client.go
+++ b/client/client.go
@@ -1,7 +1,7 @@
-// Package client is the Go client for callers of mulberrylug. It asks for the
-// entry addresses, keeps the answer, connects there, resumes cut streams
-// without losing or repeating a token, honours Retry-After and returns typed
-// outcomes.
+// Package client is the Go client for callers of mulberrylug. It requests the
+// addresses of entries, caches them, connects to one of them, resumes
+// interrupted streams without losing or repeating a token, honours Retry-After
+// and returns typed outcomes.
 package client
 
 import (
@@ -17,35 +17,43 @@
 	"time"
 )
 
-// Outcome says how a request ended.
+// Outcome is the way in which a request ended.
 type Outcome string
 
 // Outcomes.
 const (
-	// Done: the whole answer was delivered.
+	// Done: the complete response was delivered.
 	Done Outcome = "done"
-	// NotRun: the request did not run, and will not.
+	// NotRun: the request did not run and will not run.
 	NotRun Outcome = "not_run"
-	// Partial: the answer ended early.
+	// Partial: the response ended early.
 	Partial Outcome = "partial"
 	// Unknown: the request may have run.
 	Unknown Outcome = "unknown"
 )
 
-// ErrNoEntry is returned when no instance answered.
-var ErrNoEntry = errors.New("no instance answered")
+// ErrNoEntry is returned when the client has no address to send a request to:
+// no instance has listed any entries, and Options.Seeds is empty.
+var ErrNoEntry = errors.New("no entry address: no entries are known and no seeds are set")
 
-// Problem is an honest refusal or an end that is not Done.
+// Problem is the error for a request that was refused or whose outcome is not
+// Done.
 type Problem struct {
-	Outcome   Outcome
-	Status    int
+	Outcome Outcome
+	// Status is the HTTP status of the response. It is 0 if there was no
+	// response or if the problem was the last event of a stream.
+	Status int
+	// Reason, Step and Peer explain the outcome: a code for the cause, the
+	// step in which the request ended and the address or the name of the other
+	// side of that step.
 	Reason    string
 	Step      string
 	Peer      string
 	RequestID string
-	// Detail tells what to change, for requests that are wrong.
+	// Detail explains how to correct an invalid request.
 	Detail string
-	// RetryAfter is when to come back; 0 means that it would not help.
+	// RetryAfter is the time to wait before a retry; 0 means that a retry
+	// would not help.
 	RetryAfter time.Duration
 }
 
@@ -57,159 +65,180 @@
 
 // Options configure a client.
 type Options struct {
-	// Seeds are caller addresses (host:port) of any instances, to ask for
-	// the entries at first and when none of the kept ones answers.
+	// Seeds are caller addresses (host:port) of any instances. The client
+	// requests the list of entries from them at first and when none of the
+	// entries that it knows answers.
 	Seeds []string
 	// APIKey authenticates the organisation.
 	APIKey string
-	// Retries is how often a request that did not run is sent again after
-	// the time that its refusal named. Default 0.
+	// Retries is the maximum number of retries of a request that did not run.
+	// Each follows after the RetryAfter of the refusal. Default 0.
 	Retries int
 }
 
 const (
-	// dialTimeout bounds a connect to an entry.
+	// dialTimeout limits the time to connect to an entry.
 	dialTimeout = 500 * time.Millisecond
-	// silentAfter bounds the silence on a stream: entries send a keep-alive
-	// every second.
-	silentAfter = 4 * time.Second
-	// entriesTimeout bounds the question for the entries.
+	// idleTimeout limits the time without data on a stream. Entries send a
+	// keep-alive every second.
+	idleTimeout = 4 * time.Second
+	// entriesTimeout limits one request for the list of entries.
 	entriesTimeout = time.Second
 )
 
-// Client is safe for concurrent use.
+// Client sends requests to entries. It is safe for concurrent use.
 type Client struct {
 	opts Options
 	http *http.Client
 
-	mu      sync.Mutex
-	entries []string
-	until   time.Time
-	asking  bool
-	bad     map[string]time.Time
+	// mu guards the fields below.
+	mu sync.Mutex
+	// entries is the last list of entries received. It is used as it is until
+	// entriesExpireAt and then fetched again.
+	entries         []string
+	entriesExpireAt time.Time
+	// refreshing is true while one request fetches the list of entries.
+	refreshing bool
+	// avoidUntil maps the address of an instance that failed to the time until
+	// which other instances are preferred.
+	avoidUntil map[string]time.Time
 }
 
 // New returns a client.
 func New(o Options) *Client {
 	dialer := &net.Dialer{Timeout: dialTimeout, KeepAlive: 5 * time.Second}
 	return &Client{
-		opts: o, bad: map[string]time.Time{},
-		// Each request gets a connection of its own: a pooled connection
-		// may have gone silent, and the library would send a request again
-		// by itself when a pooled one turns out dead.
+		opts: o, avoidUntil: map[string]time.Time{},
+		// Each request uses a new connection. A pooled connection may no
+		// longer deliver anything, and net/http resends a request on its own
+		// when a pooled connection turns out to be closed.
 		http: &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, DisableKeepAlives: true}},
 	}
 }
 
-// entry picks an instance: a random one of those that answered last.
-func (c *Client) entry(ctx context.Context) (string, error) {
+// pickEntry returns the address for the next request. It chooses at random
+// among the known entries that have not failed recently. If all of them have,
+// it returns the one that failed the longest time ago. Seeds are used only
+// while no entries are known.
+func (c *Client) pickEntry(ctx context.Context) (string, error) {
 	c.refresh(ctx)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
-	if good := c.good(c.entries, now); len(good) > 0 {
+	if good := c.available(c.entries, now); len(good) > 0 {
 		return good[rand.IntN(len(good))], nil
 	}
 	if len(c.entries) > 0 {
-		return c.leastBad(c.entries), nil
+		return c.leastRecentlyFailed(c.entries), nil
 	}
-	if good := c.good(c.opts.Seeds, now); len(good) > 0 {
+	if good := c.available(c.opts.Seeds, now); len(good) > 0 {
 		return good[rand.IntN(len(good))], nil
 	}
 	if len(c.opts.Seeds) == 0 {
 		return "", ErrNoEntry
 	}
-	return c.leastBad(c.opts.Seeds), nil
+	return c.leastRecentlyFailed(c.opts.Seeds), nil
 }
 
-// leastBad returns the instance whose failure is longest ago. Where all that
-// were named have failed of late, one of them is the better guess than a seed
-// that the last answer left out: that one is likely to be dead, and a request
-// that breaks there counts as one that may have run.
-func (c *Client) leastBad(list []string) string {
-	return slices.MinFunc(list, func(a, b string) int { return c.bad[a].Compare(c.bad[b]) })
+// leastRecentlyFailed returns the address in list that failed the longest time
+// ago. If all known entries have failed recently, one of them is still a better
+// choice than a seed that the last list of entries omitted. Such a seed is
+// likely to be dead, and a request whose connection breaks there has to be
+// reported as one that may have run.
+func (c *Client) leastRecentlyFailed(list []string) string {
+	return slices.MinFunc(list, func(a, b string) int { return c.avoidUntil[a].Compare(c.avoidUntil[b]) })
 }
 
-func (c *Client) good(list []string, now time.Time) []string {
+// available returns the addresses in list that are not being avoided at now.
+// The caller holds c.mu.
+func (c *Client) available(list []string, now time.Time) []string {
 	var out []string
 	for _, a := range list {
-		if now.After(c.bad[a]) {
+		if now.After(c.avoidUntil[a]) {
 			out = append(out, a)
 		}
 	}
 	return out
 }
 
-// avoid passes an instance over for a while after it failed.
+// avoid makes the client prefer other instances for 2 s after a failure at
+// address.
 func (c *Client) avoid(address string) {
 	const avoidFor = 2 * time.Second
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.bad[address] = time.Now().Add(avoidFor)
+	c.avoidUntil[address] = time.Now().Add(avoidFor)
 }
 
-// refresh asks for the entries once the kept answer has lapsed. One request
-// asks; the others go on with what there is, so that an instance that does not
-// answer holds up none but this one.
+// refresh fetches the list of entries once the cached list has expired or all
+// cached entries have failed recently. Only one request at a time fetches; the
+// others continue with the cached list, so that an instance that does not
+// answer delays only the fetching request.
 func (c *Client) refresh(ctx context.Context) {
 	c.mu.Lock()
 	now := time.Now()
-	fresh := !now.After(c.until) && len(c.good(c.entries, now)) > 0
-	if c.asking || fresh {
+	fresh := !now.After(c.entriesExpireAt) && len(c.available(c.entries, now)) > 0
+	if c.refreshing || fresh {
 		c.mu.Unlock()
 		return
 	}
-	c.asking = true
-	asked := append(c.good(c.entries, now), c.opts.Seeds...)
+	c.refreshing = true
+	sources := append(c.available(c.entries, now), c.opts.Seeds...)
 	c.mu.Unlock()
-	list, keep := c.askAny(ctx, asked)
+	list, ttl := c.fetchEntriesFromAny(ctx, sources)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.asking = false
+	c.refreshing = false
 	if len(list) > 0 {
-		c.entries, c.until = list, now.Add(keep)
+		c.entries, c.entriesExpireAt = list, now.Add(ttl)
 	}
 }
 
-func (c *Client) askAny(ctx context.Context, addresses []string) ([]string, time.Duration) {
+// fetchEntriesFromAny returns the first list of entries that one of the
+// addresses, tried in order, returns, and the time to cache it. The list is
+// empty if all of them fail.
+func (c *Client) fetchEntriesFromAny(ctx context.Context, addresses []string) ([]string, time.Duration) {
 	for _, a := range addresses {
-		list, keep, err := c.ask(ctx, a)
+		list, ttl, err := c.fetchEntries(ctx, a)
 		if err == nil && len(list) > 0 {
-			return list, keep
+			return list, ttl
 		}
 	}
 	return nil, 0
 }
 
-// authorize names the organisation that a request is for.
+// authorize adds the API key, which identifies the organisation.
 func (c *Client) authorize(req *http.Request) {
 	req.Header.Set("Authorization", "Bearer "+c.opts.APIKey)
 }
 
-func (c *Client) ask(ctx context.Context, address string) ([]string, time.Duration, error) {
+// fetchEntries requests the list of entries from one instance. It returns their
+// addresses and the time to cache them.
+func (c *Client) fetchEntries(ctx context.Context, address string) ([]string, time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, entriesTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/v1/entries", nil)
 	if err != nil {
-		return nil, 0, fmt.Errorf("ask %s for entries: %w", address, err)
+		return nil, 0, fmt.Errorf("get entries from %s: %w", address, err)
 	}
-	c.authorize(req) // an organisation may be confined to regions
+	c.authorize(req) // the entries depend on the regions that the organisation is allowed
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return nil, 0, fmt.Errorf("ask %s for entries: %w", address, err)
+		return nil, 0, fmt.Errorf("get entries from %s: %w", address, err)
 	}
 	defer resp.Body.Close()
-	var answer struct {
+	var list struct {
 		Addresses   []string `json:"addresses"`
 		KeepSeconds float64  `json:"keep_seconds"`
 	}
-	if err := json.NewDecoder(resp.Body).Decode(&answer); err != nil {
-		return nil, 0, fmt.Errorf("ask %s for entries: %w", address, err)
+	if err := json.NewDecoder(resp.Body).Decode(&list); err != nil {
+		return nil, 0, fmt.Errorf("get entries from %s: decode response: %w", address, err)
 	}
-	return answer.Addresses, time.Duration(answer.KeepSeconds * float64(time.Second)), nil
+	return list.Addresses, time.Duration(list.KeepSeconds * float64(time.Second)), nil
 }
 
-// wireProblem is a refusal or an early end as instances write it.
+// wireProblem is the JSON form in which instances send a refusal or the last
+// event of a stream.
 type wireProblem struct {
 	Outcome    Outcome `json:"outcome"`
 	Reason     string  `json:"reason"`
@@ -227,25 +256,28 @@
 	}
 }
 
+// readProblem decodes a response that reports a problem.
 func readProblem(resp *http.Response) *Problem {
 	var w wireProblem
 	if json.NewDecoder(resp.Body).Decode(&w) != nil || w.Outcome == "" {
-		// The connection broke inside the refusal: nothing is known.
+		// Without a complete body the outcome is unknown, for example because
+		// the connection broke while the body was being sent.
 		return &Problem{Outcome: Unknown, Status: resp.StatusCode, Reason: "unreadable_answer", Step: "read"}
 	}
 	return w.problem(resp.StatusCode)
 }
 
-// lostOutcome is the outcome of a request without an answer: it has not run
-// only if no connection came about.
+// lostOutcome returns the outcome of a request that failed with err before a
+// response arrived. The request has certainly not run only if no connection was
+// established.
 func lostOutcome(err error) Outcome {
-	if isDial(err) {
+	if isDialError(err) {
 		return NotRun
 	}
 	return Unknown
 }
 
-// pause waits until a refused request may come back.
+// pause waits for d, or returns the context's error if ctx ends first.
 func pause(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
--- a/client/client_test.go
+++ b/client/client_test.go
@@ -12,13 +12,17 @@
 	"time"
 )
 
-// entry is a fake instance: it lists itself and answers requests by a script.
+// entry is a fake instance. It lists itself as the only entry and answers
+// requests with the handlers given to startEntry.
 type entry struct {
 	*httptest.Server
-	// posts counts new requests, gets the wishes to resume.
+	// posts counts new requests, gets counts requests to resume.
 	posts, gets atomic.Int64
 }
 
+// startEntry starts an entry and returns it with a client that retries twice.
+// post handles new requests and get handles requests to resume; n counts the
+// calls of each from 1.
 func startEntry(t *testing.T, post, get func(n int64, w http.ResponseWriter, r *http.Request)) (*entry, *Client) {
 	t.Helper()
 	e := &entry{}
@@ -33,6 +37,7 @@
 	return e, New(Options{Seeds: []string{e.Listener.Addr().String()}, Retries: 2})
 }
 
+// tokens writes the token events with numbers from up to, but not including, to.
 func tokens(w http.ResponseWriter, from, to int) {
 	for n := from; n < to; n++ {
 		fmt.Fprintf(w, "id: handle.%d\ndata: {\"choices\":[{\"text\":\"t%d \"}]}\n\n", n, n)
@@ -40,43 +45,48 @@
 	_ = http.NewResponseController(w).Flush()
 }
 
+// end writes the last event of a stream.
 func end(w http.ResponseWriter, outcome string) {
 	fmt.Fprintf(w, "event: end\ndata: {\"outcome\":%q}\n\n", outcome)
 }
 
+// refuse answers not_run with a retry time of after seconds.
 func refuse(w http.ResponseWriter, after float64) {
 	w.WriteHeader(http.StatusServiceUnavailable)
 	fmt.Fprintf(w, `{"outcome":"not_run","reason":"busy","retry_after_seconds":%g}`, after)
 }
 
+// abort is a handler that breaks the connection without a response.
 func abort(int64, http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
-// The connection breaks before the first event, each time: the request may have
-// begun, so that it is sent twice at most and the outcome is unknown.
+// Every connection breaks before the first event. The request may have begun to
+// run each time, so the client must send it at most twice and report the outcome
+// unknown.
 func TestPromise1ClientSendsAtMostTwice(t *testing.T) {
 	e, c := startEntry(t, abort, abort)
 	res, err := c.Stream(context.Background(), Completion{}, nil)
 	var p *Problem
 	if !errors.As(err, &p) || p.Outcome != Unknown || res.Sends != sendsMax || e.posts.Load() != sendsMax {
-		t.Errorf("%v after %d sends, %d arrived; want unknown after %d", err, res.Sends, e.posts.Load(), sendsMax)
+		t.Errorf("error = %v, Sends = %d, requests received = %d; want outcome unknown and %d sends", err, res.Sends, e.posts.Load(), sendsMax)
 	}
 }
 
-// Nothing listens at any address: the request can't have left, so that "not
-// run" is true.
-func TestPromise3ClientNotRunIfNothingLeft(t *testing.T) {
-	// A port that was free a moment ago may be another test's by now; nothing
-	// gives out port 1.
+// No address accepts connections, so the request can't have been sent and the
+// client must report not_run.
+func TestPromise3ClientReportsNotRunIfNothingWasSent(t *testing.T) {
+	// A port that was free a moment ago may be used by another test by now. Port
+	// 1 is never assigned to a listener.
 	res, err := New(Options{Seeds: []string{"127.0.0.1:1"}}).Stream(context.Background(), Completion{}, nil)
 	var p *Problem
 	if !errors.As(err, &p) || p.Outcome != NotRun || res.Sends != 0 {
-		t.Errorf("%v after %d sends, want not_run after none", err, res.Sends)
+		t.Errorf("error = %v, Sends = %d; want outcome not_run and 0 sends", err, res.Sends)
 	}
 }
 
-// The stream breaks after three tokens; the wish to resume is refused at first,
-// then answered with tokens that the caller has already. Each token reaches the
-// caller once, and the request is never sent anew.
+// The connection breaks after three tokens. The first request to resume is
+// refused, the second is answered with a gap in the tokens, the third with
+// tokens that the client has already received. The caller must get each token
+// once, and the client must not send the request as a new one.
 func TestPromise1ClientResumesExactlyOnce(t *testing.T) {
 	e, c := startEntry(t,
 		func(_ int64, w http.ResponseWriter, _ *http.Request) { tokens(w, 0, 3); panic(http.ErrAbortHandler) },
@@ -91,18 +101,19 @@
 				end(w, "done")
 			}
 			if id := r.Header.Get("Last-Event-ID"); id != "handle.2" {
-				t.Errorf("resumed from %q", id)
+				t.Errorf("Last-Event-ID = %q, want handle.2", id)
 			}
 		})
 	var got strings.Builder
 	res, err := c.Stream(context.Background(), Completion{}, func(s string) { got.WriteString(s) })
 	if err != nil || got.String() != "t0 t1 t2 t3 t4 " || res.Text != got.String() || res.Resumes != 3 || e.posts.Load() != 1 {
-		t.Errorf("%q, %+v, %v after %d posts", got.String(), res, err, e.posts.Load())
+		t.Errorf("tokens = %q, result = %+v, error = %v, new requests = %d; want tokens 0 to 4 once each, 3 resumes and 1 new request", got.String(), res, err, e.posts.Load())
 	}
 }
 
-// A resume that is refused for good leaves the caller with a part of the
-// answer: partial, not "not run", and nothing is sent anew.
+// The connection breaks after three tokens, and the resume is refused without a
+// retry time. The caller has a part of the response, so the outcome must be
+// partial, not not_run, and the client must not send the request as a new one.
 func TestPromise1ClientRefusedResumeIsPartial(t *testing.T) {
 	e, c := startEntry(t,
 		func(_ int64, w http.ResponseWriter, _ *http.Request) { tokens(w, 0, 3); panic(http.ErrAbortHandler) },
@@ -110,12 +121,12 @@
 	res, err := c.Stream(context.Background(), Completion{}, nil)
 	var p *Problem
 	if !errors.As(err, &p) || p.Outcome != Partial || res.Tokens != 3 || e.posts.Load() != 1 {
-		t.Errorf("%v with %d tokens after %d posts, want partial with 3 after 1", err, res.Tokens, e.posts.Load())
+		t.Errorf("error = %v, tokens = %d, new requests = %d; want outcome partial, 3 tokens, 1 new request", err, res.Tokens, e.posts.Load())
 	}
 }
 
-// A refused request comes back after the time that the refusal named, as often
-// as the options say, and not sooner.
+// Every request is refused with a retry time. The client must retry as often as
+// Options.Retries allows, and never before the retry time has passed.
 func TestRetryBudgetClientHonoursRetryAfter(t *testing.T) {
 	const after = 150 * time.Millisecond
 	e, c := startEntry(t, func(_ int64, w http.ResponseWriter, _ *http.Request) { refuse(w, after.Seconds()) }, abort)
@@ -123,22 +134,22 @@
 	_, err := c.Stream(context.Background(), Completion{}, nil)
 	var p *Problem
 	if !errors.As(err, &p) || p.Outcome != NotRun || e.posts.Load() != 3 {
-		t.Errorf("%v after %d posts, want not_run after 3", err, e.posts.Load())
+		t.Errorf("error = %v, requests = %d; want outcome not_run after 3 requests", err, e.posts.Load())
 	}
 	if took := time.Since(start); took < 2*after {
-		t.Errorf("came back twice within %s, want at least %s", took, 2*after)
+		t.Errorf("two retries took %s, want at least %s", took, 2*after)
 	}
 }
 
-// Every instance that the last answer named has failed a moment ago. The client
-// must not turn to a seed that the answer left out: that one is dead, and a
-// request that breaks there counts as one that may have run.
-func TestClientPrefersNamedEntriesToDeadSeeds(t *testing.T) {
+// All listed entries have just failed. The client must not fall back to a seed
+// that the list omits: the seed is dead, and a request whose connection breaks
+// there has to be reported as one that may have run.
+func TestClientPrefersListedEntriesToDeadSeeds(t *testing.T) {
 	c := New(Options{Seeds: []string{"dead:1"}})
-	c.entries, c.until = []string{"a:1", "b:1"}, time.Now().Add(time.Minute)
+	c.entries, c.entriesExpireAt = []string{"a:1", "b:1"}, time.Now().Add(time.Minute)
 	c.avoid("a:1")
 	c.avoid("b:1")
-	if got, err := c.entry(context.Background()); err != nil || got != "a:1" {
-		t.Errorf("entry = %q, %v, want a:1, whose failure is longest ago", got, err)
+	if got, err := c.pickEntry(context.Background()); err != nil || got != "a:1" {
+		t.Errorf("entry = %q, error = %v; want a:1, which failed the longest time ago", got, err)
 	}
 }
--- a/client/notrun_test.go
+++ b/client/notrun_test.go
@@ -11,10 +11,10 @@
 	"mulberrylug.example/mulberrylug/client"
 )
 
-// An entry takes a request and its connection breaks: the request may run. The
-// client sends it again, and that try is refused as "not run", which is true of
-// that try only. The client must report "unknown". Without a lost try before
-// it, the refusal is passed on as it is.
+// The connection breaks after an entry has received a request, which may
+// therefore run. The client sends the request again, and that try is refused
+// with not_run, which is true only of that try. The client must report unknown.
+// Without a lost try before it, the client must report the refusal unchanged.
 func TestPromise3ClientRemembersALostTry(t *testing.T) {
 	ctx := context.Background()
 	calls := map[string]func(c *client.Client) error{
@@ -33,14 +33,15 @@
 			var p *client.Problem
 			err := do(client.New(client.Options{Seeds: []string{entry.Listener.Addr().String()}}))
 			if !errors.As(err, &p) || p.Outcome != want {
-				t.Errorf("%s after %d lost tries: %v, want %s", name, lost, err, want)
+				t.Errorf("%s after %d lost tries: error = %v, want outcome %s", name, lost, err, want)
 			}
 			entry.Close()
 		}
 	}
 }
 
-// newEntry breaks the first lost requests off and refuses the others.
+// newEntry starts an entry that breaks the connection of the first lost requests
+// and refuses all later ones.
 func newEntry(lost int32) *httptest.Server {
 	var requests atomic.Int32
 	mux := http.NewServeMux()
--- a/client/stream.go
+++ b/client/stream.go
@@ -23,36 +23,42 @@
 	Stream    bool   `json:"stream"`
 }
 
-// Result is the end of a generation.
+// Result describes a generation that has ended, completely or early.
 type Result struct {
 	RequestID string
-	Tokens    int
-	Text      string
-	// Resumes is how often the stream was read on after a cut.
+	// Tokens is the number of tokens received, Text their text.
+	Tokens int
+	Text   string
+	// Resumes is the number of times that the stream was resumed after an
+	// interruption.
 	Resumes int
-	// Sends is how many requests may have begun to run for this answer. It is
-	// above 1 only if a connection broke after the request had left and
-	// before the first token came; the earlier one may cost as well.
+	// Sends is the number of requests sent for this generation that may have
+	// begun to run. It is above 1 only if a connection broke after the request
+	// was sent and before the first token arrived; the earlier request may be
+	// charged as well.
 	Sends int
 }
 
 const (
-	// resumeTries is how often in a row a cut stream is read on without progress.
+	// resumeTries is the maximum number of consecutive retries without
+	// progress, i.e. without a new token, after connections that broke.
 	resumeTries = 6
-	// sendsMax bounds how often a request whose connection broke before the
-	// first token is sent as a new one: nobody can tell whether it has begun.
+	// sendsMax is the maximum number of times that a request is sent whose
+	// connection breaks before the first token: whether the earlier one has
+	// begun to run is unknown.
 	sendsMax = 2
-	// baseBackoff and maxBackoff bound the pauses, which have full jitter.
+	// baseBackoff and maxBackoff limit the backoff, which has full jitter.
 	baseBackoff = 100 * time.Millisecond
 	maxBackoff  = 2 * time.Second
-	// reasonLost ends a request whose connections kept breaking.
+	// reasonLost is the reason for a request whose connection broke and that
+	// could not be completed on another.
 	reasonLost = "connection_lost"
 )
 
-// Stream generates and calls token for each token, exactly once and in order.
-// It returns a *Problem for every outcome but Done. Only a request that did
-// not run is repeated, after the time that its refusal named; the system
-// itself tries again whatever else is safe.
+// Stream runs a generation and calls token with the text of each token, exactly
+// once and in order. It returns a *Problem for every outcome but Done. After a
+// refusal it retries only a request that did not run, after the RetryAfter of
+// the refusal. The instances retry everything else that is safe to retry.
 func (c *Client) Stream(ctx context.Context, req Completion, token func(text string)) (Result, error) {
 	req.Stream = true
 	body, err := json.Marshal(req)
@@ -74,27 +80,32 @@
 
 // stream is one generation in progress.
 type stream struct {
-	c      *Client
-	token  func(string)
+	c     *Client
+	token func(string)
+	// lastID is the event id of the last token, empty before the first token.
 	lastID string
 	result Result
 	text   strings.Builder
 }
 
 var (
-	// errCut means that the connection ended before the terminal event.
-	errCut = errors.New("stream was cut")
-	// errUnsent means that the request can't have left.
-	errUnsent = errors.New("no connection")
+	// errCut means that the connection ended before the last event, or that an
+	// event was incomplete or out of order.
+	errCut = errors.New("stream interrupted")
+	// errNotSent means that no connection was established, so that the request
+	// was not sent.
+	errNotSent = errors.New("could not connect")
 )
 
+// run sends the request, and resumes or resends it after interruptions, until
+// it ends or the limits on retries are reached.
 func (s *stream) run(ctx context.Context, body []byte) error {
 	failures := 0
 	for {
 		before := s.result.Tokens
 		err := s.connect(ctx, body)
 		s.result.Text = s.text.String()
-		if err = s.honest(err); err == nil || !errors.Is(err, errCut) {
+		if err = s.reconcile(err); err == nil || !errors.Is(err, errCut) {
 			return err
 		}
 		if s.result.Tokens > before {
@@ -102,20 +113,20 @@
 		}
 		failures++
 		if ctx.Err() != nil || failures > resumeTries || s.lastID == "" && s.result.Sends >= sendsMax {
-			return s.lost()
+			return s.connectionLost()
 		}
 		if s.lastID != "" {
 			s.result.Resumes++
 		}
 		if err := pause(ctx, backoff(failures)); err != nil {
-			return s.lost()
+			return s.connectionLost()
 		}
 	}
 }
 
-// honest judges a refusal in the light of what came before it: it speaks of
-// the last request alone, not of the answer.
-func (s *stream) honest(err error) error {
+// reconcile corrects the outcome of a refusal for the requests before it. A
+// refusal reports on the last HTTP request only, not on the generation.
+func (s *stream) reconcile(err error) error {
 	var p *Problem
 	if !errors.As(err, &p) || p.Outcome != NotRun && p.Outcome != Unknown {
 		return err
@@ -124,13 +135,15 @@
 		return resumeRefused(p)
 	}
 	if s.result.Sends > 0 {
-		p.Outcome = Unknown // an earlier one was cut and may have run
+		p.Outcome = Unknown // an earlier request was interrupted and may have run
 	}
 	return p
 }
 
-// resumeRefused judges the refusal of a resume: to send the request anew would
-// mix the tokens of two generations.
+// resumeRefused returns the error for a refused resume: errCut, after which the
+// resume is retried, if the refusal has a RetryAfter, otherwise a Partial
+// outcome. The request is not sent as a new one, since that would mix the
+// tokens of two generations.
 func resumeRefused(p *Problem) error {
 	if p.RetryAfter > 0 {
 		return fmt.Errorf("%w: %w", errCut, p)
@@ -139,8 +152,9 @@
 	return p
 }
 
-// lost is the end of a stream whose connections kept breaking.
-func (s *stream) lost() error {
+// connectionLost returns the problem for a stream that is given up after
+// connections that broke.
+func (s *stream) connectionLost() error {
 	p := &Problem{Outcome: Unknown, Reason: reasonLost, Step: "stream", RequestID: s.result.RequestID}
 	switch {
 	case s.result.Tokens > 0:
@@ -151,26 +165,30 @@
 	return p
 }
 
-// backoff returns the pause before the n-th try, with full jitter.
+// backoff returns the pause after n failures: random up to a limit that doubles
+// with each failure (exponential backoff with full jitter).
 func backoff(n int) time.Duration {
 	limit := min(baseBackoff<<min(n, 10), maxBackoff)
 	return rand.N(limit) + 1
 }
 
-// connect sends the request, or reads on after the last received event.
+// connect makes one connection to an entry: it sends the request, or resumes
+// the stream after the last token received, and reads events until the
+// connection or the stream ends.
 func (s *stream) connect(ctx context.Context, body []byte) error {
-	address, err := s.c.entry(ctx)
+	address, err := s.c.pickEntry(ctx)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	// A connection can go silent for good while new ones work: keep-alives
-	// come every second, so that silence means to read on from a new one.
-	silent := time.AfterFunc(2*silentAfter, cancel)
-	defer silent.Stop()
+	// A connection can stop delivering data for good while new ones work.
+	// Keep-alives arrive every second, so a connection without data is closed
+	// and the stream resumed on a new one.
+	idleTimer := time.AfterFunc(2*idleTimeout, cancel)
+	defer idleTimer.Stop()
 	resp, err := s.send(ctx, address, body)
-	if s.lastID == "" && !errors.Is(err, errUnsent) {
+	if s.lastID == "" && !errors.Is(err, errNotSent) {
 		s.result.Sends++
 	}
 	if err != nil {
@@ -186,13 +204,14 @@
 		return p
 	}
 	s.result.RequestID = resp.Header.Get("X-Request-Id")
-	err = s.read(resp, func() { silent.Reset(silentAfter) })
+	err = s.read(resp, func() { idleTimer.Reset(idleTimeout) })
 	if errors.Is(err, errCut) {
 		s.c.avoid(address)
 	}
 	return err
 }
 
+// send sends the request, or the request to resume if a token was received.
 func (s *stream) send(ctx context.Context, address string, body []byte) (*http.Response, error) {
 	method, path := http.MethodPost, "/v1/completions"
 	if s.lastID != "" {
@@ -202,30 +221,32 @@
 	if err != nil {
 		return nil, err
 	}
-	req.GetBody = nil // the library must not send it a second time
+	req.GetBody = nil // prevents net/http from resending the request
 	s.c.authorize(req)
 	if s.lastID != "" {
 		req.Header.Set("Last-Event-ID", s.lastID)
 	}
 	resp, err := s.c.http.Do(req)
-	if isDial(err) {
-		err = fmt.Errorf("%w: %w", errUnsent, err)
+	if isDialError(err) {
+		err = fmt.Errorf("%w: %w", errNotSent, err)
 	}
 	return resp, err
 }
 
-func isDial(err error) bool {
+// isDialError reports whether err is a failure to establish a connection.
+func isDialError(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
 
-// read takes events until the terminal one.
-func (s *stream) read(resp *http.Response, alive func()) error {
+// read handles events up to the last one, "end". It calls onData for each line,
+// keep-alives included.
+func (s *stream) read(resp *http.Response, onData func()) error {
 	sc := bufio.NewScanner(resp.Body)
 	sc.Buffer(nil, 1<<20)
 	var id, event string
 	for sc.Scan() {
-		alive()
+		onData()
 		line := sc.Text()
 		switch {
 		case strings.HasPrefix(line, "id: "):
@@ -234,7 +255,7 @@
 			event = line[len("event: "):]
 		case strings.HasPrefix(line, "data: "):
 			if event == "end" {
-				return s.end(line[len("data: "):])
+				return s.onEnd(line[len("data: "):])
 			}
 			if err := s.onToken(id, line[len("data: "):]); err != nil {
 				return err
@@ -244,7 +265,8 @@
 	return errCut
 }
 
-// onToken takes a token event if it is the next one.
+// onToken handles a token event. It ignores a token that was received before
+// and returns errCut if a token is missing before this one.
 func (s *stream) onToken(id, data string) error {
 	var ev struct {
 		Choices []struct {
@@ -252,7 +274,7 @@
 		} `json:"choices"`
 	}
 	if json.Unmarshal([]byte(data), &ev) != nil || len(ev.Choices) == 0 {
-		return errCut // a line cut short
+		return errCut // incomplete line
 	}
 	index, err := strconv.Atoi(id[strings.LastIndexByte(id, '.')+1:])
 	switch {
@@ -270,7 +292,8 @@
 	return nil
 }
 
-func (s *stream) end(data string) error {
+// onEnd handles the last event, which carries the outcome.
+func (s *stream) onEnd(data string) error {
 	var w wireProblem
 	if json.Unmarshal([]byte(data), &w) != nil {
 		return errCut
