--- a/internal/apply/apply.go
+++ b/internal/apply/apply.go
@@ -1,5 +1,6 @@
-// Package apply publishes a configuration: one immutable object, then one
-// compare-and-set of the version row, which either takes full effect or none.
+// Package apply publishes a configuration: it stores one immutable object and
+// then updates the version row by one compare-and-set, which takes effect either
+// completely or not at all.
 package apply
 
 import (
@@ -16,17 +17,20 @@
 	"mulberrylug.example/mulberrylug/internal/platform"
 )
 
-// Request is what an operator applies.
+// Request is an operator's request to apply a configuration.
 type Request struct {
 	Files    []config.File `json:"files"`
 	Operator string        `json:"operator"`
-	// ApplyID is unique to this apply and identifies it after a lost answer.
+	// ApplyID is unique to this apply. It identifies the apply after a lost
+	// reply.
 	ApplyID string `json:"apply_id"`
-	// Base is the version that the operator changed, -1 for whichever is in force.
+	// Base is the version that the change is based on, or -1 for any version
+	// that is in force.
 	Base int64 `json:"base"`
 }
 
-// Conflict tells that another operator's change came first.
+// Conflict is the error for a change that was not made because another one came
+// first. Its fields describe the version in force.
 type Conflict struct {
 	Number   int64  `json:"number"`
 	Operator string `json:"operator"`
@@ -39,14 +43,15 @@
 		c.Number, c.Operator, c.ApplyID, c.Number)
 }
 
-// Undecided tells that nobody knows yet whether an apply took effect: its
-// write was sent and neither its answer nor the row could be read, or the write
-// may still be under way. The same apply repeated with its id and base settles
-// it.
+// Undecided is the error for an apply of which it is unknown whether it took
+// effect: its write was sent, and either neither a reply to it nor the version
+// row could be read, or the write may still be in transit. Repeating the same
+// apply with its id and base resolves the outcome.
 type Undecided struct {
 	ApplyID string
 	Base    int64
-	Err     error
+	// Err is the reason why the outcome is unknown.
+	Err error
 }
 
 // Error implements error.
@@ -54,10 +59,10 @@
 	return fmt.Sprintf("the outcome is not known: repeat it with -id %s -base %d: %v", u.ApplyID, u.Base, u.Err)
 }
 
-// Unwrap returns what kept the outcome from being known.
+// Unwrap returns the reason why the outcome is unknown.
 func (u *Undecided) Unwrap() error { return u.Err }
 
-// Store is what apply needs of the platform.
+// Store is the part of the platform that this package uses.
 type Store interface {
 	platform.Table
 	platform.Objects
@@ -66,21 +71,23 @@
 const (
 	// appliesRow is the table key of the record of recent applies.
 	appliesRow = "config/applies"
-	// appliesKept bounds the record. At 1,900 changes a day it reaches back
-	// three hours, longer than anybody repeats an apply of unknown outcome.
-	appliesKept = 256
-	// readBackTries and readBackPause bound the wait for the table after a
-	// lost answer.
-	readBackTries = 3
-	readBackPause = 300 * time.Millisecond
+	// maxRecentApplies is the maximum number of applies in the record. At 1,900
+	// changes a day the record covers three hours, which is longer than an
+	// operator keeps repeating an apply of unknown outcome.
+	maxRecentApplies = 256
+	// readBackTries and readBackInterval limit the wait for the table after a
+	// lost reply.
+	readBackTries    = 3
+	readBackInterval = 300 * time.Millisecond
 )
 
-// errNoAnswer is the cause of an Undecided whose row has not moved yet.
-var errNoAnswer = errors.New("the table did not answer, and the write may still take effect")
+// errNoReply is the cause of an Undecided if the version row is still unchanged.
+var errNoReply = errors.New("the table did not answer, and the write may still take effect")
 
-// Apply validates and publishes. It returns config.Problems for a wrong
-// configuration, a *Conflict if another operator won, an *Undecided if the
-// outcome is not known, and otherwise an error after which nothing was applied.
+// Apply validates and publishes a configuration. It returns config.Problems for
+// an invalid configuration, a *Conflict if another change came first and an
+// *Undecided if the outcome is not known. After any other error nothing was
+// applied.
 func Apply(ctx context.Context, s Store, req Request) (core.ConfigPointer, error) {
 	cfg, err := config.Parse(req.Files)
 	if err != nil {
@@ -93,18 +100,18 @@
 	if err := s.Put(ctx, hash, object); err != nil {
 		return core.ConfigPointer{}, fmt.Errorf("nothing was applied: publish configuration object: %w", err)
 	}
-	now, err := read(ctx, s)
+	now, err := readState(ctx, s)
 	if err != nil {
 		return core.ConfigPointer{}, fmt.Errorf("nothing was applied: read version row: %w", err)
 	}
-	return move(ctx, s, req, hash, now)
+	return applyOnce(ctx, s, req, hash, now)
 }
 
-// move moves the version row from the base to the new version and enters the
-// apply in the record, both or neither.
-func move(ctx context.Context, s Store, req Request, hash string, now state) (core.ConfigPointer, error) {
-	if done, ok := now.applied(req.ApplyID); ok {
-		return done, nil // a repeat of an apply that took effect
+// applyOnce changes the version row from the base to the new version and adds
+// the apply to the record, in one transaction.
+func applyOnce(ctx context.Context, s Store, req Request, hash string, now state) (core.ConfigPointer, error) {
+	if done, ok := now.findApplied(req.ApplyID); ok {
+		return done, nil // repeated apply that has already taken effect
 	}
 	if req.Base >= 0 && now.pointer.Number != req.Base {
 		return core.ConfigPointer{}, now.conflict()
@@ -115,10 +122,10 @@
 	return commit(ctx, s, now, next)
 }
 
-// commit puts a pointer in force, unless another has taken the place of the one that was
+// commit puts the pointer next in force, unless the version row has changed since now was
 // read.
 func commit(ctx context.Context, s Store, now state, next core.ConfigPointer) (core.ConfigPointer, error) {
-	tx, err := now.moveTo(next)
+	tx, err := now.transaction(next)
 	if err != nil {
 		return core.ConfigPointer{}, err
 	}
@@ -128,45 +135,48 @@
 	return readBack(ctx, s, next)
 }
 
-// readBack settles a conflict or a lost answer by the apply id.
+// readBack determines the outcome of a write after a conflict or a lost reply:
+// it looks up the apply id in the record.
 //
-// A write whose answer was lost may land after the read-back. It does no harm
-// then: its condition is the row's version, so that of this write and a repeat
-// of the apply only one can succeed.
+// A write whose reply was lost may be applied by the table after the read-back.
+// That does no harm: the write is conditional on the row's version, so that
+// either it or a repeat of the apply succeeds, but not both.
 func readBack(ctx context.Context, s Store, next core.ConfigPointer) (core.ConfigPointer, error) {
-	undecided := &Undecided{ApplyID: next.ApplyID, Base: next.Number - 1, Err: errNoAnswer}
+	undecided := &Undecided{ApplyID: next.ApplyID, Base: next.Number - 1, Err: errNoReply}
 	for range readBackTries {
-		now, err := read(ctx, s)
+		now, err := readState(ctx, s)
 		if err != nil {
 			undecided.Err = err
-		} else if done, ok := now.applied(next.ApplyID); ok {
+		} else if done, ok := now.findApplied(next.ApplyID); ok {
 			return done, nil
 		} else if now.pointer.Number >= next.Number {
 			return core.ConfigPointer{}, now.conflict()
 		} else {
-			undecided.Err = errNoAnswer
+			undecided.Err = errNoReply
 		}
 		select {
 		case <-ctx.Done():
 			return core.ConfigPointer{}, undecided
-		case <-time.After(readBackPause):
+		case <-time.After(readBackInterval):
 		}
 	}
 	return core.ConfigPointer{}, undecided
 }
 
-// state is what the table holds about configurations.
+// state is the content of the two rows about configurations in the table.
 type state struct {
-	current table.Row
-	applies table.Row
+	versionRow table.Row
+	recordRow  table.Row
+	// pointer is the decoded version row.
 	pointer core.ConfigPointer
-	// recent lists the latest applies, oldest first.
+	// recent is the decoded record of recent applies, oldest first.
 	recent []core.ConfigPointer
 }
 
-// applied finds an apply by its id among those that took effect, also when
-// others have been applied since: else its repeat would undo theirs.
-func (st state) applied(id string) (core.ConfigPointer, bool) {
+// findApplied looks up an apply by its id in the record of those that took
+// effect. The record includes applies that have been followed by others, since
+// otherwise repeating such an apply would undo the later ones.
+func (st state) findApplied(id string) (core.ConfigPointer, bool) {
 	for _, p := range st.recent {
 		if p.ApplyID == id && id != "" {
 			return p, true
@@ -175,13 +185,17 @@
 	return core.ConfigPointer{}, false
 }
 
+// conflict returns the error for a change that the version in force precludes.
 func (st state) conflict() *Conflict {
 	return &Conflict{Number: st.pointer.Number, Operator: st.pointer.Operator, ApplyID: st.pointer.ApplyID}
 }
 
-func (st state) moveTo(next core.ConfigPointer) (table.Tx, error) {
+// transaction returns the transaction that puts next in force and adds it to
+// the record of applies, on condition that neither row has changed since st was
+// read.
+func (st state) transaction(next core.ConfigPointer) (table.Tx, error) {
 	recent := append(slices.Clone(st.recent), next)
-	recent = recent[max(0, len(recent)-appliesKept):]
+	recent = recent[max(0, len(recent)-maxRecentApplies):]
 	record, err := json.Marshal(recent)
 	if err != nil {
 		return table.Tx{}, fmt.Errorf("nothing was applied: encode record of applies: %w", err)
@@ -192,28 +206,31 @@
 	}
 	return table.Tx{
 		Conds: []table.Cond{
-			{Key: core.ConfigRow, Version: st.current.Version},
-			{Key: appliesRow, Version: st.applies.Version},
+			{Key: core.ConfigRow, Version: st.versionRow.Version},
+			{Key: appliesRow, Version: st.recordRow.Version},
 		},
 		Writes: []table.Write{{Key: core.ConfigRow, Value: value}, {Key: appliesRow, Value: record}},
 	}, nil
 }
 
-func read(ctx context.Context, s Store) (state, error) {
+// readState reads and decodes the version row and the record of applies.
+func readState(ctx context.Context, s Store) (state, error) {
 	var st state
 	rows, err := s.Read(ctx, []string{core.ConfigRow, appliesRow})
 	if err != nil {
 		return st, err
 	}
-	st.current = table.Result{Rows: rows}.Find(core.ConfigRow)
-	st.applies = table.Result{Rows: rows}.Find(appliesRow)
-	if err := decode(st.current, &st.pointer); err != nil {
+	st.versionRow = table.Result{Rows: rows}.Find(core.ConfigRow)
+	st.recordRow = table.Result{Rows: rows}.Find(appliesRow)
+	if err := decodeRow(st.versionRow, &st.pointer); err != nil {
 		return st, err
 	}
-	return st, decode(st.applies, &st.recent)
+	return st, decodeRow(st.recordRow, &st.recent)
 }
 
-func decode(row table.Row, v any) error {
+// decodeRow decodes a row's value into v, and leaves v unchanged if the row does
+// not exist.
+func decodeRow(row table.Row, v any) error {
 	if row.Version == 0 {
 		return nil
 	}
@@ -223,11 +240,11 @@
 	return nil
 }
 
-// Current returns the configuration in force and its number, or an empty one
-// and 0 if none was applied.
+// Current returns the version number and the configuration in force. Before the
+// first apply it returns 0 and an empty configuration.
 func Current(ctx context.Context, s Store) (int64, *config.Config, error) {
-	st, err := read(ctx, s)
-	if err != nil || st.current.Version == 0 {
+	st, err := readState(ctx, s)
+	if err != nil || st.versionRow.Version == 0 {
 		return 0, &config.Config{}, err
 	}
 	object, err := s.Get(ctx, st.pointer.Hash)
--- a/internal/apply/apply_test.go
+++ b/internal/apply/apply_test.go
@@ -17,26 +17,30 @@
 	"mulberrylug.example/mulberrylug/internal/testkit"
 )
 
-// What a store does with a commit.
+// The behaviours of a store on a commit. All but the first report the outcome
+// as unknown.
 const (
-	answers = iota
-	losesAnswer
-	losesWrite
-	landsLater
-	outage // no read is answered either, until the next apply
-	behaviours
+	commits      = iota // the transaction is executed and its result returned
+	losesReply          // the transaction is executed
+	losesWrite          // the transaction is not executed
+	appliesLater        // the transaction is executed by applyLateWrites
+	outage              // the transaction is executed, and reads fail until down is reset
+	behaviourCount
 )
 
-// store is a table and object store that follows a script of behaviours.
+// store is a fake table and object store. Each commit takes its behaviour from
+// the script; after the script's end all commits succeed.
 type store struct {
 	script  []int
 	rows    map[string]table.Row
-	version int64
+	version int64 // version of the last row written
 	objects map[string][]byte
-	late    []table.Tx
-	down    bool
-	// moves lists the pointers that were ever in force, in order.
-	moves []core.ConfigPointer
+	// lateWrites holds the transactions that applyLateWrites will execute.
+	lateWrites []table.Tx
+	// down makes reads fail.
+	down bool
+	// history lists all pointers that have been in force, in order.
+	history []core.ConfigPointer
 }
 
 func newStore(script ...int) *store {
@@ -44,19 +48,19 @@
 }
 
 func (s *store) Commit(_ context.Context, tx table.Tx) table.Result {
-	behaviour := answers
+	behaviour := commits
 	if len(s.script) > 0 {
 		behaviour, s.script = s.script[0], s.script[1:]
 	}
 	switch behaviour {
-	case losesAnswer:
+	case losesReply:
 		s.commit(tx)
 	case outage:
 		s.commit(tx)
 		s.down = true
-	case landsLater:
-		s.late = append(s.late, tx)
-	case answers:
+	case appliesLater:
+		s.lateWrites = append(s.lateWrites, tx)
+	case commits:
 		return s.commit(tx)
 	}
 	return table.Result{Status: table.Unknown}
@@ -72,13 +76,13 @@
 		s.version++
 		s.rows[w.Key] = table.Row{Key: w.Key, Version: s.version, Value: w.Value}
 	}
-	if st, err := read(context.Background(), s); err == nil {
-		s.moves = append(s.moves, st.pointer)
+	if st, err := readState(context.Background(), s); err == nil {
+		s.history = append(s.history, st.pointer)
 	}
 	return table.Result{Status: table.Committed}
 }
 
-var errDown = errors.New("down")
+var errDown = errors.New("store is down")
 
 func (s *store) Read(_ context.Context, keys []string) ([]table.Row, error) {
 	if s.down {
@@ -100,16 +104,18 @@
 	return nil
 }
 
-// land lets the writes under way take effect, if they still can.
-func (s *store) land() {
-	for _, tx := range s.late {
+// applyLateWrites executes the delayed transactions. Those whose conditions no
+// longer hold have no effect.
+func (s *store) applyLateWrites() {
+	for _, tx := range s.lateWrites {
 		s.commit(tx)
 	}
-	s.late = nil
+	s.lateWrites = nil
 }
 
-func (s *store) effects(id string) (n int) {
-	for _, p := range s.moves {
+// timesApplied returns how often the apply with this id has taken effect.
+func (s *store) timesApplied(id string) (n int) {
+	for _, p := range s.history {
 		if p.ApplyID == id {
 			n++
 		}
@@ -117,27 +123,30 @@
 	return n
 }
 
+// request returns an apply of a valid configuration; different values of ttl
+// make different configurations.
 func request(id string, base int64, ttl int) Request {
 	text := fmt.Sprintf("deployment: {name: t, regions: {r: [a]}, entry_ttl: %ds, stream_key: a-key-that-is-long-enough-to-sign-with}", ttl+1)
 	return Request{Files: []config.File{{Name: "t.yaml", Data: []byte(text)}}, Operator: "op-" + id, ApplyID: id, Base: base}
 }
 
-// Operators apply, race each other, lose answers and repeat their applies, with
-// writes that land late. What each is told is true: "applied" took effect once,
-// "conflict" never does, and no repeat brings an older configuration back.
-func TestPromise7PropertyAppliesAreToldTruly(t *testing.T) {
+// Three operators apply concurrently, replies are lost, writes are applied late
+// and operators repeat their applies. Every reported outcome must be true: an
+// apply reported as applied took effect exactly once, an apply reported as a
+// conflict never takes effect, and no repeat restores an older configuration.
+func TestPromise7PropertyReportedApplyOutcomesAreTrue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		properties := gopter.NewProperties(testkit.Parameters())
-		properties.Property("told truly", prop.ForAll(func(script, who []int) string {
+		properties.Property("reported outcomes are true", prop.ForAll(func(script, steps []int) string {
 			s := newStore(script...)
 			last := map[int]Request{}
-			told := map[string]error{}
-			for n, code := range who {
+			reported := map[string]error{}
+			for n, code := range steps {
 				operator, repeat, base := code%3, code/3%2 == 1, int64(-1)
-				req, has := last[operator]
-				if !repeat || !has {
-					if code/6%2 == 1 && len(s.moves) > 0 {
-						base = s.moves[len(s.moves)-1].Number - int64(code/12%2) // as of now, or one too old
+				req, ok := last[operator]
+				if !repeat || !ok {
+					if code/6%2 == 1 && len(s.history) > 0 {
+						base = s.history[len(s.history)-1].Number - int64(code/12%2) // the version in force, or the one before
 					}
 					req = request(fmt.Sprintf("%d-%d", operator, n), base, n)
 				}
@@ -146,50 +155,53 @@
 				s.down = false
 				var undecided *Undecided
 				if errors.As(err, &undecided) {
-					req.Base = undecided.Base // as the message says
+					req.Base = undecided.Base // for the repeat, as the error message instructs
 				} else {
-					told[req.ApplyID] = err
+					reported[req.ApplyID] = err
 				}
 				last[operator] = req
 				if code/24%2 == 1 {
-					s.land()
+					s.applyLateWrites()
 				}
-				if why := s.wrong(told); why != "" {
-					return why
+				if violation := s.violation(reported); violation != "" {
+					return violation
 				}
 			}
-			s.land()
-			return s.wrong(told)
-		}, gen.SliceOf(gen.IntRange(0, behaviours-1)), gen.SliceOf(gen.IntRange(0, 47))))
+			s.applyLateWrites()
+			return s.violation(reported)
+		}, gen.SliceOf(gen.IntRange(0, behaviourCount-1)), gen.SliceOf(gen.IntRange(0, 47))))
 		properties.TestingRun(t)
 	})
 }
 
-// wrong compares what operators were told with what was ever in force.
-func (s *store) wrong(told map[string]error) string {
-	for n, p := range s.moves {
+// violation compares the outcomes reported to operators, by apply id, with the
+// history of pointers in force. It describes the first contradiction, or returns
+// "" if there is none.
+func (s *store) violation(reported map[string]error) string {
+	for n, p := range s.history {
 		if p.Number != int64(n+1) {
-			return fmt.Sprintf("version %d is the %dth", p.Number, n+1)
+			return fmt.Sprintf("version number = %d, want %d", p.Number, n+1)
 		}
-		if s.effects(p.ApplyID) != 1 {
-			return fmt.Sprintf("apply %s took effect %d times", p.ApplyID, s.effects(p.ApplyID))
+		if s.timesApplied(p.ApplyID) != 1 {
+			return fmt.Sprintf("apply %s took effect %d times, want 1", p.ApplyID, s.timesApplied(p.ApplyID))
 		}
 	}
-	for id, err := range told {
+	for id, err := range reported {
 		var conflict *Conflict
-		if err == nil && s.effects(id) != 1 {
-			return fmt.Sprintf("apply %s was told it took effect, and did %d times", id, s.effects(id))
+		if err == nil && s.timesApplied(id) != 1 {
+			return fmt.Sprintf("apply %s was reported as applied but took effect %d times, want 1", id, s.timesApplied(id))
 		}
-		if errors.As(err, &conflict) && s.effects(id) != 0 {
-			return fmt.Sprintf("apply %s was told of a conflict and took effect", id)
+		if errors.As(err, &conflict) && s.timesApplied(id) != 0 {
+			return fmt.Sprintf("apply %s was reported as a conflict but took effect", id)
 		}
 	}
 	return ""
 }
 
-// An apply whose answer was lost took effect, and another operator has applied
-// since. The first repeats its apply, as it was told to. It learns that it took
-// effect, and the other's configuration stays in force.
+// An apply takes effect but its reply is lost, and another operator applies
+// afterwards. The first operator then repeats the apply, as the error message
+// instructs. The repeat must report that the apply took effect, and must leave
+// the other operator's configuration in force.
 func TestPromise7RepeatedApplyDoesNotRevert(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newStore(outage)
@@ -202,17 +214,18 @@
 		s.down = false
 		second, err := Apply(ctx, s, request("second", -1, 2))
 		if err != nil || second.Number != 2 {
-			t.Fatalf("second apply = %+v, %v, want version 2", second, err)
+			t.Fatalf("second apply = %+v, error = %v; want version 2", second, err)
 		}
-		again, err := Apply(ctx, s, first)
-		if err != nil || again.Number != 1 || len(s.moves) != 2 {
-			t.Errorf("repeat = %+v, %v with %d moves, want version 1 and 2 moves", again, err, len(s.moves))
+		repeat, err := Apply(ctx, s, first)
+		if err != nil || repeat.Number != 1 || len(s.history) != 2 {
+			t.Errorf("repeated apply = %+v, error = %v, versions written = %d; want version 1 and 2 versions written", repeat, err, len(s.history))
 		}
 	})
 }
 
-// An operator who changed version 1 learns who made version 2.
-func TestPromise7LoserLearnsWhoWon(t *testing.T) {
+// An operator applies a change based on version 1 while version 2 is in force.
+// The conflict must name the operator and the apply id of version 2.
+func TestPromise7ConflictNamesTheOtherOperator(t *testing.T) {
 	s := newStore()
 	ctx := context.Background()
 	for _, id := range []string{"a", "b"} {
@@ -227,14 +240,14 @@
 	}
 }
 
-// Two operators change cordons and a configuration at the same time, and answers are lost.
-// No change may undo another's, an id that comes again changes nothing more, and applying a
-// configuration leaves the cordons as they are.
+// Cordon changes and applies alternate, and replies and writes are lost. No change may undo
+// another, a repeated id must not make a second change, and applying a configuration must leave
+// the cordons as they are.
 func TestPromise7CordonsAndAppliesLeaveEachOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newStore(answers, answers, losesAnswer, answers, losesWrite)
+		s := newStore(commits, commits, losesReply, commits, losesWrite)
 		if _, err := Cordon(t.Context(), s, CordonRequest{DataCentre: "a", ApplyID: "early"}); !errors.Is(err, errNoConfig) {
-			t.Errorf("error %v before the first configuration", err)
+			t.Errorf("cordon before the first configuration: error = %v, want errNoConfig", err)
 		}
 		for _, step := range []func() (core.ConfigPointer, error){
 			func() (core.ConfigPointer, error) { return Apply(t.Context(), s, request("1", -1, 1)) },
@@ -252,20 +265,20 @@
 		}
 		p, err := InForceNow(t.Context(), s)
 		if err != nil || fmt.Sprint(p.Cordoned) != "[a b]" || p.Number != 4 {
-			t.Errorf("in force %+v, error %v", p, err)
+			t.Errorf("pointer in force = %+v, error = %v; want version 4 with a and b cordoned", p, err)
 		}
 		if p, err = Cordon(t.Context(), s, CordonRequest{DataCentre: "a", ApplyID: "3"}); err != nil || p.Number != 3 {
-			t.Errorf("a repeat returned %+v, %v", p, err)
+			t.Errorf("cordon with a repeated id = %+v, error = %v; want version 3", p, err)
 		}
 		var undecided *Undecided
 		if _, err = Cordon(t.Context(), s, CordonRequest{DataCentre: "a", Lift: true, ApplyID: "5"}); !errors.As(err, &undecided) {
-			t.Errorf("error %v after a lost write", err)
+			t.Errorf("uncordon whose write was lost: error = %v, want *Undecided", err)
 		}
 		if p, err = Cordon(t.Context(), s, CordonRequest{DataCentre: "a", Lift: true, ApplyID: "5"}); err != nil || fmt.Sprint(p.Cordoned) != "[b]" {
-			t.Errorf("repeated: %+v, %v", p, err)
+			t.Errorf("uncordon repeated after a lost write = %+v, error = %v; want only b cordoned", p, err)
 		}
 		if p, err = Cordon(t.Context(), s, CordonRequest{DataCentre: "b", ApplyID: "6"}); err != nil || p.Number != 5 {
-			t.Errorf("what is so already: %+v, %v", p, err)
+			t.Errorf("cordon of a cordoned data centre = %+v, error = %v; want version 5 unchanged", p, err)
 		}
 	})
 }
--- a/internal/apply/cordon.go
+++ b/internal/apply/cordon.go
@@ -9,26 +9,29 @@
 	"mulberrylug.example/mulberrylug/internal/core"
 )
 
-// CordonRequest is an operator's wish that the upstreams of a data centre get no new work,
-// or get work again.
+// CordonRequest is an operator's request to cordon a data centre, so that its upstreams get no
+// new work, or to lift its cordon.
 type CordonRequest struct {
 	DataCentre string `json:"data_centre"`
-	Lift       bool   `json:"lift"`
-	Operator   string `json:"operator"`
-	// ApplyID is unique to this change: a lost answer is settled by it.
+	// Lift is true to lift the cordon, false to cordon.
+	Lift     bool   `json:"lift"`
+	Operator string `json:"operator"`
+	// ApplyID is unique to this change. It identifies the change after a lost reply.
 	ApplyID string `json:"apply_id"`
 }
 
-// cordonTries is how often a cordon is tried again that another operator's change forestalled:
-// it says nothing of the configuration, so that nothing is overwritten.
+// cordonTries is the maximum number of tries of a cordon change that conflicts with other
+// operators' changes. A retry overwrites nothing, since a cordon change leaves the configuration
+// as it is.
 const cordonTries = 5
 
-// errNoConfig refuses a cordon before the first configuration.
+// errNoConfig is the error for a cordon change before the first configuration.
 var errNoConfig = errors.New("no configuration is in force")
 
-// Cordon changes which data centres are cordoned, and leaves the configuration as it is. It
-// returns an *Undecided if the outcome is not known, and otherwise an error after which
-// nothing has changed. What is so already is no change.
+// Cordon cordons a data centre or lifts its cordon, and leaves the configuration as it is. It
+// returns an *Undecided if the outcome is not known. After any other error nothing has changed.
+// If the data centre is already in the requested state, Cordon writes nothing and returns the
+// pointer in force.
 func Cordon(ctx context.Context, s Store, req CordonRequest) (core.ConfigPointer, error) {
 	var err error
 	for range cordonTries {
@@ -44,12 +47,13 @@
 	return core.ConfigPointer{}, err
 }
 
+// cordonOnce makes one try of a cordon change.
 func cordonOnce(ctx context.Context, s Store, req CordonRequest) (core.ConfigPointer, error) {
-	now, err := read(ctx, s)
+	now, err := readState(ctx, s)
 	if err != nil {
 		return core.ConfigPointer{}, fmt.Errorf("nothing was changed: read version row: %w", err)
 	}
-	if done, ok := now.applied(req.ApplyID); ok {
+	if done, ok := now.findApplied(req.ApplyID); ok {
 		return done, nil
 	}
 	if now.pointer.Number == 0 {
@@ -68,8 +72,9 @@
 	return commit(ctx, s, now, next)
 }
 
-// InForceNow returns the pointer in force.
+// InForceNow returns the pointer in force: the version number with the configuration object's
+// hash and the cordoned data centres. Its number is 0 before the first apply.
 func InForceNow(ctx context.Context, s Store) (core.ConfigPointer, error) {
-	st, err := read(ctx, s)
+	st, err := readState(ctx, s)
 	return st.pointer, err
 }
--- a/internal/apply/remote.go
+++ b/internal/apply/remote.go
@@ -12,24 +12,25 @@
 	"mulberrylug.example/mulberrylug/internal/core/config"
 )
 
-// Answer is what an instance answers an operator who applies through it.
+// Answer is the body of an instance's HTTP response to an operator who applies a
+// change through it. Exactly one field is set.
 type Answer struct {
 	Applied   *core.ConfigPointer `json:"applied,omitempty"`
 	Problems  config.Problems     `json:"problems,omitempty"`
 	Conflict  *Conflict           `json:"conflict,omitempty"`
 	Undecided *UndecidedAnswer    `json:"undecided,omitempty"`
-	// Failed tells why nothing was applied.
+	// Failed is the reason why nothing was applied.
 	Failed string `json:"failed,omitempty"`
 }
 
-// UndecidedAnswer is an Undecided on the wire.
+// UndecidedAnswer is the JSON form of an Undecided.
 type UndecidedAnswer struct {
 	ApplyID string `json:"apply_id"`
 	Base    int64  `json:"base"`
 	Cause   string `json:"cause"`
 }
 
-// AnswerOf words the result of Apply, with its HTTP status.
+// AnswerOf returns the HTTP status and the body for a result of Apply or Cordon.
 func AnswerOf(p core.ConfigPointer, err error) (int, Answer) {
 	var conflict *Conflict
 	var undecided *Undecided
@@ -49,7 +50,7 @@
 	}
 }
 
-// result turns an answer back into what Apply returned.
+// result returns the result of Apply or Cordon that the answer was made from.
 func (a Answer) result() (core.ConfigPointer, error) {
 	switch {
 	case a.Applied != nil:
@@ -66,25 +67,27 @@
 	}
 }
 
-// Through applies through an instance's operator address. An answer that does
-// not come leaves the outcome unknown, as the instance may have applied.
+// Through sends an apply to an instance's operator address. It returns the same
+// results as Apply. Without a response the outcome is unknown, as the instance
+// may have applied the configuration.
 func Through(ctx context.Context, address string, req Request) (core.ConfigPointer, error) {
 	return post(ctx, address, "/v1/apply", req, Undecided{ApplyID: req.ApplyID, Base: req.Base})
 }
 
-// CordonThrough is Cordon through an instance's operator address.
+// CordonThrough sends a cordon change to an instance's operator address. It
+// returns the same results as Cordon.
 func CordonThrough(ctx context.Context, address string, req CordonRequest) (core.ConfigPointer, error) {
 	return post(ctx, address, "/v1/cordons", req, Undecided{ApplyID: req.ApplyID, Base: -1})
 }
 
-// post sends a change through an instance's operator address; undecided is what an answer
-// that does not come leaves.
+// post sends a change to an instance's operator address. If no valid response arrives, it
+// returns undecided with the cause.
 func post(ctx context.Context, address, path string, req any, undecided Undecided) (core.ConfigPointer, error) {
 	body, err := json.Marshal(req)
 	if err != nil {
 		return core.ConfigPointer{}, fmt.Errorf("nothing was applied: encode request: %w", err)
 	}
-	lost := func(err error) (core.ConfigPointer, error) {
+	noResponse := func(err error) (core.ConfigPointer, error) {
 		undecided.Err = fmt.Errorf("apply through %s: %w", address, err)
 		return core.ConfigPointer{}, &undecided
 	}
@@ -94,41 +97,41 @@
 	}
 	resp, err := http.DefaultClient.Do(r)
 	if err != nil {
-		return lost(err)
+		return noResponse(err)
 	}
 	defer resp.Body.Close()
 	var a Answer
 	if err := json.NewDecoder(resp.Body).Decode(&a); err != nil {
-		return lost(fmt.Errorf("status %d: decode: %w", resp.StatusCode, err))
+		return noResponse(fmt.Errorf("status %d: decode response: %w", resp.StatusCode, err))
 	}
 	return a.result()
 }
 
-// InForce is the configuration in force, as an instance's operator address
-// tells it.
+// InForce is the body of an operator address's response to a request for the
+// configuration in force.
 type InForce struct {
 	Number int64          `json:"number"`
 	Config *config.Config `json:"config"`
 }
 
-// CurrentThrough returns the configuration in force through an instance's
-// operator address.
+// CurrentThrough requests the version number and the configuration in force from
+// an instance's operator address.
 func CurrentThrough(ctx context.Context, address string) (int64, *config.Config, error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/v1/config", nil)
 	if err != nil {
-		return 0, nil, fmt.Errorf("ask %s for the configuration: %w", address, err)
+		return 0, nil, fmt.Errorf("get configuration from %s: %w", address, err)
 	}
 	resp, err := http.DefaultClient.Do(r)
 	if err != nil {
-		return 0, nil, fmt.Errorf("ask %s for the configuration: %w", address, err)
+		return 0, nil, fmt.Errorf("get configuration from %s: %w", address, err)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return 0, nil, fmt.Errorf("ask %s for the configuration: status %d", address, resp.StatusCode)
+		return 0, nil, fmt.Errorf("get configuration from %s: status %d", address, resp.StatusCode)
 	}
 	var f InForce
 	if err := json.NewDecoder(resp.Body).Decode(&f); err != nil || f.Config == nil {
-		return 0, nil, fmt.Errorf("ask %s for the configuration: decode: %w", address, err)
+		return 0, nil, fmt.Errorf("get configuration from %s: decode response: %w", address, err)
 	}
 	return f.Number, f.Config, nil
 }
