--- a/internal/prompt/prompt.go
+++ b/internal/prompt/prompt.go
@@ -1,5 +1,6 @@
-// Package prompt reads the parts of a completion request that matter to
-// placement: the model, the prompt's length and blocks, and the answer's bound.
+// Package prompt parses the parts of a completion request that placement uses:
+// the model, the length and the prefix hashes of the prompt, and the maximum
+// number of output tokens.
 package prompt
 
 import (
@@ -12,33 +13,39 @@
 )
 
 const (
-	// bytesPerToken is the usual rule of thumb for a prompt's length.
+	// bytesPerToken is the usual rule of thumb for estimating the length of a
+	// prompt in tokens.
 	bytesPerToken = 4
-	// blockBytes is the size of a block of which the prefix is hashed.
+	// blockBytes is the size of a block of the prompt in Request.Prefix.
 	blockBytes = 64 * bytesPerToken
-	// maxBlocks bounds the hashes that a request carries.
+	// maxBlocks is the maximum number of hashes in Request.Prefix.
 	maxBlocks = 32
 )
 
-// Errors of a request body.
+// Errors for an invalid request body.
 var (
-	ErrNoPrompt  = errors.New("prompt: must be set, or messages")
+	ErrNoPrompt  = errors.New("prompt: prompt or messages must be set")
 	ErrNoModel   = errors.New("model: must be set")
 	ErrMaxTokens = errors.New("max_tokens: must not be negative")
 )
 
 // Request is a parsed completion request.
 type Request struct {
-	Model     string
-	Text      string
-	Stream    bool
+	Model string
+	// Text is the prompt followed by the messages, each as "role: content".
+	Text   string
+	Stream bool
+	// MaxTokens is the maximum number of output tokens, or 0 if not set.
 	MaxTokens int
-	// Tokens is the prompt's estimated length.
+	// Tokens is the estimated length of Text in tokens.
 	Tokens int
-	// Prefix holds chained hashes of the prompt's whole blocks.
+	// Prefix holds a hash for each complete block of Text, at most maxBlocks.
+	// Each hash covers its block and all blocks before it, so that prompts with
+	// the same beginning have the same first hashes.
 	Prefix []uint64
 }
 
+// wire is the JSON form of a completion request.
 type wire struct {
 	Model     string    `json:"model"`
 	Prompt    string    `json:"prompt"`
@@ -52,7 +59,8 @@
 	Content string `json:"content"`
 }
 
-// Parse reads a body of /v1/completions or /v1/chat/completions.
+// Parse parses the body of a request to /v1/completions or
+// /v1/chat/completions.
 func Parse(body []byte) (Request, error) {
 	var w wire
 	if err := json.Unmarshal(body, &w); err != nil {
@@ -72,22 +80,24 @@
 	}
 	return Request{
 		Model: w.Model, Text: text, Stream: w.Stream, MaxTokens: w.MaxTokens,
-		Tokens: (len(text) + bytesPerToken - 1) / bytesPerToken, Prefix: blocks(text),
+		Tokens: (len(text) + bytesPerToken - 1) / bytesPerToken, Prefix: prefixHashes(text),
 	}, nil
 }
 
-func blocks(text string) []uint64 {
+// prefixHashes returns the hashes for Request.Prefix.
+func prefixHashes(text string) []uint64 {
 	var out []uint64
 	d := xxhash.New()
 	for len(text) >= blockBytes && len(out) < maxBlocks {
-		_, _ = d.WriteString(text[:blockBytes]) // a hash never fails
+		_, _ = d.WriteString(text[:blockBytes]) // a hash never returns an error
 		text = text[blockBytes:]
 		out = append(out, d.Sum64())
 	}
 	return out
 }
 
-// ForEngine rewrites a body for the engine: streamed, with the answer's bound.
+// ForEngine returns a copy of a request body for the engine, in which streaming
+// is enabled and max_tokens is set to maxTokens. Other fields are unchanged.
 func ForEngine(body []byte, maxTokens int) ([]byte, error) {
 	fields := map[string]json.RawMessage{}
 	if err := json.Unmarshal(body, &fields); err != nil {
