--- a/cmd/mulberrylug/main.go
+++ b/cmd/mulberrylug/main.go
@@ -1,4 +1,5 @@
-// Command mulberrylug serves generations of unknown length on crowded engines.
+// Command mulberrylug serves generations of unknown length on heavily loaded
+// engines. Package cli has its commands.
 package main
 
 import (
--- a/internal/cli/apply_test.go
+++ b/internal/cli/apply_test.go
@@ -12,7 +12,7 @@
 	"mulberrylug.example/mulberrylug/internal/standin/platform"
 )
 
-// run executes a command with its command line.
+// run executes a command with the given flags and arguments.
 func run(t *testing.T, c subcommands.Command, args ...string) subcommands.ExitStatus {
 	t.Helper()
 	f := flag.NewFlagSet(c.Name(), flag.ContinueOnError)
@@ -23,8 +23,10 @@
 	return c.Execute(context.Background(), f)
 }
 
-// An operator applies, a second one applies on the same base and is told of the
-// conflict, the first repeats its apply, and then the store goes down.
+// The exit code must tell an applied configuration from a conflict, an invalid
+// command line and an unavailable store. The cases run in order on one platform:
+// after the first apply, another on the same base conflicts and a repeat of the
+// first succeeds.
 func TestApplyExitCodes(t *testing.T) {
 	p := platform.New()
 	srv, err := standin.Start("127.0.0.1:0", p)
@@ -32,7 +34,7 @@
 		t.Fatal(err)
 	}
 	defer srv.Close()
-	at := "-platform=http://" + srv.Address()
+	platformFlag := "-platform=http://" + srv.Address()
 	periyar, matrica := filepath.Join(examples, "periyar"), filepath.Join(examples, "matrica")
 	for _, c := range []struct {
 		name string
@@ -41,14 +43,14 @@
 		want subcommands.ExitStatus
 		down bool
 	}{
-		{"first", &applyCmd{}, []string{at, "-f", periyar, "-id", "a", "-base", "0"}, exitOK, false},
-		{"diff", &diffCmd{}, []string{at, matrica}, exitOK, false},
-		{"conflict", &applyCmd{}, []string{at, "-f", matrica, "-id", "b", "-base", "0"}, exitConflict, false},
-		{"repeat", &applyCmd{}, []string{at, "-f", periyar, "-id", "a", "-base", "0"}, exitOK, false},
-		{"on the version in force", &applyCmd{}, []string{at, "-f", matrica}, exitOK, false},
-		{"no target", &applyCmd{}, []string{"-f", matrica}, exitUsage, false},
-		{"no directory", &applyCmd{}, []string{at, "-f", t.TempDir()}, exitUsage, false},
-		{"store down", &applyCmd{}, []string{at, "-f", matrica}, exitFailed, true},
+		{"first", &applyCmd{}, []string{platformFlag, "-f", periyar, "-id", "a", "-base", "0"}, exitOK, false},
+		{"diff", &diffCmd{}, []string{platformFlag, matrica}, exitOK, false},
+		{"conflict", &applyCmd{}, []string{platformFlag, "-f", matrica, "-id", "b", "-base", "0"}, exitConflict, false},
+		{"repeat", &applyCmd{}, []string{platformFlag, "-f", periyar, "-id", "a", "-base", "0"}, exitOK, false},
+		{"on the version in force", &applyCmd{}, []string{platformFlag, "-f", matrica}, exitOK, false},
+		{"neither platform nor operator address", &applyCmd{}, []string{"-f", matrica}, exitUsage, false},
+		{"empty directory", &applyCmd{}, []string{platformFlag, "-f", t.TempDir()}, exitUsage, false},
+		{"store down", &applyCmd{}, []string{platformFlag, "-f", matrica}, exitFailed, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p.SetFaults(platform.Faults{Down: c.down})
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,4 @@
-// Package cli is the command line: one file for each group of commands.
+// Package cli implements the command line of mulberrylug.
 package cli
 
 import (
@@ -16,19 +16,20 @@
 // Exit codes.
 const (
 	exitOK = subcommands.ExitSuccess
-	// exitFailed: the command was understood and did not succeed.
+	// exitFailed: the command line was valid, but the command failed.
 	exitFailed = subcommands.ExitFailure
-	// exitUsage: the command line, a settings file or a configuration is wrong.
+	// exitUsage: the command line, a settings file or a configuration is invalid.
 	exitUsage = subcommands.ExitUsageError
 	// exitConflict: another operator's change came first.
 	exitConflict subcommands.ExitStatus = 3
-	// exitNotRun, exitPartial and exitUnknown: the request's outcome.
+	// exitNotRun, exitPartial and exitUnknown: the outcome of the request, as in
+	// package client.
 	exitNotRun  subcommands.ExitStatus = 4
 	exitPartial subcommands.ExitStatus = 5
 	exitUnknown subcommands.ExitStatus = 6
 )
 
-// Version is set by the build.
+// Version is the version that the command "version" prints. The build sets it.
 var Version = "dev"
 
 // Main runs the command line and returns the exit code.
@@ -52,10 +53,10 @@
 	c.Register(&standinCmd{}, "trying out")
 	c.Register(&demoCmd{}, "trying out")
 	c.Register(&experimentCmd{}, "trying out")
-	c.Explain = func(w io.Writer) { explainAll(c, w) }
+	c.Explain = func(w io.Writer) { printHelp(c, w) }
 	flag.Usage = func() { c.Explain(flag.CommandLine.Output()) }
 	flag.Parse()
-	if name := flag.Arg(0); name != "" && !known(c, name) {
+	if name := flag.Arg(0); name != "" && !isCommand(c, name) {
 		return int(fail(exitUsage, fmt.Errorf("%q is no command; see mulberrylug help", name)))
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
@@ -63,32 +64,33 @@
 	return int(c.Execute(ctx))
 }
 
-// explainAll prints all commands, in the groups' order, and the exit codes.
-func explainAll(c *subcommands.Commander, w io.Writer) {
+// printHelp prints all commands, by group, and the exit codes.
+func printHelp(c *subcommands.Commander, w io.Writer) {
 	fmt.Fprint(w, "Usage: mulberrylug COMMAND [flags] [arguments]\n")
 	c.VisitGroups(func(g *subcommands.CommandGroup) {
 		fmt.Fprintf(w, "\nCommands for %s:\n", g.Name())
-		c.VisitCommands(func(of *subcommands.CommandGroup, cmd subcommands.Command) {
-			if of == g {
+		c.VisitCommands(func(group *subcommands.CommandGroup, cmd subcommands.Command) {
+			if group == g {
 				fmt.Fprintf(w, "  %-10s %s\n", cmd.Name(), cmd.Synopsis())
 			}
 		})
 	})
 	fmt.Fprint(w, `
-mulberrylug help COMMAND tells a command's flags.
+mulberrylug help COMMAND prints the flags of a command.
 
 Exit codes:
   0  done
-  1  the command was understood and did not succeed
-  2  the command line, a settings file or a configuration is wrong
+  1  the command line was valid, but the command failed
+  2  the command line, a settings file or a configuration is invalid
   3  another operator's change came first
   4  the request did not run
-  5  the answer ended early
+  5  the response ended early
   6  the request may have run
 `)
 }
 
-func known(c *subcommands.Commander, name string) bool {
+// isCommand reports whether c has a command of this name.
+func isCommand(c *subcommands.Commander, name string) bool {
 	found := false
 	c.VisitCommands(func(_ *subcommands.CommandGroup, cmd subcommands.Command) {
 		found = found || cmd.Name() == name
@@ -96,7 +98,8 @@
 	return found
 }
 
-// noArguments refuses what a command would silently ignore.
+// noArguments returns an error if the command line has arguments, which a
+// command without arguments would otherwise ignore silently.
 func noArguments(command string, f *flag.FlagSet) error {
 	if f.NArg() > 0 {
 		return fmt.Errorf("%s: takes no argument, got %q", command, f.Arg(0))
@@ -104,7 +107,7 @@
 	return nil
 }
 
-// fail prints one line and returns the status.
+// fail prints an error to standard error and returns the status.
 func fail(status subcommands.ExitStatus, err error) subcommands.ExitStatus {
 	fmt.Fprintf(os.Stderr, "mulberrylug: %v\n", err)
 	return status
--- a/internal/cli/config_test.go
+++ b/internal/cli/config_test.go
@@ -10,23 +10,24 @@
 	"testing"
 )
 
+// examples is the directory of the example configurations.
 const examples = "../../examples"
 
 func TestCheckExamples(t *testing.T) {
 	for _, name := range []string{"periyar", "matrica"} {
-		if status, said := check(t, filepath.Join(examples, name)); status != exitOK {
-			t.Errorf("check %s = %d, want %d:\n%s", name, status, exitOK, said)
+		if status, stderr := check(t, filepath.Join(examples, name)); status != exitOK {
+			t.Errorf("check %s: exit status = %d, want %d; standard error:\n%s", name, status, exitOK, stderr)
 		}
 	}
 }
 
-// An instance's settings are checked like a configuration: each problem with file and
-// line, and what is allowed.
-func TestCheckOfSettings(t *testing.T) {
+// An instance's settings are checked like a configuration: each problem is reported with
+// its file, its line and the allowed values.
+func TestCheckSettings(t *testing.T) {
 	good := "name: e\ndata_centre: a\nplatform: http://127.0.0.1:1\ncaller_address: 127.0.0.1:7011\n" +
 		"peer_address: 127.0.0.1:7012\noperator_address: 127.0.0.1:7013\nwithout: [moves, near]\n"
 	for _, c := range []struct {
-		text, want string
+		text, want string // want is a part of standard error
 		status     any
 	}{
 		{good, "", exitOK},
@@ -36,25 +37,28 @@
 		if err := os.WriteFile(file, []byte(c.text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		status, said := checkWith(t, &checkCmd{settings: file})
-		if status != c.status || !strings.Contains(said, c.want) {
-			t.Errorf("status %v, want %v: %q lacks %q", status, c.status, said, c.want)
+		status, stderr := checkWith(t, &checkCmd{settings: file})
+		if status != c.status || !strings.Contains(stderr, c.want) {
+			t.Errorf("exit status = %v, want %v; standard error = %q, want it to contain %q", status, c.status, stderr, c.want)
 		}
 	}
 }
 
-// broken is one edit of an example deployment and the line that check must
-// print for it.
-type broken struct {
-	name     string
-	file     string
+// brokenCopy is one edit that makes a copy of an example configuration invalid,
+// and the position of the problem that check must print for it.
+type brokenCopy struct {
+	name string
+	file string
+	// The first occurrence of old in the file is replaced by new. If old is "*",
+	// new replaces the complete file.
 	old, new string
 	line     int
 	field    string
 }
 
-// brokenCopies edits both examples, which share these texts.
-var brokenCopies = []broken{
+// brokenCopies lists edits that apply to each example, since both contain the
+// replaced texts.
+var brokenCopies = []brokenCopy{
 	{"unknown field", "deployment.yaml", "  entry_ttl: 30s", "  entry_time: 30s", 11, "deployment.entry_time"},
 	{"unit missing", "deployment.yaml", "resume_window: 30s", "resume_window: 30", 12, "deployment.resume_window"},
 	{"key set twice", "deployment.yaml", "  resume_window: 30s", "  entry_ttl: 20s", 12, "deployment.entry_ttl"},
@@ -84,28 +88,31 @@
 	{"not YAML", "organisations.yaml", "organisations:\n", "organisations: {\n", 4, "document"},
 }
 
-// The operator sees one line with file, line and field for each broken copy of
-// an example, and an exit code other than 0: nothing of it could be applied.
+// For each invalid copy of an example, check must exit with exitUsage and print
+// the file, line and field of the problem, so that an operator can correct it
+// before an apply.
 func TestCheckBrokenCopies(t *testing.T) {
 	for _, example := range []string{"periyar", "matrica"} {
 		for _, b := range brokenCopies {
 			t.Run(example+"/"+b.name, func(t *testing.T) {
 				dir := t.TempDir()
-				copyBroken(t, filepath.Join(examples, example), dir, b)
-				status, said := check(t, dir)
+				writeBrokenCopy(t, filepath.Join(examples, example), dir, b)
+				status, stderr := check(t, dir)
 				if status != exitUsage {
 					t.Errorf("exit status = %d, want %d", status, exitUsage)
 				}
 				want := fmt.Sprintf("%s:%d: %s: ", filepath.Join(dir, b.file), b.line, b.field)
-				if !strings.HasPrefix(said, want) || !strings.Contains(said, "; ") {
-					t.Errorf("said %q, want a line that begins with %q", said, want)
+				if !strings.HasPrefix(stderr, want) || !strings.Contains(stderr, "; ") {
+					t.Errorf("standard error = %q, want it to begin with %q and to contain a semicolon before the allowed values", stderr, want)
 				}
 			})
 		}
 	}
 }
 
-func copyBroken(t *testing.T, from, to string, b broken) {
+// writeBrokenCopy copies the configuration in directory from to directory to and
+// applies the edit b to the copy.
+func writeBrokenCopy(t *testing.T, from, to string, b brokenCopy) {
 	t.Helper()
 	files, err := readDir(from)
 	if err != nil {
@@ -118,7 +125,7 @@
 				text = b.new
 			}
 			if text == string(f.Data) {
-				t.Fatalf("the edit changes nothing: %q is not in %s", b.old, f.Name)
+				t.Fatalf("the edit has no effect: %q does not occur in %s", b.old, f.Name)
 			}
 		}
 		if err := os.WriteFile(filepath.Join(to, filepath.Base(f.Name)), []byte(text), 0o600); err != nil {
@@ -127,24 +134,25 @@
 	}
 }
 
-// check runs the command and returns its exit status and what it said on
+// check runs the command on a directory and returns its exit status and its
 // standard error.
-func check(t *testing.T, dir string) (status any, said string) {
+func check(t *testing.T, dir string) (status any, stderr string) {
 	t.Helper()
 	return checkWith(t, &checkCmd{}, dir)
 }
 
-// checkWith is check with its flags and arguments.
-func checkWith(t *testing.T, c *checkCmd, args ...string) (status any, said string) {
+// checkWith runs the command c with arguments and returns its exit status and its
+// standard error.
+func checkWith(t *testing.T, c *checkCmd, args ...string) (status any, stderr string) {
 	t.Helper()
 	out, err := os.CreateTemp(t.TempDir(), "stderr")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer out.Close()
-	stderr := os.Stderr
+	saved := os.Stderr
 	os.Stderr = out
-	defer func() { os.Stderr = stderr }()
+	defer func() { os.Stderr = saved }()
 	f := flag.NewFlagSet("check", flag.ContinueOnError)
 	if err := f.Parse(args); err != nil {
 		t.Fatal(err)
--- a/internal/cli/cordon.go
+++ b/internal/cli/cordon.go
@@ -20,8 +20,10 @@
 // cordonCmd cordons a data centre, or lifts its cordon.
 type cordonCmd struct {
 	target
-	lift   bool
-	by, id string
+	// lift is true for the command uncordon.
+	lift bool
+	// operatorName and id are stored with the change.
+	operatorName, id string
 }
 
 func (c *cordonCmd) Name() string {
@@ -33,26 +35,27 @@
 
 func (c *cordonCmd) Synopsis() string {
 	if c.lift {
-		return "give a data centre's upstreams work again"
+		return "lift the cordon of a data centre"
 	}
-	return "give a data centre's upstreams no new work"
+	return "stop placing new work on a data centre's upstreams"
 }
 
 func (c *cordonCmd) Usage() string {
 	return c.Name() + ` (-platform URL | -operator-address HOST:PORT) [-operator NAME] [-id ID] DATA-CENTRE:
-  Cordon a data centre, or lift its cordon: a cordoned one's upstreams get no new
-  work, and what runs there runs on. It is in force everywhere within two seconds.
-  A change that was cut off is repeated with the id that it printed. Exit codes:
-  0 done, 1 nothing was changed, 2 a wrong command line, 3 other operators' changes
-  came first, 6 the outcome is not known.
+  Cordon a data centre, or lift its cordon. The upstreams of a cordoned data centre
+  get no new work; requests that are running there continue. The change is in force
+  everywhere within two seconds. To complete a change that was interrupted, repeat the
+  command with the id that it printed. Exit codes: 0 done, 1 nothing was changed,
+  2 invalid command line, 3 other operators' changes came first, 6 the outcome is
+  not known.
 
 `
 }
 
 func (c *cordonCmd) SetFlags(f *flag.FlagSet) {
-	c.set(f)
-	f.StringVar(&c.by, "operator", os.Getenv("USER"), "who asks for it")
-	f.StringVar(&c.id, "id", "", "id of this change; default a fresh one")
+	c.setFlags(f)
+	f.StringVar(&c.operatorName, "operator", os.Getenv("USER"), "operator's name, recorded with the change")
+	f.StringVar(&c.id, "id", "", "id of this change; default a random one")
 }
 
 func (c *cordonCmd) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
@@ -70,7 +73,7 @@
 		c.id = fmt.Sprintf("%016x", rand.Uint64())
 	}
 	fmt.Printf("if this is cut off, repeat it with -id %s\n", c.id)
-	p, err := c.change(ctx, apply.CordonRequest{DataCentre: dataCentre, Lift: c.lift, Operator: c.by, ApplyID: c.id})
+	p, err := c.change(ctx, apply.CordonRequest{DataCentre: dataCentre, Lift: c.lift, Operator: c.operatorName, ApplyID: c.id})
 	if err != nil {
 		return failApply(err)
 	}
@@ -78,13 +81,13 @@
 	return exitOK
 }
 
-// checkDataCentre refuses a name that the configuration in force does not have. A cordon may
-// outlive its data centre, so that lifting takes any name.
+// checkDataCentre fails if the configuration in force has no data centre of this name. Any name
+// is accepted when a cordon is lifted, since a cordon may outlive its data centre.
 func (c *cordonCmd) checkDataCentre(ctx context.Context, name string) subcommands.ExitStatus {
 	if c.lift {
 		return exitOK
 	}
-	_, cfg, err := c.current(ctx)
+	_, cfg, err := c.currentConfig(ctx)
 	if err != nil {
 		return fail(exitFailed, fmt.Errorf("cordon: nothing was changed: %w", err))
 	}
@@ -98,13 +101,15 @@
 	return fail(exitUsage, fmt.Errorf("cordon: the configuration in force has no data centre %q", name))
 }
 
+// change makes the change through the platform or an instance, whichever is set.
 func (c *cordonCmd) change(ctx context.Context, req apply.CordonRequest) (core.ConfigPointer, error) {
-	if c.operator != "" {
-		return apply.CordonThrough(ctx, c.operator, req)
+	if c.operatorAddress != "" {
+		return apply.CordonThrough(ctx, c.operatorAddress, req)
 	}
-	return apply.Cordon(ctx, platform.NewClient(c.platform), req)
+	return apply.Cordon(ctx, platform.NewClient(c.platformURL), req)
 }
 
+// listOrNone joins the list with commas, or returns "none" if it is empty.
 func listOrNone(list []string) string {
 	if len(list) == 0 {
 		return "none"
@@ -119,28 +124,28 @@
 func (*cordonsCmd) Synopsis() string { return "list the cordoned data centres" }
 func (*cordonsCmd) Usage() string {
 	return `cordons (-platform URL | -operator-address HOST:PORT):
-  Print which data centres are cordoned: as the table has it, or as an instance
-  knows it, with the age of that knowledge. Exit codes: 0 printed, 1 nobody
-  answered, 2 a wrong command line.
+  Print the cordoned data centres: with -platform those in the table, with
+  -operator-address those in the view of an instance, and the age of that view.
+  Exit codes: 0 printed, 1 no response, 2 invalid command line.
 
 `
 }
 
-func (c *cordonsCmd) SetFlags(f *flag.FlagSet) { c.set(f) }
+func (c *cordonsCmd) SetFlags(f *flag.FlagSet) { c.setFlags(f) }
 
 func (c *cordonsCmd) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if err := errors.Join(noArguments("cordons", f), c.check("cordons")); err != nil {
 		return fail(exitUsage, err)
 	}
-	if c.operator != "" {
-		body, err := askOperator(ctx, http.MethodGet, c.operator, "/v1/cordons")
+	if c.operatorAddress != "" {
+		body, err := callOperator(ctx, http.MethodGet, c.operatorAddress, "/v1/cordons")
 		if err != nil {
 			return fail(exitFailed, err)
 		}
 		fmt.Print(string(body))
 		return exitOK
 	}
-	p, err := apply.InForceNow(ctx, platform.NewClient(c.platform))
+	p, err := apply.InForceNow(ctx, platform.NewClient(c.platformURL))
 	if err != nil {
 		return fail(exitFailed, fmt.Errorf("cordons: %w", err))
 	}
--- a/internal/cli/demo.go
+++ b/internal/cli/demo.go
@@ -22,12 +22,14 @@
 }
 
 func (*demoCmd) Name() string     { return "demo" }
-func (*demoCmd) Synopsis() string { return "run a whole deployment in one process and judge it" }
+func (*demoCmd) Synopsis() string { return "run a deployment in one process and verify its promises" }
+
 func (*demoCmd) Usage() string {
 	return `demo [-requests N] [-seed S] [-faults] [-json]:
   Start the platform, engines, a booking service and three instances on loopback
-  TCP, send mixed generations and bookings, and compare what callers got with
-  what the stand-ins recorded. Exits with 1 if a promise was broken.
+  TCP, send a mix of generations and bookings, and compare the responses that
+  callers received with the records of the stand-ins. Exits with 1 if a promise
+  was broken.
 
 `
 }
@@ -35,16 +37,16 @@
 func (c *demoCmd) SetFlags(f *flag.FlagSet) {
 	f.IntVar(&c.requests, "requests", 300, "requests to send")
 	f.Uint64Var(&c.seed, "seed", 1, "seed of the workload")
-	f.BoolVar(&c.faults, "faults", false, "kill, cut, freeze and reclaim things meanwhile")
-	f.BoolVar(&c.json, "json", false, "end with one JSON line")
+	f.BoolVar(&c.faults, "faults", false, "inject crashes, freezes, outages, broken connections and reclaimed engines meanwhile")
+	f.BoolVar(&c.json, "json", false, "print the report as one JSON line")
 	f.StringVar(&c.log, "log", "off", "log level of the instances: off, error, warn, info or debug")
 }
 
-// check returns what is wrong with the flags.
+// check returns an error if the flags are invalid or there are arguments.
 func (c *demoCmd) check(f *flag.FlagSet) error {
-	const most = 100_000
-	if c.requests < 1 || c.requests > most {
-		return fmt.Errorf("demo: -requests must be 1 to %d, got %d", most, c.requests)
+	const maxRequests = 100_000
+	if c.requests < 1 || c.requests > maxRequests {
+		return fmt.Errorf("demo: -requests must be 1 to %d, got %d", maxRequests, c.requests)
 	}
 	levels := []string{"off", "error", "warn", "info", "debug"}
 	if !slices.Contains(levels, c.log) {
@@ -60,7 +62,7 @@
 	log, flush := newLogger(os.Stderr, c.log)
 	defer flush()
 	r, err := demo.Run(ctx, demo.Options{
-		Requests: c.requests, Seed: c.seed, Faults: c.faults, Log: log, Progress: progress,
+		Requests: c.requests, Seed: c.seed, Faults: c.faults, Log: log, Progress: printProgress,
 	})
 	if err != nil {
 		return fail(exitFailed, err)
@@ -76,13 +78,16 @@
 	return exitOK
 }
 
-func progress(ended, of int) {
-	const every = 50
-	if ended%every == 0 || ended == of {
-		fmt.Fprintf(os.Stderr, "progress ended=%d of=%d\n", ended, of)
+// printProgress prints the number of requests that have ended, every 50 requests
+// and at the end.
+func printProgress(ended, total int) {
+	const interval = 50
+	if ended%interval == 0 || ended == total {
+		fmt.Fprintf(os.Stderr, "progress ended=%d of=%d\n", ended, total)
 	}
 }
 
+// printReport prints the report as text.
 func printReport(r demo.Report) {
 	fmt.Printf("requests            %6d\n", r.Requests)
 	fmt.Printf("  done              %6d\n", r.Done)
@@ -99,7 +104,7 @@
 	fmt.Printf("not run, but ran    %6d\n", r.NotRunButRan)
 	fmt.Printf("answers crossed     %6d\n", r.AnswersCrossed)
 	fmt.Printf("overspend           %6d\n", r.Overspend)
-	for _, what := range r.Faults {
-		fmt.Printf("fault: %s\n", what)
+	for _, fault := range r.Faults {
+		fmt.Printf("fault: %s\n", fault)
 	}
 }
--- a/internal/cli/experiment.go
+++ b/internal/cli/experiment.go
@@ -15,10 +15,13 @@
 type experimentCmd struct {
 	file  string
 	seeds int
+	// plots is the directory for plots; empty for none.
 	plots string
-	// ablate plays the home without each mechanism in place of the file's variants.
+	// ablate replaces the file's variants by the system's own placement policy:
+	// with all its mechanisms, and without each one of them.
 	ablate bool
-	// ways plays the home in each other way of its decisions in their place.
+	// ways replaces the file's variants by the system's own placement policy:
+	// with the default way of each decision, and with each alternative way.
 	ways bool
 }
 
@@ -26,11 +29,11 @@
 func (*experimentCmd) Synopsis() string { return "compare variants of placement in virtual time" }
 func (*experimentCmd) Usage() string {
 	return `experiment -f FILE [-seeds N] [-ablate | -ways] [-plots DIR]:
-  Play variants of placement side by side on the workload that a YAML file
-  describes, in virtual time, on all processors, and print a table: worth and
-  time in flight are means over the seeds, the other figures medians. Each
-  variant is then compared with the first, seed by seed, with a confidence
-  interval of 95 %. With -plots, write a bar chart for each figure.
+  Simulate variants of placement on the workload that a YAML file describes, in
+  virtual time, on all processors, and print a table. Worth and time in flight are
+  means over the seeds, the other figures medians. Then print a comparison of each
+  variant with the first, seed by seed, with a confidence interval of 95 %. With
+  -plots, write a bar chart for each figure.
 
 `
 }
@@ -38,8 +41,8 @@
 func (c *experimentCmd) SetFlags(f *flag.FlagSet) {
 	f.StringVar(&c.file, "f", "", "experiment file")
 	f.IntVar(&c.seeds, "seeds", 5, "number of seeds")
-	f.BoolVar(&c.ablate, "ablate", false, "play the home, and it without each of its mechanisms, in place of the file's variants")
-	f.BoolVar(&c.ways, "ways", false, "play the home, and it in each other way of its decisions, in place of the file's variants")
+	f.BoolVar(&c.ablate, "ablate", false, "instead of the file's variants, simulate the system's own policy with all mechanisms and without each of them")
+	f.BoolVar(&c.ways, "ways", false, "instead of the file's variants, simulate the system's own policy with the default and with each alternative way of its decisions")
 	f.StringVar(&c.plots, "plots", "", "directory for plots; none if empty")
 }
 
@@ -66,7 +69,7 @@
 	case c.ways:
 		e.OtherWays()
 	}
-	rows, err := e.Run(c.seeds, func(done, all int) { fmt.Fprintf(os.Stderr, "\r%d of %d runs", done, all) })
+	rows, err := e.Run(c.seeds, func(done, total int) { fmt.Fprintf(os.Stderr, "\r%d of %d runs", done, total) })
 	fmt.Fprintln(os.Stderr)
 	if err != nil {
 		return fail(exitFailed, err)
--- a/internal/cli/log.go
+++ b/internal/cli/log.go
@@ -12,34 +12,38 @@
 	"github.com/hashicorp/go-hclog"
 )
 
-// logQueue bounds the lines that wait to be written.
-const logQueue = 4096
+// logQueueLen is the maximum number of lines that wait to be written.
+const logQueueLen = 4096
 
-// lineSink writes each event as one line of key=value pairs. It never makes
-// the caller wait: whoever reads the log may pause, and an instance whose loop
-// then stood still would look dead to its callers and peers. Lines beyond the
-// queue are dropped and counted in a line of their own.
+// lineSink writes each log event as one line of key=value pairs. It never blocks
+// the caller: the reader of the log may pause, and an instance whose event loop
+// waited for the reader would look dead to its callers and peers. Lines for
+// which the queue has no room are dropped; an event log_lines_dropped reports
+// their number.
 type lineSink struct {
-	level   hclog.Level
-	lines   chan string
+	level hclog.Level
+	lines chan string
+	// dropped counts the lines dropped since the last log_lines_dropped.
 	dropped atomic.Int64
 	once    sync.Once
-	written chan struct{}
+	// finished is closed after the last line was written.
+	finished chan struct{}
 }
 
 // newLogger returns a logger that writes to w, and a function that waits until
-// everything was written; nothing may be logged after it.
+// all queued lines have been written. The logger must not be used after that
+// function has been called.
 func newLogger(w io.Writer, level string) (hclog.Logger, func()) {
 	s := &lineSink{
-		level: hclog.LevelFromString(level), lines: make(chan string, logQueue), written: make(chan struct{}),
+		level: hclog.LevelFromString(level), lines: make(chan string, logQueueLen), finished: make(chan struct{}),
 	}
 	log := hclog.NewInterceptLogger(&hclog.LoggerOptions{Level: s.level, Output: io.Discard})
 	log.RegisterSink(s)
-	go s.write(w)
+	go s.writeLines(w)
 	return log, func() {
 		log.DeregisterSink(s)
 		s.once.Do(func() { close(s.lines) })
-		<-s.written
+		<-s.finished
 	}
 }
 
@@ -55,17 +59,19 @@
 	}
 }
 
-func (s *lineSink) write(w io.Writer) {
-	defer close(s.written)
+// writeLines writes lines from the queue until it is closed.
+func (s *lineSink) writeLines(w io.Writer) {
+	defer close(s.finished)
 	for line := range s.lines {
-		_, _ = io.WriteString(w, line) // there is nowhere to report it
+		_, _ = io.WriteString(w, line) // a failure to log can't be logged
 		if n := s.dropped.Swap(0); n > 0 {
 			_, _ = io.WriteString(w, formatLine(time.Now(), "", hclog.Warn, "log_lines_dropped", []any{"count", n}))
 		}
 	}
 }
 
-// formatLine writes the pairs in order and leaves empty values out.
+// formatLine formats an event as one line. The pairs keep their order; pairs with
+// an empty value are omitted.
 func formatLine(at time.Time, name string, level hclog.Level, event string, pairs []any) string {
 	var b strings.Builder
 	pair := func(key string, value any) {
--- a/internal/cli/log_test.go
+++ b/internal/cli/log_test.go
@@ -11,6 +11,9 @@
 	"github.com/hashicorp/go-hclog"
 )
 
+// Each event must be one line of key=value pairs in their order. Values with
+// special characters must be quoted, empty values and events below the log level
+// omitted.
 func TestLogLines(t *testing.T) {
 	var out bytes.Buffer
 	log, flush := newLogger(&out, "info")
@@ -25,7 +28,7 @@
 	}
 	lines := strings.Split(strings.TrimSpace(out.String()), "\n")
 	if len(lines) != len(want) {
-		t.Fatalf("%d lines, want %d:\n%s", len(lines), len(want), out.String())
+		t.Fatalf("lines = %d, want %d:\n%s", len(lines), len(want), out.String())
 	}
 	stamp := regexp.MustCompile(`^time=\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d\.\d{3}Z `)
 	for k, line := range lines {
@@ -35,8 +38,8 @@
 	}
 }
 
-// pausedWriter takes nothing until it is released, as a terminal with a paused
-// screen or a full pipe does.
+// pausedWriter blocks all writes until release is closed, like a terminal whose
+// output is paused or a full pipe.
 type pausedWriter struct {
 	release chan struct{}
 	out     bytes.Buffer
@@ -47,20 +50,22 @@
 	return w.out.Write(b)
 }
 
-// Whoever reads the log pauses. The instance must go on: its callers see no
-// pause, lines beyond the queue are dropped, and the log says how many.
-func TestPausedLogReaderHoldsNothingUp(t *testing.T) {
+// The reader of the log pauses while more lines are logged than the queue holds.
+// Logging must not block, since an instance would then stop serving its callers.
+// The lines beyond the queue must be dropped, and the log must report their
+// number.
+func TestLoggingDoesNotBlockOnPausedReader(t *testing.T) {
 	w := &pausedWriter{release: make(chan struct{})}
 	log, flush := newLogger(w, "info")
-	const lines = 2 * logQueue
+	const lines = 2 * logQueueLen
 	for n := range lines {
 		log.Info("request", "n", n)
 	}
 	close(w.release)
 	flush()
 	got := strings.Count(w.out.String(), "event=request")
-	if got < logQueue || got >= lines || !strings.Contains(w.out.String(), "event=log_lines_dropped count=") {
-		t.Errorf("%d of %d lines were written, want some dropped and their number told", got, lines)
+	if got < logQueueLen || got >= lines || !strings.Contains(w.out.String(), "event=log_lines_dropped count=") {
+		t.Errorf("lines written = %d of %d, want some dropped and an event log_lines_dropped", got, lines)
 	}
 }
 
--- a/internal/cli/operate.go
+++ b/internal/cli/operate.go
@@ -14,11 +14,12 @@
 	"github.com/google/subcommands"
 )
 
-// operatorTimeout bounds a question to an instance.
+// operatorTimeout limits a request to an instance's operator address.
 const operatorTimeout = 6 * time.Second
 
-// askOperator calls an instance's operator address and returns the body.
-func askOperator(ctx context.Context, method, address, path string) ([]byte, error) {
+// callOperator sends a request to an instance's operator address and returns the
+// body of the response.
+func callOperator(ctx context.Context, method, address, path string) ([]byte, error) {
 	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, nil)
@@ -40,25 +41,25 @@
 	return body, nil
 }
 
-// operatorFlag adds the flag for the instance to ask.
-func operatorFlag(f *flag.FlagSet, address *string) {
+// setOperatorFlag defines the flag for the operator address in f.
+func setOperatorFlag(f *flag.FlagSet, address *string) {
 	f.StringVar(address, "operator-address", "127.0.0.1:7003", "operator address of an instance, host:port")
 }
 
 type statusCmd struct{ address string }
 
 func (*statusCmd) Name() string     { return "status" }
-func (*statusCmd) Synopsis() string { return "ask an instance for its account of itself" }
+func (*statusCmd) Synopsis() string { return "print the state of an instance" }
 func (*statusCmd) Usage() string {
-	return "status [-operator-address HOST:PORT]:\n  Print an instance's state as JSON.\n"
+	return "status [-operator-address HOST:PORT]:\n  Print the state of an instance as JSON.\n"
 }
-func (c *statusCmd) SetFlags(f *flag.FlagSet) { operatorFlag(f, &c.address) }
+func (c *statusCmd) SetFlags(f *flag.FlagSet) { setOperatorFlag(f, &c.address) }
 
 func (c *statusCmd) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if err := noArguments("status", f); err != nil {
 		return fail(exitUsage, err)
 	}
-	body, err := askOperator(ctx, http.MethodGet, c.address, "/v1/status")
+	body, err := callOperator(ctx, http.MethodGet, c.address, "/v1/status")
 	if err != nil {
 		return fail(exitFailed, err)
 	}
@@ -69,17 +70,17 @@
 type explainCmd struct{ address string }
 
 func (*explainCmd) Name() string     { return "explain" }
-func (*explainCmd) Synopsis() string { return "print what was decided on a request" }
+func (*explainCmd) Synopsis() string { return "print the decisions on a request" }
 func (*explainCmd) Usage() string {
-	return "explain [-operator-address HOST:PORT] REQUEST-ID:\n  Print the decisions on a request, oldest first. Any instance can be asked.\n"
+	return "explain [-operator-address HOST:PORT] REQUEST-ID:\n  Print the decisions on a request, oldest first. Every instance can answer.\n"
 }
-func (c *explainCmd) SetFlags(f *flag.FlagSet) { operatorFlag(f, &c.address) }
+func (c *explainCmd) SetFlags(f *flag.FlagSet) { setOperatorFlag(f, &c.address) }
 
 func (c *explainCmd) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if f.NArg() != 1 {
 		return fail(exitUsage, errors.New("explain: name one request id"))
 	}
-	body, err := askOperator(ctx, http.MethodGet, c.address, "/v1/explain/"+url.PathEscape(f.Arg(0)))
+	body, err := callOperator(ctx, http.MethodGet, c.address, "/v1/explain/"+url.PathEscape(f.Arg(0)))
 	if err != nil {
 		return fail(exitFailed, err)
 	}
@@ -88,7 +89,7 @@
 		return fail(exitFailed, err)
 	}
 	if len(lines) == 0 {
-		return fail(exitFailed, fmt.Errorf("explain: nothing is recorded for %s", f.Arg(0)))
+		return fail(exitFailed, fmt.Errorf("explain: no decisions are recorded for request %s", f.Arg(0)))
 	}
 	for _, line := range lines {
 		fmt.Println(line)
@@ -99,17 +100,17 @@
 type drainCmd struct{ address string }
 
 func (*drainCmd) Name() string     { return "drain" }
-func (*drainCmd) Synopsis() string { return "make an instance leave without cutting anything off" }
+func (*drainCmd) Synopsis() string { return "shut an instance down without interrupting requests" }
 func (*drainCmd) Usage() string {
-	return "drain [-operator-address HOST:PORT]:\n  Make an instance leave. It stops once nothing runs and no caller may still\n  hold its address.\n"
+	return "drain [-operator-address HOST:PORT]:\n  Drain an instance. It stops once none of its requests is running and no caller\n  can still have its address cached.\n"
 }
-func (c *drainCmd) SetFlags(f *flag.FlagSet) { operatorFlag(f, &c.address) }
+func (c *drainCmd) SetFlags(f *flag.FlagSet) { setOperatorFlag(f, &c.address) }
 
 func (c *drainCmd) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
 	if err := noArguments("drain", f); err != nil {
 		return fail(exitUsage, err)
 	}
-	if _, err := askOperator(ctx, http.MethodPost, c.address, "/v1/drain"); err != nil {
+	if _, err := callOperator(ctx, http.MethodPost, c.address, "/v1/drain"); err != nil {
 		return fail(exitFailed, err)
 	}
 	fmt.Println("draining")
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -21,6 +21,8 @@
 	"mulberrylug.example/mulberrylug/platform"
 )
 
+// serveCmd runs one instance. The fields metricsPort, without and ways apply only
+// on a hosting platform.
 type serveCmd struct {
 	settings    string
 	metricsPort int
@@ -32,12 +34,12 @@
 func (*serveCmd) Synopsis() string { return "run one instance" }
 func (*serveCmd) Usage() string {
 	return `serve -settings FILE:
-  Run one instance until it is drained or interrupted. An interrupt drains: the
-  instance leaves the entry answers and stops once nothing runs any more. A
-  second interrupt stops it at once.
+  Run one instance until it is drained or interrupted. An interrupt drains the
+  instance: it is removed from the lists of entries and stops once none of its
+  requests is running. A second interrupt stops it at once.
 
-  On a hosting platform that names a settings file of its own in the
-  environment, that file is used and -settings must be left out.
+  On a hosting platform that names a settings file in the environment, that file
+  is used; omit -settings there.
 
 `
 }
@@ -45,8 +47,8 @@
 func (c *serveCmd) SetFlags(f *flag.FlagSet) {
 	f.StringVar(&c.settings, "settings", "settings.yaml", "settings file")
 	f.IntVar(&c.metricsPort, "metrics-port", 0, "port of the metrics on a hosting platform; 0 serves none")
-	f.StringVar(&c.without, "without", "", "on a hosting platform: mechanisms to leave out, separated by commas, for comparison")
-	f.StringVar(&c.ways, "ways", "", "on a hosting platform: how decisions are made that can be made in several ways, as decision=way, separated by commas")
+	f.StringVar(&c.without, "without", "", "on a hosting platform: mechanisms to disable for comparison, comma-separated")
+	f.StringVar(&c.ways, "ways", "", "on a hosting platform: ways of decisions other than the default, as decision=way, comma-separated")
 }
 
 func (c *serveCmd) Execute(ctx context.Context, f *flag.FlagSet, _ ...any) subcommands.ExitStatus {
@@ -80,11 +82,12 @@
 	return exitOK
 }
 
-// drainOnSignal drains at the first signal and stops at the second.
+// drainOnSignal drains the instance at the first signal, which ends the context
+// first, and stops it at the second.
 func drainOnSignal(first context.Context, d *daemon.Daemon, stop func()) {
 	<-first.Done()
 	d.Drain()
-	second := interrupted()
+	second := interrupts()
 	select {
 	case <-second:
 		stop()
@@ -92,11 +95,12 @@
 	}
 }
 
-// settingsEvery is how often the settings file is looked at: the platform may
-// change it without a signal.
-const settingsEvery = 2 * time.Second
+// settingsPollInterval is the interval between checks whether the settings file
+// has changed. The platform may change the file without sending a signal.
+const settingsPollInterval = 2 * time.Second
 
-// serveHosted runs an instance on the hosting platform.
+// serveHosted runs an instance on a hosting platform, with the settings file at
+// path.
 func (c *serveCmd) serveHosted(ctx context.Context, path string) subcommands.ExitStatus {
 	s, err := platform.LoadSettings(path)
 	if err != nil {
@@ -132,26 +136,26 @@
 	return exitOK
 }
 
-// followSettings reloads the settings on a signal, and when the file changes.
-// A file that can't be used leaves the settings as they are.
+// followSettings reloads the settings on SIGHUP and when the file has changed.
+// If the file is invalid, the previous settings stay in force.
 func followSettings(ctx context.Context, path string, r *hosted.Instance, log hclog.Logger) {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
-	t := time.NewTicker(settingsEvery)
+	t := time.NewTicker(settingsPollInterval)
 	defer t.Stop()
-	last := modified(path)
+	last := modTime(path)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-hup:
 		case <-t.C:
-			if modified(path).Equal(last) {
+			if modTime(path).Equal(last) {
 				continue
 			}
 		}
-		last = modified(path)
+		last = modTime(path)
 		s, err := platform.LoadSettings(path)
 		if err != nil {
 			log.Warn("reload_failed", "step", "settings", "error", err)
@@ -161,9 +165,9 @@
 	}
 }
 
-// modified returns when a file was last changed, or the zero time if it can't
-// be told.
-func modified(path string) time.Time {
+// modTime returns the modification time of a file, or the zero time if it can't
+// be determined.
+func modTime(path string) time.Time {
 	info, err := os.Stat(path)
 	if err != nil {
 		return time.Time{}
--- a/internal/cli/signal.go
+++ b/internal/cli/signal.go
@@ -6,8 +6,8 @@
 	"syscall"
 )
 
-// interrupted returns a channel that gets the next interrupt or termination.
-func interrupted() <-chan os.Signal {
+// interrupts returns a channel that receives the next SIGINT or SIGTERM.
+func interrupts() <-chan os.Signal {
 	ch := make(chan os.Signal, 1)
 	signal.Notify(ch, os.Interrupt, syscall.SIGTERM)
 	return ch
--- a/internal/cli/standin.go
+++ b/internal/cli/standin.go
@@ -19,37 +19,39 @@
 	"mulberrylug.example/mulberrylug/internal/standin/service"
 )
 
+// standinCmd runs one stand-in. dataCentre, name and role describe the upstream
+// that it announces to the platform.
 type standinCmd struct {
-	address, platform, name, role, dataCentre string
-	engine                                    engine.Settings
+	address, platformURL, name, role, dataCentre string
+	engine                                       engine.Settings
 }
 
 func (*standinCmd) Name() string     { return "standin" }
 func (*standinCmd) Synopsis() string { return "run a stand-in for an outside system" }
 func (*standinCmd) Usage() string {
 	return `standin [flags] platform|engine|service:
-  Run a stand-in for the platform, a model engine or a plain service, for trying
-  out and for tests. It keeps everything in memory.
+  Run a stand-in for the platform, a model engine or a plain service, for trials
+  and tests. It keeps all its data in memory.
 
 `
 }
 
 func (c *standinCmd) SetFlags(f *flag.FlagSet) {
 	f.StringVar(&c.address, "address", "127.0.0.1:0", "address to listen on")
-	f.StringVar(&c.platform, "platform", "", "base URL of the platform (engine and service)")
+	f.StringVar(&c.platformURL, "platform", "", "base URL of the platform (engine and service)")
 	f.StringVar(&c.name, "name", "", "name of the upstream (engine and service)")
-	f.StringVar(&c.role, "role", "", "service that it works for (engine and service)")
-	f.StringVar(&c.dataCentre, "data-centre", "", "its data centre (engine and service)")
+	f.StringVar(&c.role, "role", "", "service of the upstream (engine and service)")
+	f.StringVar(&c.dataCentre, "data-centre", "", "data centre of the upstream (engine and service)")
 	f.IntVar(&c.engine.Capacity, "capacity", 0, "engine: memory in tokens; 0 for the default")
-	f.IntVar(&c.engine.MaxBatch, "max-batch", 0, "engine: generations at once; 0 for the default")
-	f.DurationVar(&c.engine.Step, "step", 0, "engine: time of one decode step; 0 for the default")
-	f.Float64Var(&c.engine.Median, "median", 0, "engine: median answer in tokens; 0 for the default")
-	f.Float64Var(&c.engine.Sigma, "sigma", 0, "engine: sigma of the log-normal answer length")
+	f.IntVar(&c.engine.MaxBatch, "max-batch", 0, "engine: maximum number of concurrent generations; 0 for the default")
+	f.DurationVar(&c.engine.Step, "step", 0, "engine: duration of one decode step; 0 for the default")
+	f.Float64Var(&c.engine.Median, "median", 0, "engine: median output length in tokens; 0 for the defaults of -median and -sigma")
+	f.Float64Var(&c.engine.Sigma, "sigma", 0, "engine: sigma of the log-normal output length; used with -median")
 	f.BoolVar(&c.engine.ChecksFencing, "checks-fencing", false, "engine: refuse orders with an old fencing number")
-	f.StringVar(&c.engine.CrashOn, "crash-on", "", "engine: exit when a prompt contains this")
+	f.StringVar(&c.engine.CrashOn, "crash-on", "", "engine: exit when a prompt contains this text")
 }
 
-// check returns what is wrong with the flags.
+// check returns an error if the flags or the argument are invalid.
 func (c *standinCmd) check(f *flag.FlagSet) error {
 	if f.NArg() != 1 {
 		return errors.New("standin: name one of platform, engine, service")
@@ -57,7 +59,7 @@
 	switch kind := f.Arg(0); {
 	case kind != "platform" && kind != "engine" && kind != "service":
 		return fmt.Errorf("standin: %q is none of platform, engine, service", kind)
-	case kind == "platform" || c.platform == "":
+	case kind == "platform" || c.platformURL == "":
 		return nil
 	case c.name == "" || c.role == "" || c.dataCentre == "":
 		return fmt.Errorf("standin %s: -platform needs -name, -role and -data-centre as in the configuration", kind)
@@ -80,15 +82,15 @@
 		go e.Run(ctx.Done())
 		handler = e.Handler()
 	case "service":
-		const callsAtOnce = 32
-		handler = service.New(c.name, callsAtOnce).Handler()
+		const maxConcurrentCalls = 32
+		handler = service.New(c.name, maxConcurrentCalls).Handler()
 	}
 	srv, err := standin.Start(c.address, handler)
 	if err != nil {
 		return fail(exitFailed, err)
 	}
 	fmt.Printf("address=%s\n", srv.Address())
-	if c.platform != "" {
+	if c.platformURL != "" {
 		go c.announce(ctx, srv.Address())
 	}
 	<-ctx.Done()
@@ -96,10 +98,12 @@
 	return exitOK
 }
 
+// announce announces the upstream at address to the platform, once a second
+// until ctx ends.
 func (c *standinCmd) announce(ctx context.Context, address string) {
-	p := platformclient.NewClient(c.platform)
+	p := platformclient.NewClient(c.platformURL)
 	m := membership.Member{
 		Name: c.name, Role: c.role, DataCentre: c.dataCentre, Address: address, State: membership.Live,
 	}
-	standin.Every(ctx, time.Second, func() { _ = p.Announce(ctx, m) }) // told again in a second
+	standin.Every(ctx, time.Second, func() { _ = p.Announce(ctx, m) }) // a failed announcement is repeated in a second
 }
