--- a/client/stream.go
+++ b/client/stream.go
@@ -43,9 +43,9 @@
 	// resumeTries is the maximum number of consecutive retries without
 	// progress, i.e. without a new token, after connections that broke.
 	resumeTries = 6
-	// sendsMax is the maximum number of times that a request is sent whose
-	// connection breaks before the first token: whether the earlier one has
-	// begun to run is unknown.
+	// sendsMax is the maximum number of times that a request is sent if each
+	// connection breaks before the first token. It is low since each of the
+	// requests may have begun to run.
 	sendsMax = 2
 	// baseBackoff and maxBackoff limit the backoff, which has full jitter.
 	baseBackoff = 100 * time.Millisecond
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,4 +1,5 @@
-// Package cli implements the command line of mulberrylug.
+// Package cli implements the command line of mulberrylug. Each group of commands
+// has a file.
 package cli
 
 import (
