--- a/internal/prompt/prompt.go
+++ b/internal/prompt/prompt.go
@@ -24,7 +24,7 @@
 
 // Errors for an invalid request body.
 var (
-	ErrNoPrompt  = errors.New("prompt: prompt or messages must be set")
+	ErrNoPrompt  = errors.New("prompt: must be set, or messages")
 	ErrNoModel   = errors.New("model: must be set")
 	ErrMaxTokens = errors.New("max_tokens: must not be negative")
 )
