--- a/internal/core/placement/backlog.go
+++ b/internal/core/placement/backlog.go
@@ -2,84 +2,86 @@
 
 import "time"
 
-// backlog is the prompts that an upstream has yet to compute. Upstreams prefill one prompt
-// after another; the first token of an answer ends its prefill.
+// backlog holds the prompts whose prefill on an upstream is not complete. Upstreams prefill
+// one prompt after another; the first token of a generation ends its prefill.
 type backlog struct {
-	// tokens is the sum over count prompts.
+	// tokens is the total length of the prompts, count their number.
 	tokens int
 	count  int
-	// since is the estimated start of the first prefill.
-	since time.Time
+	// prefillStart is the estimated start of the first prompt's prefill.
+	prefillStart time.Time
 }
 
-// add adds a grant.
+// add adds the prompt of a new grant.
 func (b *backlog) add(g *grant) {
-	if g.begun {
+	if g.prefilled {
 		return
 	}
 	if b.count == 0 {
-		b.since = g.at
+		b.prefillStart = g.grantedAt
 	}
-	g.alone = b.count == 0
+	g.soloPrefill = b.count == 0
 	b.tokens += g.ask.Prompt
 	b.count++
 }
 
-// drop removes a grant that ended or moved before its first token.
-func (b *backlog) drop(g *grant) {
-	if g.begun {
+// remove removes the prompt of a grant that ended or moved before its first token.
+func (b *backlog) remove(g *grant) {
+	if g.prefilled {
 		return
 	}
 	b.tokens -= g.ask.Prompt
 	b.count--
 }
 
-// read removes a grant whose prefill is complete.
-func (b *backlog) read(now time.Time, g *grant) {
-	if g.begun {
+// complete marks a grant as prefilled and removes its prompt.
+func (b *backlog) complete(now time.Time, g *grant) {
+	if g.prefilled {
 		return
 	}
-	b.drop(g)
-	g.begun, b.since = true, now
+	b.remove(g)
+	g.prefilled, b.prefillStart = true, now
 }
 
-// unreadTimeout is how long an unread prompt counts without a word from its entry, which
-// announces all its runs every 1.5 s at the latest.
-const unreadTimeout = 1600 * time.Millisecond
+// prefillTTL is how long a prompt counts after the last announcement of its entry, which
+// announces all its attempts every 1.5 s at the latest.
+const prefillTTL = 1600 * time.Millisecond
 
-// forget drops the prompts whose entries have fallen silent.
-func (b *backlog) forget(now time.Time, grants []*grant) {
+// expire drops the prompts whose entries have stopped announcing them.
+func (b *backlog) expire(now time.Time, grants []*grant) {
 	for _, g := range grants {
-		if !g.begun && now.Sub(g.seen) > unreadTimeout {
-			b.read(now, g)
+		if !g.prefilled && now.Sub(g.lastSeen) > prefillTTL {
+			b.complete(now, g)
 		}
 	}
 }
 
-// Began records the first token of an attempt and grants what waited for it. The time to first
-// token of a prompt that was alone measures the prefill throughput.
+// Began records the first token of an attempt and grants requests that waited for the prefill
+// to end. The time to first token measures the prefill throughput if no other prompt was
+// pending.
 func (h *Home) Began(now time.Time, attempt string) []Decision {
 	g := h.granted[attempt]
-	if g == nil || g.begun {
+	if g == nil || g.prefilled {
 		return nil
 	}
 	u := g.upstream
-	if took := now.Sub(g.at); g.alone && took > 0 {
-		h.learnRate(now, u, g.ask.Prompt, took)
-		u.believed = h.speedAt(now, u)
+	if took := now.Sub(g.grantedAt); g.soloPrefill && took > 0 {
+		h.recordPrefillRate(now, u, g.ask.Prompt, took)
+		u.assumedSpeed = h.speedAt(now, u)
 	}
-	u.backlog.read(now, g)
+	u.backlog.complete(now, g)
 	h.summarize(u)
 	return h.drainQueue(now)
 }
 
-// unreadAt returns the number of prompt tokens still to compute at a time in nanoseconds.
-// Progress is assumed for the first prompt only: an upstream whose memory is full of
-// generations unknown to the home computes nothing, and would get one prompt after another.
-func (s *summary) unreadAt(at int64) float64 {
-	if s.unread == 0 {
+// prefillTokensAt returns the number of prompt tokens still to compute at a time in Unix
+// nanoseconds. Progress is assumed for the first prompt only: an upstream whose memory is full
+// of generations unknown to the home computes no prompts, but would otherwise be given one
+// after another.
+func (s *summary) prefillTokensAt(at int64) float64 {
+	if s.prefillTokens == 0 {
 		return 0
 	}
-	read := float64(at-s.unreadSince) / 1e9 * s.rate
-	return s.unread - min(max(read, 0), s.firstPrompt)
+	computed := float64(at-s.prefillStart) / 1e9 * s.rate
+	return s.prefillTokens - min(max(computed, 0), s.firstPrompt)
 }
--- a/internal/core/placement/bench_test.go
+++ b/internal/core/placement/bench_test.go
@@ -9,19 +9,20 @@
 )
 
 const (
-	// benchUpstreams workers of benchAccelerators accelerators are the target size.
+	// benchUpstreams is the number of upstreams, benchAccelerators the number of accelerators
+	// of each: the largest pool that a home must support.
 	benchUpstreams    = 870
 	benchAccelerators = 8
-	// benchRunning generations run for each accelerator.
+	// benchRunning is the number of generations that run on each accelerator.
 	benchRunning = 16
-	// allocsMost bounds the allocations of one decision.
-	allocsMost = 2
+	// maxAllocs bounds the allocations of one decision.
+	maxAllocs = 2
 )
 
-// bigHome is a home of many large upstreams that all run work.
+// bigHome returns a home of many large upstreams that all run generations.
 func bigHome(upstreams int) *Home { return bigHomeOf(upstreams, false) }
 
-// bigHomeOf is one that predicts times in flight, or does not.
+// bigHomeOf returns a bigHome with Settings.Predict on or off.
 func bigHomeOf(upstreams int, predict bool) *Home {
 	h := NewHome(Settings{
 		Weights: config.Weights{Stall: 1, Preemptions: 1, Tail: 1}, Engine: true, Service: "s", Predict: predict, PromptRate: 100_000,
@@ -39,7 +40,7 @@
 			}
 			h.Running(start, a, name, Sighting{Tokens: 1 + (i+g)%500, Pace: time.Duration(7+i%3) * time.Millisecond})
 		}
-		h.refresh(start, h.byName[name])
+		h.refreshForecasts(start, h.byName[name])
 	}
 	return h
 }
@@ -55,7 +56,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				if h.choose(start, &a) == nil {
-					b.Fatal("no upstream has room")
+					b.Fatal("choose found no upstream, want one with room")
 				}
 			}
 		})
@@ -77,7 +78,7 @@
 	}
 }
 
-// The dearest decision is the one that finds no room anywhere.
+// The most expensive decision is one that finds no room on any upstream.
 func BenchmarkDecisionFull(b *testing.B) {
 	h, a := bigHome(benchUpstreams), benchAsk()
 	for _, u := range h.upstreams {
@@ -88,7 +89,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		if h.choose(start, &a) != nil {
-			b.Fatal("an upstream has room")
+			b.Fatal("choose returned an upstream, want none: all are full")
 		}
 	}
 }
@@ -103,7 +104,7 @@
 					b.Fatal(d)
 				}
 				h.End(start, a.Attempt, 0, false)
-				h.ended.forget(start.Add(time.Hour))
+				h.ended.expire(start.Add(time.Hour))
 			}
 		})
 	}
@@ -126,13 +127,13 @@
 	}
 }
 
-// The allocations of a decision are a regression bound; its time is not, as it
+// Bounds the allocations of a decision against regressions. Its duration is not checked, as it
 // depends on the machine.
 func TestDecisionAllocations(t *testing.T) {
 	for _, predict := range []bool{false, true} {
 		h, a := bigHomeOf(benchUpstreams, predict), benchAsk()
-		if got := testing.AllocsPerRun(100, func() { h.choose(start, &a) }); got > allocsMost {
-			t.Errorf("predict %v: %g allocations, at most %d wanted", predict, got, allocsMost)
+		if got := testing.AllocsPerRun(100, func() { h.choose(start, &a) }); got > maxAllocs {
+			t.Errorf("predict %v: allocations per decision = %g, want at most %d", predict, got, maxAllocs)
 		}
 	}
 }
--- a/internal/core/placement/choose.go
+++ b/internal/core/placement/choose.go
@@ -8,63 +8,66 @@
 	"mulberrylug.example/mulberrylug/internal/core/mechanism"
 )
 
-// printSpread is the number of upstreams that may run one fingerprint at a time. It bounds the
-// damage of a request that crashes engines before its strikes are known, however many callers
-// send it.
-const printSpread = 2
+// maxFingerprintSpread is the number of upstreams that may run requests of one fingerprint at a
+// time. It bounds the number of engines that a request can crash before its strikes are known,
+// however many callers send it.
+const maxFingerprintSpread = 2
 
-// readAhead is the backlog, in seconds of prefill, up to which an upstream gets another
-// prompt. Requests wait at the home instead, where they can be reordered, take the first free
-// upstream and hold no memory.
-const readAhead = 0.1
+// maxPrefillBacklog is the backlog, in seconds of prefill, up to which an upstream is given
+// another prompt. Beyond it requests wait at the home, where they can be reordered, take the
+// first free upstream and hold no memory.
+const maxPrefillBacklog = 0.1
 
-// readAheadNow returns readAhead, or no bound if WaitAtHome is disabled.
-func readAheadNow(without mechanism.Set) float64 {
+// prefillBacklogLimit returns maxPrefillBacklog, or infinity if WaitAtHome is disabled.
+func prefillBacklogLimit(without mechanism.Set) float64 {
 	if without.Has(mechanism.WaitAtHome) {
 		return math.Inf(1)
 	}
-	return readAhead
+	return maxPrefillBacklog
 }
 
-// summary is the part of an upstream's record that a placement reads. The summaries are
-// contiguous: with hundreds of upstreams, reading the full records would dominate the cost of
-// a decision.
+// summary holds the fields of an upstream that a placement decision reads. Summaries are
+// contiguous in memory: with hundreds of upstreams, reading the full records would dominate the
+// cost of a decision.
 type summary struct {
-	// free is the fraction of the memory that the forecast leaves free.
+	// free is the fraction of the memory that is free at the forecast peak.
 	free float64
-	// prompts is the number of prompt tokens not computed by promptsAt.
-	prompts   float64
-	promptsAt int64
-	// freshUntil is when the last report expires, in nanoseconds; in the past for an upstream
-	// that is leaving.
+	// pendingTokens is the number of granted prompt tokens that were not yet computed at
+	// pendingAt, which is in Unix nanoseconds.
+	pendingTokens float64
+	pendingAt     int64
+	// freshUntil is when the last report expires, in Unix nanoseconds; 0 for an upstream that
+	// is leaving or cordoned.
 	freshUntil int64
-	// openAt is when the upstream accepts the next request, in nanoseconds.
+	// openAt is when the upstream's rate limit accepts the next request, in Unix nanoseconds;
+	// 0 means now.
 	openAt int64
 	// slots is the number of free places in the batch.
 	slots    int
 	grants   int
 	suspects int
-	// dataCentre is the upstream's location, penalty the deduction from its score.
+	// dataCentre is the upstream's location, penalty is Report.Penalty.
 	dataCentre string
 	penalty    float64
-	// pace and rate are the upstream's speed, running the worth of the answers that a prefill
-	// delays.
-	pace    float64
-	rate    float64
-	running float64
-	// unread is the number of prompt tokens to compute at unreadSince, firstPrompt that of the
-	// first prompt among them.
-	unread      float64
-	firstPrompt float64
-	unreadSince int64
+	// pace and rate are the assumed decode interval in seconds and prefill throughput in tokens
+	// a second. runningValue is the value of the generations that a prefill delays.
+	pace         float64
+	rate         float64
+	runningValue float64
+	// prefillTokens is the number of prompt tokens in the backlog, firstPrompt the estimated
+	// length of its first prompt. prefillStart is when the first prefill started, in Unix
+	// nanoseconds.
+	prefillTokens float64
+	firstPrompt   float64
+	prefillStart  int64
 }
 
-// summarize updates an upstream's summary.
+// summarize recomputes an upstream's summary.
 func (h *Home) summarize(u *upstream) {
 	s := &h.summaries[u.index]
-	s.free = 1 - (u.peak+u.foreign+u.copies)/float64(max(u.report.Capacity, 1))
-	s.prompts, s.promptsAt = u.prompts, u.promptsAt.UnixNano()
-	s.freshUntil = u.reported.Add(reportMaxAge).UnixNano()
+	s.free = 1 - (u.peak+u.foreignMemory+u.copyMemory)/float64(max(u.report.Capacity, 1))
+	s.pendingTokens, s.pendingAt = u.pendingTokens, u.pendingAt.UnixNano()
+	s.freshUntil = u.reportedAt.Add(reportMaxAge).UnixNano()
 	if u.report.Leaving || u.cordoned {
 		s.freshUntil = 0
 	}
@@ -77,33 +80,33 @@
 	s.slots = u.report.MaxBatch - s.grants
 	s.suspects = u.suspects
 	if h.settings.Predict {
-		s.pace, s.rate, s.running = u.believed.pace, u.believed.rate, u.running
-		s.unread, s.unreadSince = float64(u.backlog.tokens), u.backlog.since.UnixNano()
-		s.firstPrompt = s.unread / float64(max(u.backlog.count, 1))
+		s.pace, s.rate, s.runningValue = u.assumedSpeed.pace, u.assumedSpeed.rate, u.runningValue
+		s.prefillTokens, s.prefillStart = float64(u.backlog.tokens), u.backlog.prefillStart.UnixNano()
+		s.firstPrompt = s.prefillTokens / float64(max(u.backlog.count, 1))
 	}
 }
 
 // takesWork reports whether the upstream accepts new work.
 func (u *upstream) takesWork(now time.Time) bool {
-	return !u.report.Leaving && !u.cordoned && now.Sub(u.reported) < reportMaxAge
+	return !u.report.Leaving && !u.cordoned && now.Sub(u.reportedAt) < reportMaxAge
 }
 
-// choose returns the upstream for an ask, or nil.
+// choose returns the upstream on which a request should run, or nil if none has room.
 func (h *Home) choose(now time.Time, ask *Ask) *upstream {
 	var need footprint
 	if h.settings.Engine {
 		c := h.lengths.curve(h.settings.Service, ask)
 		need = footprintOf(c, ask.Prompt, 0, ask.MaxOutput)
 	}
-	var p prospect
+	var p prediction
 	if h.settings.Predict {
-		p = h.prospect(ask)
+		p = h.predictNew(ask)
 	}
-	keep := h.forMoves
-	if p.output < longLeft {
-		keep = 0 // gone before a notice has passed
+	keep := h.movesReserve
+	if p.output < longRemaining {
+		keep = 0 // ends before a leaving upstream's notice expires
 	}
-	only := h.printsOn(ask.Fingerprint)
+	only := h.confinedTo(ask.Fingerprint)
 	at := now.UnixNano()
 	best, bestScore := -1, 0.0
 	for i := range h.summaries {
@@ -112,9 +115,9 @@
 			continue
 		}
 		if h.settings.Engine && s.grants > 0 && s.free <= h.tuning.reserve {
-			continue // full already, whatever the ask needs
+			continue // already full, however little memory the request needs
 		}
-		if unread := s.unreadAt(at); unread > 0 && unread > h.readAhead*s.rate {
+		if unread := s.prefillTokensAt(at); unread > 0 && unread > h.prefillLimit*s.rate {
 			continue
 		}
 		score := h.score(at, s, &p)
@@ -131,8 +134,8 @@
 	return h.upstreams[best]
 }
 
-// allowed reports whether an ask may run on an upstream by its exclusions and the spread of
-// its fingerprint.
+// allowed reports whether a request may run on an upstream according to its exclusions, its data
+// centres and, if the list only is not empty, the upstreams of those grants.
 func (u *upstream) allowed(ask *Ask, only []*grant) bool {
 	if slices.Contains(ask.Exclude, u.name) || !ask.mayRunIn(u.report.DataCentre) {
 		return false
@@ -145,11 +148,12 @@
 	return len(a.DataCentres) == 0 || slices.Contains(a.DataCentres, dataCentre)
 }
 
-// printsOn returns grants on the upstreams to which a fingerprint is confined, or nil if it
-// may spread further.
-func (h *Home) printsOn(fingerprint uint64) []*grant {
-	list := h.prints[fingerprint]
-	if len(list) < printSpread {
+// confinedTo returns the grants of a fingerprint if they already run on maxFingerprintSpread
+// upstreams, so that further requests must run on one of these. It returns nil if any upstream
+// may run them.
+func (h *Home) confinedTo(fingerprint uint64) []*grant {
+	list := h.byFingerprint[fingerprint]
+	if len(list) < maxFingerprintSpread {
 		return nil
 	}
 	first := list[0].upstream
@@ -159,9 +163,9 @@
 	return nil
 }
 
-// score rates an upstream, higher is better: by predicted cost, or by the free memory less the
-// delay of its backlog.
-func (h *Home) score(at int64, s *summary, p *prospect) float64 {
+// score rates an upstream; higher is better. It is the negative predicted cost, the negative
+// number of calls of a plain service, or the free memory minus the delay by pending prompts.
+func (h *Home) score(at int64, s *summary, p *prediction) float64 {
 	switch {
 	case !h.settings.Engine:
 		return -float64(s.grants)
@@ -169,24 +173,25 @@
 		return -s.cost(at, p)
 	}
 	rate := h.settings.PromptRate
-	left := s.prompts - float64(at-s.promptsAt)*(rate/1e9)
-	return s.free - s.penalty - max(left, 0)/(rate/promptWeight)
+	left := s.pendingTokens - float64(at-s.pendingAt)*(rate/1e9)
+	return s.free - s.penalty - max(left, 0)/(rate/backlogWeight)
 }
 
-// promptWeight is the weight of a second of backlog as a fraction of the memory.
-const promptWeight = promptRate / 20_000.0
+// backlogWeight is the part of the memory, as a fraction, that one second of pending prompts
+// outweighs in a score.
+const backlogWeight = defaultPrefillRate / 20_000.0
 
-// hasRoom reports whether the forecast leaves room for a generation plus a fraction of the
-// memory. An idle upstream always has room: waiting elsewhere would not help.
-func (h *Home) hasRoom(u *upstream, need *footprint, besides float64) bool {
-	if !h.settings.Engine || len(u.grants) == 0 && u.foreign == 0 && u.copies == 0 {
+// hasRoom reports whether the forecast leaves room for a generation and, in addition, keeps a
+// fraction of the memory free. An idle upstream always has room, as no upstream will have more.
+func (h *Home) hasRoom(u *upstream, need *footprint, keepFree float64) bool {
+	if !h.settings.Engine || len(u.grants) == 0 && u.foreignMemory == 0 && u.copyMemory == 0 {
 		return true
 	}
-	if len(u.grants) > 0 && (u.report.Waiting > 0 || u.spt > h.tuning.gap) {
-		// The forecast was wrong, as generations wait that were preempted, or
-		// tokens come too slowly already: new work would make both worse.
+	if len(u.grants) > 0 && (u.report.Waiting > 0 || u.tokenTime > h.tuning.maxTokenTime) {
+		// The forecast was too low if preempted generations wait. New work would prolong
+		// their wait, and slow down token output that is already too slow.
 		return false
 	}
-	limit := float64(u.report.Capacity)*(1-h.tuning.reserve-besides) - u.foreign - u.copies
+	limit := float64(u.report.Capacity)*(1-h.tuning.reserve-keepFree) - u.foreignMemory - u.copyMemory
 	return u.need.fits(need, h.z, limit)
 }
--- a/internal/core/placement/curve.go
+++ b/internal/core/placement/curve.go
@@ -3,34 +3,34 @@
 import "math/bits"
 
 const (
-	// Lengths fall into buckets, four to an octave, as in an HDR histogram:
-	// a bucket's width is at most a quarter of its lower bound.
-	bucketBits   = 2
-	bucketsInOct = 1 << bucketBits
-	// buckets cover lengths up to 2^17 tokens.
+	// Lengths are counted in buckets, four to an octave, as in an HDR histogram: a bucket's width
+	// is at most a quarter of its lower bound.
+	bucketBits       = 2
+	bucketsPerOctave = 1 << bucketBits
+	// buckets is the number of buckets, which cover lengths up to 2^17 tokens.
 	buckets = 64
 )
 
 // bucketOf returns the bucket of a length in tokens.
 func bucketOf(tokens int) int {
-	if tokens < bucketsInOct {
+	if tokens < bucketsPerOctave {
 		return max(tokens, 0)
 	}
 	shift := bits.Len(uint(tokens)) - bucketBits - 1
-	b := (shift+1)<<bucketBits | tokens>>shift&(bucketsInOct-1)
+	b := (shift+1)<<bucketBits | tokens>>shift&(bucketsPerOctave-1)
 	return min(b, buckets-1)
 }
 
-// lowerOf returns the lower bound of a bucket.
+// lowerOf returns the lower bound of a bucket in tokens.
 func lowerOf(bucket int) int {
-	if bucket < bucketsInOct {
+	if bucket < bucketsPerOctave {
 		return bucket
 	}
 	shift := bucket>>bucketBits - 1
-	return (bucketsInOct | bucket&(bucketsInOct-1)) << shift
+	return (bucketsPerOctave | bucket&(bucketsPerOctave-1)) << shift
 }
 
-// lower and width hold each bucket's lowest length and its width in tokens.
+// lower and width hold each bucket's lower bound and width in tokens.
 var lower, width = bounds()
 
 func bounds() (lows, widths [buckets + 1]float64) {
@@ -45,16 +45,16 @@
 type curve struct {
 	// survival is the probability that an answer is longer than each bucket's lower bound.
 	survival [buckets + 1]float64
-	// beyond is the integral of survival from each lower bound: the expected number of tokens
-	// past it.
+	// beyond is the integral of survival from each bucket's lower bound: the expected number of
+	// tokens after it.
 	beyond [buckets + 1]float64
 }
 
 // minSurvival keeps conditional probabilities finite in the tail.
 const minSurvival = 1e-9
 
-// newCurve builds a curve from each bucket's hazard: the probability that an answer that
-// reached the bucket ends within it.
+// newCurve builds a curve from the hazard of each bucket: the probability that an answer that
+// reaches the bucket ends within it.
 func newCurve(hazard *[buckets]float32) *curve {
 	c := &curve{}
 	c.survival[0] = 1
@@ -67,25 +67,25 @@
 	return c
 }
 
-// longer returns the probability that an answer is longer than a number of tokens.
-func (c *curve) longer(tokens int) float64 {
+// survivalAt returns the probability that an answer is longer than a number of tokens.
+func (c *curve) survivalAt(tokens int) float64 {
 	b := bucketOf(tokens)
 	part := min((float64(tokens)-lower[b])/width[b], 1)
 	return c.survival[b] + part*(c.survival[b+1]-c.survival[b])
 }
 
-// past returns the integral of survival from a length.
-func (c *curve) past(tokens int) float64 {
+// integralFrom returns the integral of survival from a length in tokens.
+func (c *curve) integralFrom(tokens int) float64 {
 	b := bucketOf(tokens)
 	part := min((float64(tokens)-lower[b])/width[b], 1)
 	return c.beyond[b] + part*(c.beyond[b+1]-c.beyond[b])
 }
 
-// remaining returns the expected number of further tokens of an answer, given its length and
-// its limit.
-func (c *curve) remaining(tokens, most int) float64 {
-	if tokens >= most {
+// remaining returns the expected number of further tokens of an answer, given its current and
+// its maximum length.
+func (c *curve) remaining(tokens, maxTokens int) float64 {
+	if tokens >= maxTokens {
 		return 0
 	}
-	return (c.past(tokens) - c.past(most)) / c.longer(tokens)
+	return (c.integralFrom(tokens) - c.integralFrom(maxTokens)) / c.survivalAt(tokens)
 }
--- a/internal/core/placement/drain.go
+++ b/internal/core/placement/drain.go
@@ -7,56 +7,58 @@
 )
 
 const (
-	// drainFade is the time constant of measured rates.
-	drainFade = 10 * time.Second
-	// guessWeight is the weight of the guessed rate in seconds of measurement.
+	// drainTimeConstant is the time constant with which measurements decay.
+	drainTimeConstant = 10 * time.Second
+	// guessWeight is the weight of the guessed rate, in seconds of measurement.
 	guessWeight = 5.0
 	// costClasses is the number of cost classes, one for each power of two.
 	costClasses = 32
-	// minShare is the fraction of the drain rate that always reaches an ask, however much
+	// minShare is the minimum fraction of the drain rate that reaches a request, however much
 	// cheaper work arrives; ageing guarantees it.
 	minShare = 0.05
-	// lateGuess is the assumed fraction of the drain rate for late asks before it is measured.
-	lateGuess = 0.25
-	// missStep and hitStep adjust the doubt after a wait that exceeded its limit and after one
-	// that did not. They balance at one miss in 21.
+	// lateShareGuess is the fraction of the drain rate that late requests are assumed to get
+	// before it is measured.
+	lateShareGuess = 0.25
+	// missStep is added to logCorrection when a timely request reaches its maximum wait, hitStep
+	// is subtracted when a queued request is granted. They balance at one miss in 21.
 	missStep = 0.1
 	hitStep  = 0.005
-	// maxErrors bounds the doubt.
-	maxErrors = 3.0
+	// maxLogCorrection bounds logCorrection.
+	maxLogCorrection = 3.0
 )
 
-// drainMeter measures, by cost class, how much work a pool completes per second while asks
-// wait and how much arrives.
+// drainMeter measures how much work a pool grants per second while requests wait, and how much
+// work arrives in each cost class. All measurements decay.
 type drainMeter struct {
-	at time.Time
-	// granted is the cost granted in busy seconds with a queue, lateGranted the cost granted
-	// in lateBusy seconds to asks past their deadline.
+	updatedAt time.Time
+	// granted is the cost granted during busy seconds in which requests waited, lateGranted the
+	// cost granted to late requests during lateBusy seconds in which late requests waited.
 	granted, busy         float64
 	lateGranted, lateBusy float64
-	// came is the cost that arrived over the last seconds; both decay.
-	came    [costClasses]float64
-	seconds float64
-	// errors is the logarithm of the factor by which waits were underestimated.
-	errors float64
+	// arrived is the cost by class that arrived during arrivalSeconds.
+	arrived        [costClasses]float64
+	arrivalSeconds float64
+	// logCorrection is the natural logarithm of the factor by which waits were underestimated.
+	logCorrection float64
 }
 
-func classOf(cost float64) int {
+// costClass returns the class of a cost: the number of bits of its integer part.
+func costClass(cost float64) int {
 	return min(bits.Len64(uint64(max(cost, 0))), costClasses-1)
 }
 
-// advance decays the measurements; waiting and late report whether any and whether late asks
-// were queued.
+// advance decays the measurements for the time since the last call. waiting reports whether
+// requests are queued, late whether late ones are.
 func (m *drainMeter) advance(now time.Time, waiting, late bool) {
-	since := now.Sub(m.at).Seconds()
-	if m.at.IsZero() {
+	since := now.Sub(m.updatedAt).Seconds()
+	if m.updatedAt.IsZero() {
 		since = 0
 	}
-	m.at = now
+	m.updatedAt = now
 	if since <= 0 {
 		return
 	}
-	keep := math.Exp(-since / drainFade.Seconds())
+	keep := math.Exp(-since / drainTimeConstant.Seconds())
 	if waiting {
 		m.granted *= keep
 		m.busy = m.busy*keep + since
@@ -65,43 +67,44 @@
 		m.lateGranted *= keep
 		m.lateBusy = m.lateBusy*keep + since
 	}
-	m.seconds = m.seconds*keep + since
-	for i := range m.came {
-		m.came[i] *= keep
+	m.arrivalSeconds = m.arrivalSeconds*keep + since
+	for i := range m.arrived {
+		m.arrived[i] *= keep
 	}
 }
 
-// rate returns the cost completed per second, close to the guess until enough is measured.
+// rate returns the cost granted per second, close to the guess until enough is measured.
 func (m *drainMeter) rate(guess float64) float64 {
 	return (m.granted + guess*guessWeight) / (m.busy + guessWeight)
 }
 
-// lateRate returns the part of a rate that reaches late asks.
+// lateRate returns the part of a drain rate that late requests get.
 func (m *drainMeter) lateRate(rate float64) float64 {
-	return (m.lateGranted + lateGuess*rate*guessWeight) / (m.lateBusy + guessWeight)
+	return (m.lateGranted + lateShareGuess*rate*guessWeight) / (m.lateBusy + guessWeight)
 }
 
-// cheaper returns the cost per second arriving in lower classes.
-func (m *drainMeter) cheaper(cost float64) float64 {
+// cheaperRate returns the cost per second that arrives in classes below that of a cost.
+func (m *drainMeter) cheaperRate(cost float64) float64 {
 	sum := 0.0
-	for i := range classOf(cost) {
-		sum += m.came[i]
+	for i := range costClass(cost) {
+		sum += m.arrived[i]
 	}
-	return sum / (m.seconds + guessWeight)
+	return sum / (m.arrivalSeconds + guessWeight)
 }
 
-// served records a grant from the queue.
-func (m *drainMeter) served(cost float64, late bool) {
+// recordGrant records the grant of a queued request.
+func (m *drainMeter) recordGrant(cost float64, late bool) {
 	m.granted += cost
 	if late {
 		m.lateGranted += cost
 	}
-	m.errors = max(m.errors-hitStep, 0)
+	m.logCorrection = max(m.logCorrection-hitStep, 0)
 }
 
-// missed records a wait that exceeded its prediction.
-func (m *drainMeter) missed() { m.errors = min(m.errors+missStep, maxErrors) }
+// recordMiss records that a timely request reached its maximum wait in the queue.
+func (m *drainMeter) recordMiss() { m.logCorrection = min(m.logCorrection+missStep, maxLogCorrection) }
 
-// doubt is the factor applied to predicted waits. Predictions that are too short appear as
-// late refusals; the doubt then grows until nearly all refusals are immediate.
-func (m *drainMeter) doubt() float64 { return math.Exp(m.errors) }
+// correction returns the factor applied to predicted waits. If predictions are too short,
+// requests are refused only after waiting in vain; the correction then grows until nearly all
+// refusals are immediate.
+func (m *drainMeter) correction() float64 { return math.Exp(m.logCorrection) }
--- a/internal/core/placement/forecast.go
+++ b/internal/core/placement/forecast.go
@@ -2,29 +2,29 @@
 
 import "math"
 
-// horizons are the numbers of tokens ahead at which memory is forecast.
+// horizons are the points at which memory is forecast, in output tokens from now.
 var horizons = [...]int{16, 64, 128, 256, 512, 1024, 2048, 4096}
 
-// deviations scales z at each horizon. Near horizons get more headroom: nothing can be done
-// any more about what is forecast there, while granting less still relieves the far ones.
-var deviations = [len(horizons)]float64{1.5, 1.36, 1.21, 1.07, 0.93, 0.79, 0.64, 0.5}
+// zScale scales z at each horizon. Near horizons get more headroom: a shortage there can no
+// longer be averted, while one at a far horizon can, by granting less.
+var zScale = [len(horizons)]float64{1.5, 1.36, 1.21, 1.07, 0.93, 0.79, 0.64, 0.5}
 
-// footprint is the mean and variance of the memory, in tokens, that generations need at each
+// footprint holds the mean and variance of the memory, in tokens, that generations need at each
 // horizon.
 type footprint struct {
 	mean     [len(horizons)]float64
 	variance [len(horizons)]float64
 }
 
-// footprintOf forecasts a generation from its current and its maximum length.
-func footprintOf(c *curve, prompt, tokens, most int) footprint {
+// footprintOf forecasts the memory of a generation from its current and its maximum length.
+func footprintOf(c *curve, prompt, tokens, maxTokens int) footprint {
 	var f footprint
-	now := c.longer(tokens)
+	now := c.survivalAt(tokens)
 	for i, h := range horizons {
-		if tokens+h >= most {
+		if tokens+h >= maxTokens {
 			break
 		}
-		s := c.longer(tokens+h) / now
+		s := c.survivalAt(tokens+h) / now
 		m := float64(prompt + tokens + h)
 		f.mean[i] = s * m
 		f.variance[i] = s * (1 - s) * m * m
@@ -46,19 +46,20 @@
 	}
 }
 
-// peak returns the highest need over all horizons with z standard deviations of headroom.
+// peak returns the highest need over all horizons, with z standard deviations of headroom.
 func (f *footprint) peak(z float64) float64 {
-	most := 0.0
+	peak := 0.0
 	for i := range horizons {
-		most = max(most, f.mean[i]+z*deviations[i]*math.Sqrt(f.variance[i]))
+		peak = max(peak, f.mean[i]+z*zScale[i]*math.Sqrt(f.variance[i]))
 	}
-	return most
+	return peak
 }
 
-// fits reports whether another generation stays under a limit at every horizon.
+// fits reports whether the need stays within a limit at every horizon if another footprint is
+// added.
 func (f *footprint) fits(o *footprint, z, limit float64) bool {
 	for i := range horizons {
-		if f.mean[i]+o.mean[i]+z*deviations[i]*math.Sqrt(f.variance[i]+o.variance[i]) > limit {
+		if f.mean[i]+o.mean[i]+z*zScale[i]*math.Sqrt(f.variance[i]+o.variance[i]) > limit {
 			return false
 		}
 	}
--- a/internal/core/placement/home_test.go
+++ b/internal/core/placement/home_test.go
@@ -26,40 +26,39 @@
 	return Ask{Attempt: id, Org: "o", Prompt: 300, MaxOutput: 500, MaxWait: time.Minute}
 }
 
-// A home dies and another takes over: it has heard of the upstream, but not of
-// what runs there. Entries announce their attempts. Were these not entered
-// into the ledger, the new home would fill the memory a second time.
+// A home that takes over has a report of the upstream, but no record of the attempts that run
+// there until entries announce them. If announced attempts were not added to the ledger, the new
+// home would overcommit the upstream's memory.
 func TestTakeoverRebuildsTheLedger(t *testing.T) {
 	h := testHome(1)
 	for i := range 5 {
 		h.Running(start, Ask{Attempt: fmt.Sprint("old", i), Org: "o", Prompt: 700, MaxOutput: 500}, "u0", Sighting{Tokens: 90})
 	}
 	if d := h.Ask(start, testAsk("new")); d[0].Kind != Queued {
-		t.Errorf("asked with a full upstream, got %+v", d)
+		t.Errorf("request while the upstream is full = %+v, want queued", d)
 	}
 	for i := range 5 {
 		h.End(start, fmt.Sprint("old", i), 100, true)
 	}
 	if d := h.Ask(start, testAsk("new")); d[0].Kind != Granted {
-		t.Errorf("asked again with room, got %+v", d)
+		t.Errorf("repeated request after the announced attempts ended = %+v, want granted", d)
 	}
 }
 
-// A home has taken over and no entry has announced anything yet, but the
-// upstream reports generations that hold most of its memory. The home must not
-// place on it as if it were empty.
+// After a takeover no entry has announced its attempts yet, but the upstream reports generations
+// that hold most of its memory. The home must not treat the upstream as empty.
 func TestUnknownGenerationsHoldMemory(t *testing.T) {
 	h := testHome(1)
 	r := testReport("u0")
 	r.Used, r.Running, r.Gens = 3900, 1, []GenLoad{{Attempt: "foreign", Tokens: 900}}
 	h.Report(start, start, r)
 	if d := h.Ask(start, testAsk("new")); d[0].Kind != Queued {
-		t.Errorf("got %+v", d)
+		t.Errorf("request = %+v, want queued: unknown generations fill the upstream", d)
 	}
 }
 
-// An attempt has ended, yet the lagging report still shows it, and its entry's
-// announcement was on its way. Neither may bring it back into the ledger.
+// After an attempt has ended, an announcement that was in transit and a delayed report may still
+// list it. Neither may add it to the ledger again.
 func TestLateUpdateOfAnEndedAttempt(t *testing.T) {
 	h := testHome(1)
 	h.Ask(start, testAsk("a"))
@@ -69,16 +68,16 @@
 	r.Used, r.Gens = 3900, []GenLoad{{Attempt: "a", Tokens: 9}}
 	h.Report(start, start, r)
 	if d := h.Ask(start, testAsk("b")); d[0].Kind != Granted {
-		t.Errorf("got %+v", d)
+		t.Errorf("request = %+v, want granted: the only other attempt has ended", d)
 	}
 	if len(h.granted) != 1 {
-		t.Errorf("%d grants in the ledger, want 1", len(h.granted))
+		t.Errorf("grants in the ledger = %d, want 1", len(h.granted))
 	}
 }
 
-// The queue is so long that an ask can't be served within its longest wait. It
-// is refused at once, and the later callers are told to come back later. One
-// that comes back in time goes before those who came meanwhile.
+// The queue is so long that a request can't be granted within its maximum wait. It is refused at
+// once, and later callers get a longer Retry-After. A caller that returns at the stated time is
+// queued ahead of callers that arrived in the meantime.
 func TestEarlyRefusalKeepsItsPromise(t *testing.T) {
 	h := testHome(1)
 	for i := range 200 {
@@ -90,12 +89,12 @@
 		a.Fingerprint, a.MaxWait = uint64(7+i), 50*time.Millisecond
 		d := h.Ask(start, a)
 		if d[0].Kind != Refused || d[0].Reason != ReasonQueueFull {
-			t.Fatalf("got %+v", d)
+			t.Fatalf("request that can't be granted in time = %+v, want refused with queue_wait", d)
 		}
 		after = append(after, d[0].RetryAfter)
 	}
 	if after[1] <= after[0] {
-		t.Errorf("told to come back after %v", after)
+		t.Errorf("Retry-After of two refusals = %v, want the second to be longer", after)
 	}
 	back := start.Add(after[0])
 	h.Report(back, back, testReport("u0"))
@@ -105,31 +104,31 @@
 	a := testAsk("again")
 	a.Fingerprint, a.MaxWait = 7, time.Hour
 	h.Ask(back, a)
-	if n, r := h.queue.byID["newcomer"], h.queue.byID["again"]; n == nil || r == nil || !r.key.Before(n.key) {
-		t.Errorf("the one who came back must go first: %+v %+v", r, n)
+	if n, r := h.queue.byAttempt["newcomer"], h.queue.byAttempt["again"]; n == nil || r == nil || !r.key.Before(n.key) {
+		t.Errorf("returning caller = %+v, newcomer = %+v, want the returning caller queued first", r, n)
 	}
 }
 
-// All callers of a request that crashes upstreams send it at the same moment,
-// before any strike is known. It must not take more than two upstreams along.
+// Many callers send a request that crashes upstreams at the same moment, before any strike is
+// known. It must run on at most two upstreams.
 func TestOneFingerprintRunsOnTwoUpstreams(t *testing.T) {
 	h := testHome(4)
-	at := map[string]bool{}
+	used := map[string]bool{}
 	for i := range 6 {
 		a := testAsk(fmt.Sprint("p", i))
 		a.Fingerprint = 13
 		for _, d := range h.Ask(start, a) {
-			at[d.Upstream] = true
+			used[d.Upstream] = true
 		}
 	}
-	delete(at, "")
-	if len(at) != printSpread {
-		t.Errorf("ran on %d upstreams, want %d", len(at), printSpread)
+	delete(used, "")
+	if len(used) != maxFingerprintSpread {
+		t.Errorf("upstreams that run the fingerprint = %d, want %d", len(used), maxFingerprintSpread)
 	}
 }
 
-// A pool of plain services has no memory to forecast: its workers take as many
-// calls at once as they report.
+// The upstreams of a plain service have no memory to forecast: each takes as many concurrent
+// calls as its report allows.
 func TestPlainServicesCountCalls(t *testing.T) {
 	h := NewHome(Settings{})
 	for i := range 2 {
@@ -140,55 +139,57 @@
 		got[h.Ask(start, Ask{Attempt: fmt.Sprint(i), MaxWait: time.Minute})[0].Kind]++
 	}
 	if got[Granted] != 4 || got[Queued] != 2 {
-		t.Errorf("got %v", got)
+		t.Errorf("decisions by kind = %v, want 4 granted and 2 queued", got)
 	}
 }
 
-// Weights arrive with a new configuration version while the home runs.
+// A new configuration version changes the weights while the home runs. Higher weights of
+// preemptions and of the tail must increase the headroom.
 func TestConfigureChangesTheHeadroom(t *testing.T) {
 	h := testHome(1)
 	before := h.tuning.busyZ
 	h.Configure(Settings{Weights: config.Weights{Stall: 1, Preemptions: 8, Tail: 8}, Engine: true})
 	if h.tuning.busyZ <= before {
-		t.Errorf("z %g, before %g", h.tuning.busyZ, before)
+		t.Errorf("busyZ = %g after the change, want more than the previous %g", h.tuning.busyZ, before)
 	}
 }
 
-// A pool's first caller after an idle time asks a home that has no report yet.
-// It waits for the first report, which comes within a round trip, and is
-// granted; where no report comes, it is refused with a time to come back.
+// A pool's first caller after an idle time reaches a home that has no report yet. Its request
+// must wait for the first report, which arrives within a round trip, and is then granted. If no
+// report arrives, it is refused with a Retry-After.
 func TestColdHomeWaitsForItsFirstReport(t *testing.T) {
 	ask := Ask{Attempt: "a", Org: "o", Prompt: 10, MaxOutput: 10, MaxWait: time.Minute}
 	h := NewHome(Settings{Engine: true})
 	if ds := h.Ask(start, ask); len(ds) != 1 || ds[0].Kind != Queued {
-		t.Fatalf("first ask of a cold home = %+v, want queued", ds)
+		t.Fatalf("request before the first report = %+v, want queued", ds)
 	}
 	if ds := h.Report(start, start, testReport("u0")); len(ds) != 1 || ds[0].Kind != Granted {
-		t.Errorf("after the first report = %+v, want granted", ds)
+		t.Errorf("decisions after the first report = %+v, want granted", ds)
 	}
 	h = NewHome(Settings{Engine: true})
 	h.Ask(start, ask)
 	ds := h.Tick(start.Add(reportMaxAge))
 	if len(ds) != 1 || ds[0].Reason != ReasonNoUpstream || ds[0].RetryAfter <= 0 {
-		t.Errorf("without a report = %+v, want a refusal with a time to come back", ds)
+		t.Errorf("decisions without a report = %+v, want refused with a Retry-After", ds)
 	}
 }
 
-// An entry gets a grant for an upstream that it does not know yet, and chooses another one
-// by itself. The home must follow, or it leaves the answer behind when that upstream goes;
-// one announcement may be older than a move that the home has just heard of.
-func TestAGrantIsFollowedToWhereItRuns(t *testing.T) {
+// An entry gets a grant for an upstream that it does not know yet and runs the attempt on
+// another one. The home must update its ledger, or it does not move the generation when that
+// upstream leaves. A single announcement must not suffice, as it may have been sent before a
+// move that the home has just recorded.
+func TestGrantMovesToTheAnnouncedUpstream(t *testing.T) {
 	h := testHome(2)
 	granted := h.Ask(start, testAsk("a"))[0].Upstream
 	other := map[string]string{"u0": "u1", "u1": "u0"}[granted]
 	at := start
 	for _, step := range []struct {
-		says, believed string
+		announced, want string
 	}{{other, granted}, {granted, granted}, {other, granted}, {other, other}, {other, other}} {
-		at = at.Add(minSightingInterval)
-		h.Running(at, testAsk("a"), step.says, Sighting{Tokens: 10})
-		if on := h.On(at, step.believed); len(on) != 1 {
-			t.Fatalf("after %q was named: %d grants on %s", step.says, len(on), step.believed)
+		at = at.Add(minProgressInterval)
+		h.Running(at, testAsk("a"), step.announced, Sighting{Tokens: 10})
+		if on := h.On(at, step.want); len(on) != 1 {
+			t.Fatalf("after an announcement on %q: %d grants on %s, want 1", step.announced, len(on), step.want)
 		}
 	}
 }
--- a/internal/core/placement/ledger.go
+++ b/internal/core/placement/ledger.go
@@ -12,74 +12,79 @@
 // upstream is the home's record of one upstream.
 type upstream struct {
 	name string
-	// index is its position in Home.upstreams.
-	index    int
-	report   Report
-	reported time.Time
-	grants   []*grant
-	// suspects counts the grants of suspected requests.
+	// index is the position in Home.upstreams.
+	index      int
+	report     Report
+	reportedAt time.Time
+	grants     []*grant
+	// suspects is the number of grants with Ask.Suspect set.
 	suspects int
-	// need is the forecast over all grants, foreign the memory of generations that this home
-	// did not grant.
-	need    footprint
-	foreign float64
-	// copies is the memory held by copies from which nothing runs yet.
-	copies float64
-	// peak is the highest need over all horizons.
+	// need is the memory forecast of all grants, foreignMemory the memory in tokens held by
+	// generations that are not in this home's ledger.
+	need          footprint
+	foreignMemory float64
+	// copyMemory is the memory in tokens held by copies from which no generation runs yet.
+	copyMemory float64
+	// peak is the highest need over all horizons, in tokens.
 	peak float64
-	// spt is the measured time per token in seconds; 0 if unknown.
-	spt float64
-	// prompts is the number of granted prompt tokens not computed by promptsAt.
-	prompts   float64
-	promptsAt time.Time
-	// speed is the measured speed, believed the one used for decisions.
-	speed    speed
-	believed speed
-	backlog  backlog
-	starts   pace.Starts
+	// tokenTime is the measured time per token in seconds; 0 if unknown.
+	tokenTime float64
+	// pendingTokens is the estimated number of granted prompt tokens that were not yet computed
+	// at pendingAt.
+	pendingTokens float64
+	pendingAt     time.Time
+	// assumedSpeed is the speed used for decisions. It is measuredSpeed unless that is unknown or
+	// outdated.
+	measuredSpeed speed
+	assumedSpeed  speed
+	backlog       backlog
+	starts        pace.Starts
 	// cordoned is set while the data centre is cordoned.
 	cordoned bool
-	// running is the worth of the long answers running here, in prompt tokens.
-	running float64
+	// runningValue is the value of the running generations that a prefill delays, in prompt
+	// tokens.
+	runningValue float64
 }
 
-// grant is an attempt that runs or may run.
+// grant is an attempt that runs on an upstream or has permission to.
 type grant struct {
 	ask      Ask
 	upstream *upstream
-	index    int
-	at       time.Time
-	// seen is when the entry last asked for or announced the attempt.
-	seen time.Time
-	// tokens is the number produced by known.
-	tokens int
-	known  time.Time
-	// still is set when the attempt made no progress between two sightings.
-	still bool
-	// elsewhere is the upstream that the entry reports since elsewhereAt, if it is another
-	// one.
-	elsewhere   string
-	elsewhereAt time.Time
-	// begun is set once the prompt was computed; alone if the upstream had no other unread
-	// prompt when it was granted.
-	begun    bool
-	alone    bool
-	priority int
-	need     footprint
+	// index is the position in upstream.grants.
+	index     int
+	grantedAt time.Time
+	// lastSeen is when the entry last requested or announced the attempt.
+	lastSeen time.Time
+	// tokens is the number of output tokens at tokensKnownAt.
+	tokens        int
+	tokensKnownAt time.Time
+	// stalled is set when the attempt made no progress between two announcements.
+	stalled bool
+	// otherUpstream is the upstream on which the entry announces the attempt since otherSince,
+	// if it differs from upstream; "" otherwise.
+	otherUpstream string
+	otherSince    time.Time
+	// prefilled is set once the prompt was computed. soloPrefill is set if the upstream had no
+	// other prompt to compute when this one was granted.
+	prefilled   bool
+	soloPrefill bool
+	priority    int
+	need        footprint
 }
 
 const (
-	// firstSpt is the initial estimate of the time per token, in seconds.
-	firstSpt = 0.02
-	// sptFade is the weight of one measurement in the mean.
-	sptFade = 0.05
-	// promptRate is the default prefill throughput in tokens a second.
-	promptRate = 15_000
-	// maxExtrapolation bounds the extrapolation of a grant's tokens.
+	// initialTokenTime is the initial estimate of the time per token, in seconds.
+	initialTokenTime = 0.02
+	// tokenTimeWeight is the weight of one measurement in the moving average of the time per
+	// token.
+	tokenTimeWeight = 0.05
+	// defaultPrefillRate is the default prefill throughput in tokens a second.
+	defaultPrefillRate = 15_000
+	// maxExtrapolation is how far a grant's number of tokens is extrapolated.
 	maxExtrapolation = 3 * time.Second
-	// minSightingInterval is the shortest interval between sightings from which a speed is
-	// measured.
-	minSightingInterval = 500 * time.Millisecond
+	// minProgressInterval is the minimum interval between two announcements from which a speed
+	// is measured.
+	minProgressInterval = 500 * time.Millisecond
 )
 
 func (h *Home) addUpstream(name string) *upstream {
@@ -101,14 +106,15 @@
 	h.renumber(u.index)
 }
 
+// renumber updates the upstreams' indexes after an insertion or a deletion.
 func (h *Home) renumber(from int) {
 	for i, u := range h.upstreams[from:] {
 		u.index = from + i
 	}
 }
 
-// hold adds a grant to the ledger.
-func (h *Home) hold(g *grant) {
+// addGrant adds a grant to the ledger.
+func (h *Home) addGrant(g *grant) {
 	u := g.upstream
 	h.granted[g.ask.Attempt] = g
 	g.index = len(u.grants)
@@ -117,12 +123,12 @@
 		u.suspects++
 	}
 	if g.ask.Fingerprint != 0 {
-		h.prints[g.ask.Fingerprint] = append(h.prints[g.ask.Fingerprint], g)
+		h.byFingerprint[g.ask.Fingerprint] = append(h.byFingerprint[g.ask.Fingerprint], g)
 	}
 	u.backlog.add(g)
-	h.forecast(g.known, g)
+	h.forecastNeed(g.tokensKnownAt, g)
 	u.need.add(&g.need)
-	h.weigh(u)
+	h.updatePeak(u)
 }
 
 // release removes a grant from the ledger.
@@ -137,45 +143,45 @@
 	if g.ask.Suspect {
 		u.suspects--
 	}
-	h.dropPrint(g)
-	u.backlog.drop(g)
+	h.dropFingerprint(g)
+	u.backlog.remove(g)
 	u.need.subtract(&g.need)
-	h.weigh(u)
+	h.updatePeak(u)
 }
 
-func (h *Home) dropPrint(g *grant) {
-	list := h.prints[g.ask.Fingerprint]
+func (h *Home) dropFingerprint(g *grant) {
+	list := h.byFingerprint[g.ask.Fingerprint]
 	i := slices.Index(list, g)
 	if i < 0 {
 		return
 	}
 	if len(list) == 1 {
-		delete(h.prints, g.ask.Fingerprint)
+		delete(h.byFingerprint, g.ask.Fingerprint)
 		return
 	}
-	h.prints[g.ask.Fingerprint] = slices.Delete(list, i, i+1)
+	h.byFingerprint[g.ask.Fingerprint] = slices.Delete(list, i, i+1)
 }
 
-// weigh recomputes an upstream's peak.
-func (h *Home) weigh(u *upstream) {
+// updatePeak recomputes an upstream's peak and summary.
+func (h *Home) updatePeak(u *upstream) {
 	u.peak = u.need.peak(h.z)
 	h.summarize(u)
 }
 
-// refresh recomputes the forecasts of an upstream's grants.
-func (h *Home) refresh(now time.Time, u *upstream) {
-	u.backlog.forget(now, u.grants)
-	u.need, u.running, u.believed = footprint{}, 0, h.speedAt(now, u)
+// refreshForecasts recomputes the forecasts of an upstream's grants and their sums.
+func (h *Home) refreshForecasts(now time.Time, u *upstream) {
+	u.backlog.expire(now, u.grants)
+	u.need, u.runningValue, u.assumedSpeed = footprint{}, 0, h.speedAt(now, u)
 	for _, g := range u.grants {
-		h.forecast(now, g)
+		h.forecastNeed(now, g)
 		u.need.add(&g.need)
-		u.running += h.delayed(now, g)
+		u.runningValue += h.delayedValue(now, g)
 	}
-	h.weigh(u)
+	h.updatePeak(u)
 }
 
-// forecast computes a grant's future memory.
-func (h *Home) forecast(now time.Time, g *grant) {
+// forecastNeed forecasts a grant's memory.
+func (h *Home) forecastNeed(now time.Time, g *grant) {
 	if !h.settings.Engine {
 		return
 	}
@@ -183,54 +189,57 @@
 	g.need = footprintOf(c, g.ask.Prompt, g.tokensAt(now), g.ask.MaxOutput)
 }
 
-// tokensAt extrapolates the number of tokens from the last sighting.
+// tokensAt extrapolates the number of output tokens from the last announcement.
 func (g *grant) tokensAt(now time.Time) int {
-	if g.still {
+	if g.stalled {
 		return g.tokens
 	}
-	since := min(now.Sub(g.known), maxExtrapolation)
-	more := int(since.Seconds() / g.upstream.timePerToken())
+	since := min(now.Sub(g.tokensKnownAt), maxExtrapolation)
+	more := int(since.Seconds() / g.upstream.tokenTimeOrDefault())
 	return min(g.tokens+max(more, 0), max(g.ask.MaxOutput-1, g.tokens))
 }
 
-func (u *upstream) timePerToken() float64 {
-	if u.spt == 0 {
-		return firstSpt
+// tokenTimeOrDefault returns the time per token in seconds.
+func (u *upstream) tokenTimeOrDefault() float64 {
+	if u.tokenTime == 0 {
+		return initialTokenTime
 	}
-	return u.spt
+	return u.tokenTime
 }
 
-// sight records a newer number of tokens and measures the upstream's speed.
-func (g *grant) sight(now time.Time, tokens int) {
+// recordProgress records an announced number of output tokens and measures the upstream's time
+// per token. It ignores announcements that are older or follow too soon.
+func (g *grant) recordProgress(now time.Time, tokens int) {
 	if tokens < g.tokens {
 		return
 	}
-	since := now.Sub(g.known)
-	if since < minSightingInterval {
+	since := now.Sub(g.tokensKnownAt)
+	if since < minProgressInterval {
 		return
 	}
 	if g.tokens > 0 && tokens > g.tokens {
-		g.upstream.learnSpeed(since.Seconds() / float64(tokens-g.tokens))
+		g.upstream.recordTokenTime(since.Seconds() / float64(tokens-g.tokens))
 	}
-	g.still = g.tokens > 0 && tokens == g.tokens
-	g.tokens, g.known = tokens, now
+	g.stalled = g.tokens > 0 && tokens == g.tokens
+	g.tokens, g.tokensKnownAt = tokens, now
 }
 
-func (u *upstream) learnSpeed(spt float64) {
-	if u.spt == 0 {
-		u.spt = spt
+func (u *upstream) recordTokenTime(seconds float64) {
+	if u.tokenTime == 0 {
+		u.tokenTime = seconds
 	}
-	u.spt += sptFade * (spt - u.spt)
+	u.tokenTime += tokenTimeWeight * (seconds - u.tokenTime)
 }
 
-// addPrompt records prompt tokens to compute.
-func (u *upstream) addPrompt(now time.Time, tokens int, rate float64) {
-	left := max(u.prompts-rate*now.Sub(u.promptsAt).Seconds(), 0)
-	u.prompts, u.promptsAt = left+float64(tokens), now
+// addPending adds prompt tokens that the upstream must compute, at a rate in tokens a second.
+func (u *upstream) addPending(now time.Time, tokens int, rate float64) {
+	left := max(u.pendingTokens-rate*now.Sub(u.pendingAt).Seconds(), 0)
+	u.pendingTokens, u.pendingAt = left+float64(tokens), now
 }
 
-// reconcile compares a report with the ledger. Unknown generations that did not end recently
-// belong to another home or precede a takeover; they hold memory too.
+// reconcile compares a report with the ledger and updates foreignMemory. Reported generations
+// that are neither in the ledger nor ended recently belong to another home or started before a
+// takeover; their memory counts as used.
 func (h *Home) reconcile(now time.Time, u *upstream) {
 	known, unknown := 0, 0
 	for _, l := range u.report.Gens {
@@ -242,14 +251,14 @@
 			unknown++
 		}
 	}
-	u.foreign = 0
+	u.foreignMemory = 0
 	if unknown > 0 {
-		u.foreign = float64(max(u.report.Used-known, 0))
+		u.foreignMemory = float64(max(u.report.Used-known, 0))
 	}
 }
 
-// HoldCopy records that a copy of a running generation holds memory on an upstream, until
-// ReleaseCopy or the move.
+// HoldCopy records that a copy of a running generation holds memory, in tokens, on an upstream
+// until ReleaseCopy.
 func (h *Home) HoldCopy(name string, tokens int) { h.addCopy(name, float64(tokens)) }
 
 // ReleaseCopy undoes HoldCopy.
@@ -257,36 +266,38 @@
 
 func (h *Home) addCopy(name string, tokens float64) {
 	if u := h.byName[name]; u != nil && !h.settings.Without.Has(mechanism.CopyMemory) {
-		u.copies = max(u.copies+tokens, 0)
+		u.copyMemory = max(u.copyMemory+tokens, 0)
 		h.summarize(u)
 	}
 }
 
-// endedTTL is how long a report may still list an attempt after its end.
+// endedTTL is how long ended attempts are remembered, as reports and announcements may still
+// list them.
 const endedTTL = 5 * time.Second
 
-// recent holds the attempts that ended recently.
-type recent struct {
-	at    map[string]time.Time
+// endedAttempts holds the attempts that ended recently.
+type endedAttempts struct {
+	endedAt map[string]time.Time
+	// order lists the attempts in order of their end.
 	order []string
 }
 
-func newRecent() recent { return recent{at: map[string]time.Time{}} }
+func newEndedAttempts() endedAttempts { return endedAttempts{endedAt: map[string]time.Time{}} }
 
-func (r *recent) add(now time.Time, attempt string) {
-	r.at[attempt] = now
+func (r *endedAttempts) add(now time.Time, attempt string) {
+	r.endedAt[attempt] = now
 	r.order = append(r.order, attempt)
 }
 
-func (r *recent) has(attempt string) bool {
-	_, ok := r.at[attempt]
+func (r *endedAttempts) has(attempt string) bool {
+	_, ok := r.endedAt[attempt]
 	return ok
 }
 
-func (r *recent) forget(now time.Time) {
+func (r *endedAttempts) expire(now time.Time) {
 	n := 0
-	for n < len(r.order) && now.Sub(r.at[r.order[n]]) > endedTTL {
-		delete(r.at, r.order[n])
+	for n < len(r.order) && now.Sub(r.endedAt[r.order[n]]) > endedTTL {
+		delete(r.endedAt, r.order[n])
 		n++
 	}
 	r.order = r.order[n:]
--- a/internal/core/placement/lengths.go
+++ b/internal/core/placement/lengths.go
@@ -3,41 +3,45 @@
 import "math/bits"
 
 const (
-	// memory is the number of answers after which a level's older ones have decayed.
-	memory = 2500
-	// backOff is the number of answers at which a level weighs as much as the one above.
-	backOff = 25
-	// firstHazard is the prior probability that an answer ends within a bucket: a wide guess
+	// historyAnswers is the decay constant of the counts, in answers: the weight of an answer
+	// falls to 1/e after as many later ones.
+	historyAnswers = 2500
+	// priorWeight is the number of answers at which a level's own counts weigh as much as the
+	// estimate of its parent.
+	priorWeight = 25
+	// priorHazard is the prior probability that an answer ends within a bucket: a wide guess
 	// with a heavy tail.
-	firstHazard = 0.13
-	// firstLength is the length below which the prior expects no answer to end.
-	firstLength = 16
-	// relearn is the fraction of its memory, as a divisor, that a level collects before its
-	// curve is recomputed.
-	relearn = 50
-	// orgLevels bounds the number of organisations with a level of their own.
-	orgLevels = 8192
+	priorHazard = 0.13
+	// priorMinLength is the length below which the prior expects no answer to end.
+	priorMinLength = 16
+	// recomputeDivisor sets when a level's curve is recomputed: once its new answers are one in
+	// recomputeDivisor of its total.
+	recomputeDivisor = 50
+	// maxOrgLevels bounds the number of levels of organisations; the oldest are evicted.
+	maxOrgLevels = 8192
 )
 
-// Lengths learns the distribution of answer lengths: decayed histograms by kind of answer and
-// organisation, which back off to the kind and to all answers. It estimates hazards, so that
-// truncated answers count as lower bounds.
+// Lengths learns the distribution of answer lengths in tokens. It keeps decayed histograms at
+// three levels: by organisation and kind of answer, by kind, and for all answers. A level with
+// few answers backs off to the level above. Lengths estimates hazards, so that truncated answers
+// count as lower bounds.
 type Lengths struct {
-	first [buckets]float32
-	// oneKind ignores the declared maximum.
-	oneKind bool
-	all     *level
-	kinds   map[kind]*level
-	orgs    map[orgKey]*level
+	// prior holds the hazards that the top level backs off to.
+	prior [buckets]float32
+	// ignoreMaxOutput is set if the kind of an answer does not depend on the declared maximum.
+	ignoreMaxOutput bool
+	all             *level
+	kinds           map[kind]*level
+	orgs            map[orgKey]*level
 	// order holds the organisations' keys for eviction, oldest first.
 	order []orgKey
 }
 
-// kind is a kind of answer: the service and the octave of the declared maximum. One
-// organisation may ask for lines and for pages, and the mean of both describes neither.
+// kind is a kind of answer: the service and the octave of the declared maximum length. One
+// organisation may request short and long answers, and the mean of both describes neither.
 type kind struct {
-	service string
-	most    int
+	service         string
+	maxOutputOctave int
 }
 
 type orgKey struct {
@@ -45,58 +49,62 @@
 	org string
 }
 
-// keyOf returns the level that an ask's answer belongs to.
+// keyOf returns the key of the organisation's level for the answer to a request.
 func (l *Lengths) keyOf(service string, ask *Ask) orgKey {
 	k := kind{service: service}
-	if !l.oneKind {
-		k.most = bits.Len(uint(max(ask.MaxOutput, 0)))
+	if !l.ignoreMaxOutput {
+		k.maxOutputOctave = bits.Len(uint(max(ask.MaxOutput, 0)))
 	}
 	return orgKey{kind: k, org: ask.Org}
 }
 
-// level is one histogram: ended counts the answers that ended in each bucket, reached those
-// that got there.
+// level is one histogram of answer lengths.
 type level struct {
-	above   *level
+	// parent is the level to back off to; nil at the top.
+	parent *level
+	// ended counts the answers that ended in each bucket, reached those that ended there or
+	// later. Both decay.
 	ended   [buckets]float32
 	reached [buckets]float32
 	hazard  [buckets]float32
 	curve   *curve
-	// fresh counts the answers since the curve was computed, total all of them.
-	fresh, total float32
-	// drawn counts the computations of the curve; aboveDrawn is the parent's count at the last
-	// one.
-	drawn, aboveDrawn int
+	// newAnswers counts the answers since the curve was computed, total all answers up to
+	// historyAnswers.
+	newAnswers, total float32
+	// revision counts the computations of the curve; parentRevision is the parent's revision at
+	// the last one.
+	revision, parentRevision int
 }
 
 // NewLengths returns an estimator without observations.
 func NewLengths() *Lengths {
 	l := &Lengths{kinds: map[kind]*level{}, orgs: map[orgKey]*level{}}
-	for b := range l.first {
-		if lowerOf(b) >= firstLength {
-			l.first[b] = firstHazard
+	for b := range l.prior {
+		if lowerOf(b) >= priorMinLength {
+			l.prior[b] = priorHazard
 		}
 	}
 	l.all = l.newLevel(nil)
 	return l
 }
 
-func (l *Lengths) newLevel(above *level) *level {
-	v := &level{above: above}
-	v.draw(&l.first)
+func (l *Lengths) newLevel(parent *level) *level {
+	v := &level{parent: parent}
+	v.recompute(&l.prior)
 	return v
 }
 
-// Observe records an answer. One that was cut off counts as a lower bound only.
-func (l *Lengths) Observe(service string, ask *Ask, tokens int, whole bool) {
-	own := l.own(l.keyOf(service, ask))
-	for v := own; v != nil; v = v.above {
-		v.observe(tokens, whole)
+// Observe records the length of an answer. complete is false for an answer that was cut off,
+// whose length is a lower bound.
+func (l *Lengths) Observe(service string, ask *Ask, tokens int, complete bool) {
+	own := l.orgLevel(l.keyOf(service, ask))
+	for v := own; v != nil; v = v.parent {
+		v.observe(tokens, complete)
 	}
 }
 
-// own returns an organisation's level, creating it if needed.
-func (l *Lengths) own(key orgKey) *level {
+// orgLevel returns an organisation's level, creating it if needed.
+func (l *Lengths) orgLevel(key orgKey) *level {
 	if v := l.orgs[key]; v != nil {
 		return v
 	}
@@ -108,22 +116,22 @@
 	v := l.newLevel(k)
 	l.orgs[key] = v
 	l.order = append(l.order, key)
-	if len(l.order) > orgLevels {
+	if len(l.order) > maxOrgLevels {
 		delete(l.orgs, l.order[0])
 		l.order = l.order[1:]
 	}
 	return v
 }
 
-// curve returns the distribution for an ask's answer.
+// curve returns the length distribution of the answer to a request.
 func (l *Lengths) curve(service string, ask *Ask) *curve {
-	v := l.own(l.keyOf(service, ask))
-	v.refresh(&l.first)
+	v := l.orgLevel(l.keyOf(service, ask))
+	v.refresh(&l.prior)
 	return v.curve
 }
 
-func (v *level) observe(tokens int, whole bool) {
-	const keep = 1 - 1.0/memory
+func (v *level) observe(tokens int, complete bool) {
+	const keep = 1 - 1.0/historyAnswers
 	last := bucketOf(tokens)
 	for b := range buckets {
 		v.ended[b] *= keep
@@ -132,36 +140,39 @@
 			v.reached[b]++
 		}
 	}
-	if whole {
+	if complete {
 		v.ended[last]++
 	} else {
 		v.reached[last]--
 	}
-	v.total = min(v.total+1, memory)
-	v.fresh++
+	v.total = min(v.total+1, historyAnswers)
+	v.newAnswers++
 }
 
-// refresh recomputes the curve once this level or the one above has learned enough.
-func (v *level) refresh(first *[buckets]float32) {
-	if v.above != nil {
-		v.above.refresh(first)
+// refresh recomputes the curve if this level has enough new answers or its parent's curve has
+// changed.
+func (v *level) refresh(topPrior *[buckets]float32) {
+	if v.parent != nil {
+		v.parent.refresh(topPrior)
 	}
-	learnt := v.fresh > 0 && v.fresh*relearn >= v.total
-	if learnt || v.above != nil && v.aboveDrawn != v.above.drawn {
-		v.draw(first)
+	enoughNew := v.newAnswers > 0 && v.newAnswers*recomputeDivisor >= v.total
+	if enoughNew || v.parent != nil && v.parentRevision != v.parent.revision {
+		v.recompute(topPrior)
 	}
 }
 
-func (v *level) draw(first *[buckets]float32) {
-	prior := first
-	if v.above != nil {
-		prior = &v.above.hazard
-		v.aboveDrawn = v.above.drawn
+// recompute computes the hazards and the curve from the counts and the parent's hazards, or
+// topPrior at the top level.
+func (v *level) recompute(topPrior *[buckets]float32) {
+	prior := topPrior
+	if v.parent != nil {
+		prior = &v.parent.hazard
+		v.parentRevision = v.parent.revision
 	}
 	for b := range buckets {
-		v.hazard[b] = (v.ended[b] + backOff*prior[b]) / (v.reached[b] + backOff)
+		v.hazard[b] = (v.ended[b] + priorWeight*prior[b]) / (v.reached[b] + priorWeight)
 	}
 	v.curve = newCurve(&v.hazard)
-	v.fresh = 0
-	v.drawn++
+	v.newAnswers = 0
+	v.revision++
 }
--- a/internal/core/placement/move.go
+++ b/internal/core/placement/move.go
@@ -8,19 +8,19 @@
 	"mulberrylug.example/mulberrylug/internal/core/mechanism"
 )
 
-// Placed is a generation that the home believes to run on an upstream.
+// Placed is a generation that runs on an upstream according to the ledger.
 type Placed struct {
 	Ask Ask
-	// Tokens is the number produced so far, Left the expected remainder.
+	// Tokens is the number of output tokens so far, Left the expected number of further ones.
 	Tokens int
 	Left   float64
 	// TokenTime is the upstream's time per token.
 	TokenTime time.Duration
-	// Begun is set once the prompt was computed. It cannot be moved before.
+	// Begun is set once the prompt was computed. Before that the generation cannot be moved.
 	Begun bool
 }
 
-// On lists the generations on an upstream by attempt.
+// On returns the generations on an upstream, sorted by attempt.
 func (h *Home) On(now time.Time, name string) []Placed {
 	u := h.byName[name]
 	if u == nil {
@@ -30,37 +30,38 @@
 	for _, g := range u.grants {
 		tokens := g.tokensAt(now)
 		out = append(out, Placed{
-			Ask: g.ask, Tokens: tokens, Left: h.left(g, tokens), TokenTime: seconds(u.timePerToken()), Begun: g.begun,
+			Ask: g.ask, Tokens: tokens, Left: h.remainingTokens(g, tokens), TokenTime: seconds(u.tokenTimeOrDefault()), Begun: g.prefilled,
 		})
 	}
 	slices.SortFunc(out, func(a, b Placed) int { return cmp.Compare(a.Ask.Attempt, b.Ask.Attempt) })
 	return out
 }
 
-// Runs reports whether the home believes that anything runs on an upstream.
+// Runs reports whether any generation runs on an upstream according to the ledger.
 func (h *Home) Runs(name string) bool {
 	u := h.byName[name]
 	return u != nil && len(u.grants) > 0
 }
 
-// left returns the expected number of further tokens: by the caller's estimate until it is
-// exceeded, then by learned lengths.
-func (h *Home) left(g *grant, tokens int) float64 {
+// remainingTokens returns the expected number of further output tokens: by the caller's estimate
+// until that is exceeded, then by learned lengths.
+func (h *Home) remainingTokens(g *grant, tokens int) float64 {
 	if g.ask.Expected > tokens && !h.settings.Without.Has(mechanism.Hints) {
 		return float64(g.ask.Expected - tokens)
 	}
 	return h.lengths.curve(h.settings.Service, &g.ask).remaining(tokens, max(g.ask.MaxOutput, tokens+1))
 }
 
-// Destination returns the upstream that a generation should move to, or "" if none has room.
-// Upstreams for which near is true are preferred, those for which skip is true are left out.
+// Destination returns the upstream to which a generation should move, or "" if none has room.
+// Upstreams for which near returns true are preferred, those for which skip returns true are not
+// considered.
 func (h *Home) Destination(now time.Time, attempt string, near, skip func(name string) bool) string {
 	g := h.granted[attempt]
 	if g == nil {
 		return ""
 	}
 	need := footprintOf(h.lengths.curve(h.settings.Service, &g.ask), g.ask.Prompt, g.tokensAt(now), g.ask.MaxOutput)
-	rest := h.rest(now, g)
+	rest := h.predictRest(now, g)
 	best, bestScore, bestNear := "", 0.0, false
 	for i, u := range h.upstreams {
 		s := &h.summaries[i]
@@ -75,8 +76,8 @@
 	return best
 }
 
-// Started records work that the home does not place itself on an upstream: a run that moves
-// there.
+// Started counts a generation that moves to an upstream against the upstream's rate limit of
+// starts.
 func (h *Home) Started(now time.Time, name string) {
 	if u := h.byName[name]; u != nil {
 		u.starts.Note(now)
@@ -84,7 +85,7 @@
 	}
 }
 
-// Move records that an attempt runs on another upstream now.
+// Move records that an attempt now runs on another upstream. It reports whether both are known.
 func (h *Home) Move(attempt, to string) bool {
 	g, u := h.granted[attempt], h.byName[to]
 	if g == nil || u == nil {
@@ -92,16 +93,16 @@
 	}
 	h.release(g)
 	g.upstream = u
-	h.hold(g)
+	h.addGrant(g)
 	return true
 }
 
-// moveReserve is the fraction of the memory needed by generations on leaving upstreams that is
-// kept free of new work. Enough of the rest becomes free during the notice.
+// moveReserve is the fraction of the memory used by generations on leaving upstreams that other
+// upstreams keep free of new work. Enough memory for the rest becomes free during the notice.
 const moveReserve = 0.5
 
-// reserveForMoves updates the memory reserved for generations on leaving upstreams. One that
-// finds no room is lost with all its work, while a new ask can wait.
+// reserveForMoves updates movesReserve. A generation on a leaving upstream that finds no room
+// elsewhere is lost with all its work, while a new request can wait.
 func (h *Home) reserveForMoves(now time.Time) {
 	need, capacity := 0.0, 0.0
 	for _, u := range h.upstreams {
@@ -112,13 +113,13 @@
 			continue
 		}
 		for _, g := range u.grants {
-			if tokens := g.tokensAt(now); g.begun && h.left(g, tokens) > longLeft {
+			if tokens := g.tokensAt(now); g.prefilled && h.remainingTokens(g, tokens) > longRemaining {
 				need += float64(g.ask.Prompt + tokens)
 			}
 		}
 	}
-	h.forMoves = 0
+	h.movesReserve = 0
 	if h.settings.Predict && capacity > 0 && !h.settings.Without.Has(mechanism.MoveReserve) {
-		h.forMoves = moveReserve * need / capacity
+		h.movesReserve = moveReserve * need / capacity
 	}
 }
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -1,13 +1,15 @@
-// Package placement decides which upstream runs which request, and when. A
-// Home keeps the ledger of granted and queued work for one pool of upstreams;
-// it takes asks, reports and ends, and returns decisions. It does no I/O and
-// has no clock: time is an argument.
+// Package placement decides which upstream runs which request, and when. A Home keeps the ledger
+// of granted and queued requests for one pool of upstreams. It processes requests, load reports
+// and the ends of attempts, and returns decisions. It does no I/O and has no clock: time is an
+// argument.
 //
-// One file holds one concern: lengths.go and curve.go learn how long answers
-// get, forecast.go what memory an upstream will need, tuning.go turns the
-// deployment's weights into headroom and order, queue.go is the fair queue,
-// choose.go picks an upstream, wait.go predicts waits and refuses early, and
-// home.go and ledger.go put them together.
+// lengths.go and curve.go learn the distribution of answer lengths, and forecast.go predicts the
+// memory that an upstream will need. speed.go measures upstreams, backlog.go tracks their pending
+// prefill, and cost.go rates a placement. tuning.go derives headroom and queue order from the
+// deployment's weights. queue.go is the fair queue, drain.go measures its throughput, and wait.go
+// predicts waits and refuses early. choose.go selects an upstream, move.go a destination for a
+// running generation. home.go and ledger.go combine them, and progress.go processes the
+// announcements of running attempts.
 package placement
 
 import (
@@ -22,18 +24,19 @@
 	ReasonNoUpstream = "no_upstream"
 	ReasonQueueFull  = "queue_wait"
 	ReasonPoison     = "poison"
-	// ReasonCordoned: every upstream that the ask may run on is cordoned.
+	// ReasonCordoned: every upstream on which the request may run is cordoned.
 	ReasonCordoned = "cordoned"
 )
 
-// reportMaxAge is the age at which a report expires and the upstream gets no new work. Reports
-// arrive every 250 ms, so several may be lost.
+// reportMaxAge is the age at which a report expires and its upstream gets no new work until the
+// next one. Reports arrive every 250 ms, so several may be lost.
 const reportMaxAge = 1200 * time.Millisecond
 
 // Ask is a request to run one attempt.
 type Ask struct {
-	Attempt     string
-	Org         string
+	Attempt string
+	Org     string
+	// Fingerprint identifies requests of the same content; 0 if unknown.
 	Fingerprint uint64
 	// Prompt and MaxOutput are in tokens.
 	Prompt    int
@@ -42,27 +45,28 @@
 	Prefix []uint64
 	// Expected is the caller's estimate of the output in tokens; 0 if none.
 	Expected int
-	// Exclude lists upstreams that this request must not run on again.
+	// Exclude lists upstreams on which this request must not run again.
 	Exclude []string
-	// DataCentre is the entry's location, known from the connection; "" if it does not matter.
+	// DataCentre is the entry's location, known from the connection; "" if it is not considered.
 	DataCentre string `msgpack:"-"`
 	// DataCentres limits where the request may run; empty allows all.
 	DataCentres []string `msgpack:",omitempty"`
-	// FirstTarget is the deadline for the first token after the ask; 0 if there is none.
+	// FirstTarget is the target time from the request to the first token; 0 if there is none.
 	FirstTarget time.Duration
-	// Suspect marks a request with one strike, which shares no upstream with another suspect.
+	// Suspect marks a request with one strike. It shares no upstream with another such request.
 	Suspect bool
-	// MaxWait is the longest time in the queue.
+	// MaxWait is the maximum time in the queue.
 	MaxWait time.Duration
 }
 
 // GenLoad is one generation in an upstream's report.
 type GenLoad struct {
 	Attempt string `json:"attempt"`
-	Tokens  int    `json:"tokens"`
+	// Tokens is the number of output tokens so far.
+	Tokens int `json:"tokens"`
 }
 
-// Report is an upstream's own, delayed account of its load.
+// Report is the load of an upstream as the upstream itself reports it, with some delay.
 type Report struct {
 	Upstream string `json:"upstream"`
 	// Boot changes with every start of the upstream.
@@ -70,18 +74,20 @@
 	// Version is the model version that the engine runs.
 	Version string `json:"version"`
 	Leaving bool   `json:"leaving"`
-	// MaxStarts limits the requests sent in any second; 0 is no limit. Set by the home.
+	// MaxStarts limits the requests sent to the upstream in any second; 0 means no limit. It is
+	// set by the pool's home.
 	MaxStarts int `json:"-" msgpack:"-"`
 	// DataCentre is the upstream's location; "" if unknown.
 	DataCentre string `json:"data_centre,omitempty"`
-	// Penalty lowers the score of the upstream, as a fraction of its memory. Set by the home.
+	// Penalty lowers the score of the upstream: in seconds in flight if scores are predicted
+	// costs, otherwise as a fraction of the memory. It is set by the pool's home.
 	Penalty float64 `json:"-" msgpack:"-"`
 	// Capacity and Used are in tokens of engine memory; in concurrent calls for a plain
 	// service.
 	Capacity int `json:"capacity"`
 	Used     int `json:"used"`
 	MaxBatch int `json:"max_batch"`
-	// Running and Waiting count generations inside the upstream.
+	// Running and Waiting are the numbers of generations that the upstream runs and queues.
 	Running     int       `json:"running"`
 	Waiting     int       `json:"waiting"`
 	Preemptions int64     `json:"preemptions"`
@@ -110,50 +116,51 @@
 	}
 }
 
-// Decision answers an ask, immediately or later.
+// Decision is the decision on a request, made immediately or while it is queued.
 type Decision struct {
 	Attempt  string
 	Kind     Kind
 	Upstream string
-	// Priority is passed to the engine; lower runs first.
+	// Priority is passed to the engine; a lower value runs first.
 	Priority   int
 	Reason     string
 	RetryAfter time.Duration
 	// Position is the place in the queue, from 1, if Queued.
 	Position int
-	// Forecast is the basis of a grant, for the log.
+	// Forecast holds the predictions behind a grant, for the log.
 	Forecast Forecast `msgpack:"-"`
 }
 
-// Forecast is the predicted course of a granted answer.
+// Forecast is the predicted course of a granted generation.
 type Forecast struct {
-	// Unread is the number of prompt tokens that the upstream computes first.
+	// Unread is the number of other prompt tokens that the upstream computes first.
 	Unread int
-	// First is the expected time to first token from the grant, Pace the undisturbed time per
-	// token, Output the expected length.
+	// First is the expected time from the grant to the first token, Pace the time per token
+	// without concurrent prefill, Output the expected number of output tokens.
 	First  time.Duration
 	Pace   time.Duration
 	Output int
-	// Free is the fraction of memory forecast to be free.
+	// Free is the fraction of the memory that is free at the forecast peak.
 	Free float64
 }
 
 // Settings configure a home.
 type Settings struct {
 	Weights config.Weights
-	// Engine is false for plain services, whose load is a number of calls.
+	// Engine is false for plain services, whose load is measured in concurrent calls.
 	Engine bool
 	// Service is the name of the pool's service.
 	Service string
-	// PromptRate is the prefill throughput in tokens a second beside running generations; 0
-	// means promptRate.
+	// PromptRate is the prefill throughput in tokens a second while generations run; 0 means
+	// defaultPrefillRate.
 	PromptRate float64
-	// Predict places by predicted time in flight, of the ask and of what runs beside it,
-	// instead of by free memory. It requires entries that announce first tokens.
+	// Predict selects upstreams by the predicted time in flight of the new generation and of
+	// those that its prefill delays, instead of by free memory. It requires entries that
+	// announce first tokens.
 	Predict bool
 	// Without lists disabled mechanisms.
 	Without mechanism.Set
-	// Ways selects between alternative ways of deciding.
+	// Ways selects alternative algorithms for some decisions.
 	Ways mechanism.Ways
 	// Lengths is shared by the homes of one instance. Nil creates one.
 	Lengths *Lengths
--- a/internal/core/placement/policy_test.go
+++ b/internal/core/placement/policy_test.go
@@ -12,34 +12,35 @@
 	"mulberrylug.example/mulberrylug/internal/trial"
 )
 
-var policySeed = flag.Uint64("policy.seed", fixedSeed, "first seed of the policies' trial")
+var policySeed = flag.Uint64("policy.seed", fixedSeed, "first seed of the policy tests")
 
 const (
-	// fixedSeed is the first of the seeds at which the strict bounds hold.
+	// fixedSeed is the first of the seeds with which the strict bounds hold.
 	fixedSeed = 1
-	// boundSeeds is how many seeds each figure is the median of.
-	boundSeeds = 10
-	// rateSeeds is how many of them find the draining load.
+	// resultSeeds is the number of seeds of which each result is the median.
+	resultSeeds = 10
+	// rateSeeds is the number of seeds with which the draining load is determined.
 	rateSeeds = 5
-	// lowestRate and highestRate enclose the draining load in requests a second.
+	// lowestRate and highestRate bound the search for the draining load, in requests a second.
+	// The draining load is the highest rate at which a policy still empties its queues.
 	lowestRate  = 8
 	highestRate = 24
-	// overload is the load at which callers are refused.
+	// overload is the load, as a fraction of the draining load, at which callers are refused.
 	overload = 1.3
 )
 
 // loads are fractions of the draining load.
 var loads = []float64{0.8, 0.9, 1, overload}
 
-// deployments are the weights that the two deployments ship with.
+// deployments holds the default weights of the two deployments.
 var deployments = map[string]config.Weights{
 	"periyar": {Stall: 4, Preemptions: 1, Tail: 1},
 	"matrica": {Stall: 1, Preemptions: 4, Tail: 4},
 }
 
-// seeds returns n seeds. The race detector makes each run ten times as slow
-// and finds the same with one short run as with ten long ones; figures are not
-// judged then.
+// seeds returns n consecutive seeds, or one if the race detector is enabled. The race detector
+// makes each run ten times as slow and finds the same races in one short run as in ten long
+// ones. The bounds are not checked then.
 func seeds(first uint64, n int) []uint64 {
 	if underRace {
 		n = 1
@@ -51,56 +52,57 @@
 	return out
 }
 
-// table holds the median figures of every policy at every load.
-type table struct {
-	// full is the draining load in requests a second.
-	full      float64
-	baselines map[float64][]trial.Result
-	oracle    map[float64]trial.Result
-	// thin is the first version of ours, at the draining load.
-	thin  trial.Result
-	homes map[string]map[float64]trial.Result
+// results holds the median results of every policy by load.
+type results struct {
+	// drainingLoad is the highest draining load of the baselines, in requests a second.
+	drainingLoad float64
+	baselines    map[float64][]trial.Result
+	oracle       map[float64]trial.Result
+	// firstVersion is the result of the first version of the project's policy at the draining
+	// load.
+	firstVersion trial.Result
+	homes        map[string]map[float64]trial.Result
 }
 
-// tables keeps each seed's table: two tests use the same one.
-var tables struct {
+// resultCache caches the results by seed, as two tests use the same ones.
+var resultCache struct {
 	sync.Mutex
-	bySeed map[uint64]*table
+	bySeed map[uint64]*results
 }
 
-func tableFor(t *testing.T, seed uint64) *table {
+func resultsFor(t *testing.T, seed uint64) *results {
 	t.Helper()
-	tables.Lock()
-	defer tables.Unlock()
-	if tables.bySeed == nil {
-		tables.bySeed = map[uint64]*table{}
+	resultCache.Lock()
+	defer resultCache.Unlock()
+	if resultCache.bySeed == nil {
+		resultCache.bySeed = map[uint64]*results{}
 	}
-	if tables.bySeed[seed] == nil {
-		tables.bySeed[seed] = measure(seed)
+	if resultCache.bySeed[seed] == nil {
+		resultCache.bySeed[seed] = measure(seed)
 	}
-	return tables.bySeed[seed]
+	return resultCache.bySeed[seed]
 }
 
-// workload is the one with heavy tails. Beyond the draining load its callers
-// accept refusals and come back when told; up to it nobody is refused.
+// workload returns the workload with heavy-tailed answer lengths. Above the draining load its
+// callers accept refusals and return after the Retry-After; up to it no caller is refused.
 func workload(load float64) trial.Workload {
 	if load >= overload {
-		return shorter(trial.Overload())
+		return shortenUnderRace(trial.Overload())
 	}
-	return shorter(trial.Heavy())
+	return shortenUnderRace(trial.Heavy())
 }
 
-// shorter makes a workload short enough for the race detector, if that is on.
-func shorter(w trial.Workload) trial.Workload {
+// shortenUnderRace shortens a workload if the race detector is enabled.
+func shortenUnderRace(w trial.Workload) trial.Workload {
 	if underRace {
-		const part = 5
-		w.Length, w.ShiftAt, w.ReclaimAt = w.Length/part, w.ShiftAt/part, w.ReclaimAt/part
+		const divisor = 5
+		w.Length, w.ShiftAt, w.ReclaimAt = w.Length/divisor, w.ShiftAt/divisor, w.ReclaimAt/divisor
 	}
 	return w
 }
 
-func measure(seed uint64) *table {
-	m := &table{
+func measure(seed uint64) *results {
+	m := &results{
 		baselines: map[float64][]trial.Result{}, oracle: map[float64]trial.Result{},
 		homes: map[string]map[float64]trial.Result{"periyar": {}, "matrica": {}},
 	}
@@ -109,31 +111,31 @@
 	trial.Parallel(len(all), func(i int) {
 		rates[i] = trial.DrainingRate(workload(1), all[i], seeds(seed, rateSeeds), lowestRate, highestRate)
 	})
-	m.full = slices.Max(rates)
+	m.drainingLoad = slices.Max(rates)
 	for _, load := range loads {
 		w := workload(load)
-		w.Rate = m.full * load
-		play := func(p trial.Maker) trial.Result { return trial.Median(trial.Seeds(w, p, seeds(seed, boundSeeds))) }
+		w.Rate = m.drainingLoad * load
+		run := func(p trial.Maker) trial.Result { return trial.Median(trial.Seeds(w, p, seeds(seed, resultSeeds))) }
 		for _, b := range trial.Baselines() {
-			m.baselines[load] = append(m.baselines[load], play(b))
+			m.baselines[load] = append(m.baselines[load], run(b))
 		}
 		for name, weights := range deployments {
-			m.homes[name][load] = play(trial.Homes("homes", weights))
+			m.homes[name][load] = run(trial.Homes("homes", weights))
 		}
 		if load < overload {
-			m.oracle[load] = play(trial.Oracle())
+			m.oracle[load] = run(trial.Oracle())
 		}
 		if load == 1 {
-			m.thin = play(trial.Thin())
+			m.firstVersion = run(trial.Thin())
 		}
 	}
 	return m
 }
 
-func (m *table) print(t *testing.T) {
+func (m *results) log(t *testing.T) {
 	t.Helper()
-	t.Logf("draining load: %.2f requests/s", m.full)
-	t.Log(m.thin.Line("any", 1))
+	t.Logf("draining load: %.2f requests/s", m.drainingLoad)
+	t.Log(m.firstVersion.Line("any", 1))
 	for _, load := range loads {
 		for _, name := range []string{"periyar", "matrica"} {
 			for _, b := range m.baselines[load] {
@@ -147,8 +149,8 @@
 	}
 }
 
-// least returns a measure's lowest value among the baselines.
-func (m *table) least(load float64, with func(trial.Result) bool, of func(trial.Result) float64) float64 {
+// lowest returns the lowest value of a measure among the baselines that with selects.
+func (m *results) lowest(load float64, with func(trial.Result) bool, of func(trial.Result) float64) float64 {
 	best := math.Inf(1)
 	for _, b := range m.baselines[load] {
 		if with(b) {
@@ -163,86 +165,88 @@
 func longest(r trial.Result) float64     { return r.LongestP99.Seconds() }
 func goodput(r trial.Result) float64     { return r.Goodput }
 
-func everyOne(trial.Result) bool        { return true }
+func anyBaseline(trial.Result) bool     { return true }
 func noWatermark(r trial.Result) bool   { return r.Policy != "watermark" }
 func watermarkOnly(r trial.Result) bool { return r.Policy == "watermark" }
 
-// ratios are the figures that the bounds are about, ours over the baselines'.
+// ratios holds the bounded measures of the project's policy, each divided by that of a baseline.
 type ratios struct {
-	// stall is Periyar's over the best baseline's.
+	// stall is the stall time with Periyar's weights over that of the best baseline.
 	stall float64
-	// preemptions and longest are Matrica's over the best one's without a
-	// watermark; longestMark and stallMark over the watermark's.
+	// preemptions and longest are the preemptions and the longest gap between tokens (99th
+	// percentile) with Matrica's weights over those of the best baseline other than the
+	// watermark. longestMark and stallMark are the longest gap and the stall time over those of
+	// the watermark.
 	preemptions, longest   float64
 	longestMark, stallMark float64
 }
 
-func (m *table) ratios(load float64) ratios {
+func (m *results) ratios(load float64) ratios {
 	p, q := m.homes["periyar"][load], m.homes["matrica"][load]
 	return ratios{
-		stall:       stall(p) / m.least(load, everyOne, stall),
-		preemptions: preemptions(q) / m.least(load, noWatermark, preemptions),
-		longest:     longest(q) / m.least(load, noWatermark, longest),
-		longestMark: longest(q) / m.least(load, watermarkOnly, longest),
-		stallMark:   stall(q) / m.least(load, watermarkOnly, stall),
+		stall:       stall(p) / m.lowest(load, anyBaseline, stall),
+		preemptions: preemptions(q) / m.lowest(load, noWatermark, preemptions),
+		longest:     longest(q) / m.lowest(load, noWatermark, longest),
+		longestMark: longest(q) / m.lowest(load, watermarkOnly, longest),
+		stallMark:   stall(q) / m.lowest(load, watermarkOnly, stall),
 	}
 }
 
-// weighted sums a result's measures, each over the best baseline's, by the
-// deployment's weights.
-func (m *table) weighted(load float64, r trial.Result, w config.Weights) float64 {
-	sum := w.Stall*stall(r)/m.least(load, everyOne, stall) +
-		w.Preemptions*preemptions(r)/m.least(load, noWatermark, preemptions) +
-		w.Tail*longest(r)/m.least(load, noWatermark, longest)
+// weighted returns the mean of a result's measures, each divided by that of the best baseline,
+// with the deployment's weights.
+func (m *results) weighted(load float64, r trial.Result, w config.Weights) float64 {
+	sum := w.Stall*stall(r)/m.lowest(load, anyBaseline, stall) +
+		w.Preemptions*preemptions(r)/m.lowest(load, noWatermark, preemptions) +
+		w.Tail*longest(r)/m.lowest(load, noWatermark, longest)
 	return sum / (w.Stall + w.Preemptions + w.Tail)
 }
 
-func atMost(t *testing.T, what string, got, most float64) {
+func checkAtMost(t *testing.T, measure string, got, bound float64) {
 	t.Helper()
-	if !(got <= most) && !underRace {
-		t.Errorf("%s: %.3f, at most %.3f wanted", what, got, most)
+	if !(got <= bound) && !underRace {
+		t.Errorf("%s = %.3f, want at most %.3f", measure, got, bound)
 	}
 }
 
-// checkOutcomes holds for any seed: nothing is lost, nothing is refused up to
-// the draining load, and beyond it refused callers are served when they return.
-func (m *table) checkOutcomes(t *testing.T) {
+// checkOutcomes checks what must hold for any seed: no request is lost, none is refused up to the
+// draining load, and above it refused callers are served when they return.
+func (m *results) checkOutcomes(t *testing.T) {
 	t.Helper()
 	for name := range deployments {
 		for _, load := range loads {
 			r := m.homes[name][load]
 			if r.Unanswered != 0 || r.Done < m.baselines[load][0].Done {
-				t.Errorf("%s at %.1f: whole answers fewer: %s", name, load, r.Line(name, load))
+				t.Errorf("%s at load %.1f: unanswered requests, or fewer complete answers than the first baseline: %s", name, load, r.Line(name, load))
 			}
 			if load < overload && r.Refused != 0 {
-				t.Errorf("%s at %.1f: refused %d", name, load, r.Refused)
+				t.Errorf("%s at load %.1f: refused requests = %d, want 0", name, load, r.Refused)
 			}
 		}
 		over := m.homes[name][overload]
 		if over.Returned == 0 && !underRace || over.Served != over.Returned {
-			t.Errorf("%s: %d refused callers came back, %d were served", name, over.Returned, over.Served)
+			t.Errorf("%s: returning callers = %d, served %d, want some and all of them served", name, over.Returned, over.Served)
 		}
 	}
 }
 
-// anySeed is what the ratios keep to at any seed: stalls of heavy-tailed
-// workloads differ between seeds by a factor of two.
-var anySeed = ratios{stall: 0.75, preemptions: 0.3, longest: 0.15, longestMark: 1, stallMark: 1.2}
+// anySeedBounds are the bounds of the ratios for any seed. They are wide, as the stall times of
+// heavy-tailed workloads differ between seeds by a factor of two.
+var anySeedBounds = ratios{stall: 0.75, preemptions: 0.3, longest: 0.15, longestMark: 1, stallMark: 1.2}
 
-// TestPolicyBounds plays every policy at any seed and checks what must hold
-// for all of them, with room for what seeds differ by.
+// TestPolicyBounds runs every policy with the seeds from policy.seed on and checks the bounds that
+// must hold for any seed.
 func TestPolicyBounds(t *testing.T) {
-	m := tableFor(t, *policySeed)
-	m.print(t)
+	m := resultsFor(t, *policySeed)
+	m.log(t)
 	m.checkOutcomes(t)
 	for _, load := range []float64{0.9, 1} {
 		x := m.ratios(load)
 		t.Logf("load=%.2f ratios %+v", load, x)
-		atMost(t, "periyar: stall over the best baseline's", x.stall, anySeed.stall)
-		atMost(t, "matrica: preemptions over the best baseline's", x.preemptions, anySeed.preemptions)
-		atMost(t, "matrica: longest gap over the best baseline's", x.longest, anySeed.longest)
-		atMost(t, "matrica: longest gap over the watermark's", x.longestMark, anySeed.longestMark)
-		atMost(t, "matrica: stall over the watermark's", x.stallMark, anySeed.stallMark)
+		checkAtMost(t, "periyar: stall over the best baseline's", x.stall, anySeedBounds.stall)
+		checkAtMost(t, "matrica: preemptions over the best baseline's", x.preemptions, anySeedBounds.preemptions)
+		checkAtMost(t, "matrica: longest gap over the best baseline's", x.longest, anySeedBounds.longest)
+		checkAtMost(t, "matrica: longest gap over the watermark's", x.longestMark, anySeedBounds.longestMark)
+		checkAtMost(t, "matrica: stall over the watermark's", x.stallMark, anySeedBounds.stallMark)
 		for name, w := range deployments {
 			t.Logf("load=%.2f weights=%s weighted=%.3f oracle=%.3f", load, name,
 				m.weighted(load, m.homes[name][load], w), m.weighted(load, m.oracle[load], w))
@@ -250,34 +254,34 @@
 	}
 	for name := range deployments {
 		r := m.homes[name][0.8]
-		atMost(t, name+": p95 gap in seconds at 0.8", r.P95.Seconds(), 0.038)
-		atMost(t, name+": p95 first token in seconds at 0.8", r.FirstP95.Seconds(), (1800 * time.Millisecond).Seconds())
-		ratio := m.least(overload, everyOne, func(b trial.Result) float64 { return -goodput(b) }) / -goodput(m.homes[name][overload])
-		atMost(t, name+": best baseline's goodput over ours at 1.3", ratio, 1/1.3)
+		checkAtMost(t, name+": p95 gap in seconds at load 0.8", r.P95.Seconds(), 0.038)
+		checkAtMost(t, name+": p95 time to first token in seconds at load 0.8", r.FirstP95.Seconds(), (1800 * time.Millisecond).Seconds())
+		ratio := m.lowest(overload, anyBaseline, func(b trial.Result) float64 { return -goodput(b) }) / -goodput(m.homes[name][overload])
+		checkAtMost(t, name+": best baseline's goodput over that of homes at load 1.3", ratio, 1/1.3)
 	}
 }
 
-// aims are what the policy is meant to reach, median of ten seeds.
-var aims = ratios{stall: 0.25, preemptions: 0.2, longest: 0.1, longestMark: 1, stallMark: 0.5}
+// targetBounds are the design targets of the policy, as medians of ten seeds.
+var targetBounds = ratios{stall: 0.25, preemptions: 0.2, longest: 0.1, longestMark: 1, stallMark: 0.5}
 
-// reached are the aims, or the regression bound where an aim is missed at the
-// fixed seeds: at 0.9 of the draining load so little stalls under any policy
-// that few long answers that meet on one engine decide. See docs/PLACEMENT.md.
-var reached = map[float64]ratios{
-	0.9: {stall: 0.45, preemptions: aims.preemptions, longest: aims.longest, longestMark: aims.longestMark, stallMark: 0.75},
-	1:   aims,
+// fixedSeedBounds are the bounds by load for the fixed seeds: the targets, or a regression bound
+// where a target is missed. At 0.9 of the draining load, so few generations stall under any policy
+// that a few long answers on the same engine determine the stall time. See docs/PLACEMENT.md.
+var fixedSeedBounds = map[float64]ratios{
+	0.9: {stall: 0.45, preemptions: targetBounds.preemptions, longest: targetBounds.longest, longestMark: targetBounds.longestMark, stallMark: 0.75},
+	1:   targetBounds,
 }
 
-// TestPolicyAtFixedSeeds checks the strict bounds, which some seeds miss.
+// TestPolicyAtFixedSeeds checks the strict bounds, which are not met with every seed.
 func TestPolicyAtFixedSeeds(t *testing.T) {
-	m := tableFor(t, fixedSeed)
-	for load, bound := range reached {
+	m := resultsFor(t, fixedSeed)
+	for load, bound := range fixedSeedBounds {
 		x := m.ratios(load)
 		t.Logf("load=%.2f ratios %+v", load, x)
-		atMost(t, "periyar: stall over the best baseline's", x.stall, bound.stall)
-		atMost(t, "matrica: preemptions over the best baseline's", x.preemptions, bound.preemptions)
-		atMost(t, "matrica: longest gap over the best baseline's", x.longest, bound.longest)
-		atMost(t, "matrica: longest gap over the watermark's", x.longestMark, bound.longestMark)
-		atMost(t, "matrica: stall over the watermark's", x.stallMark, bound.stallMark)
+		checkAtMost(t, "periyar: stall over the best baseline's", x.stall, bound.stall)
+		checkAtMost(t, "matrica: preemptions over the best baseline's", x.preemptions, bound.preemptions)
+		checkAtMost(t, "matrica: longest gap over the best baseline's", x.longest, bound.longest)
+		checkAtMost(t, "matrica: longest gap over the watermark's", x.longestMark, bound.longestMark)
+		checkAtMost(t, "matrica: stall over the watermark's", x.stallMark, bound.stallMark)
 	}
 }
--- a/internal/core/placement/predict_test.go
+++ b/internal/core/placement/predict_test.go
@@ -8,38 +8,39 @@
 	"mulberrylug.example/mulberrylug/internal/core/config"
 )
 
-// predictWorld is a home of upstreams that read prompts one after another and make
-// tokens at a pace of their own, with entries that tell of both.
-type predictWorld struct {
+// predictSim simulates a home with upstreams that compute prompts one after another and decode
+// tokens each at its own pace, and entries that announce first tokens and progress.
+type predictSim struct {
 	t    *testing.T
 	home *Home
 	now  time.Time
-	// pace is the time between tokens of each upstream, busy until when it reads.
-	pace map[string]time.Duration
-	busy map[string]time.Time
-	// first is when an attempt's first token comes, on its upstream, told whether
-	// the home has heard of it.
-	first map[string]time.Time
-	on    map[string]string
-	told  map[string]bool
-	asks  map[string]Ask
-	// granted is when an attempt was granted, refused when it was refused.
-	granted map[string]time.Time
-	refused map[string]time.Time
-	// mute entries tell of no first token.
-	mute bool
+	// pace is the time between tokens of each upstream, prefillUntil the end of its last prefill.
+	pace         map[string]time.Duration
+	prefillUntil map[string]time.Time
+	// firstTokenAt is when an attempt's first token is produced, placedOn its upstream.
+	// announcedFirst is set once the home was notified of the first token.
+	firstTokenAt   map[string]time.Time
+	placedOn       map[string]string
+	announcedFirst map[string]bool
+	asks           map[string]Ask
+	// grantedAt and refusedAt are the times of the decisions on an attempt.
+	grantedAt map[string]time.Time
+	refusedAt map[string]time.Time
+	// dropFirstTokens is set if entries announce neither first tokens nor progress.
+	dropFirstTokens bool
 }
 
-// readRate is how many prompt tokens a second an upstream with a pace of 7 ms reads.
-const readRate = 7200
+// simPrefillRate is the prefill throughput, in tokens a second, of an upstream with a pace of
+// 7 ms.
+const simPrefillRate = 7200
 
-func newPredictWorld(t *testing.T, paces ...time.Duration) *predictWorld {
-	w := &predictWorld{
-		t: t, now: start, pace: map[string]time.Duration{}, busy: map[string]time.Time{}, first: map[string]time.Time{},
-		on: map[string]string{}, told: map[string]bool{}, asks: map[string]Ask{}, granted: map[string]time.Time{}, refused: map[string]time.Time{},
+func newPredictSim(t *testing.T, paces ...time.Duration) *predictSim {
+	w := &predictSim{
+		t: t, now: start, pace: map[string]time.Duration{}, prefillUntil: map[string]time.Time{}, firstTokenAt: map[string]time.Time{},
+		placedOn: map[string]string{}, announcedFirst: map[string]bool{}, asks: map[string]Ask{}, grantedAt: map[string]time.Time{}, refusedAt: map[string]time.Time{},
 	}
 	w.home = NewHome(Settings{
-		Weights: config.Weights{Stall: 1, Preemptions: 1, Tail: 1}, Engine: true, Service: "s", Predict: true, PromptRate: readRate,
+		Weights: config.Weights{Stall: 1, Preemptions: 1, Tail: 1}, Engine: true, Service: "s", Predict: true, PromptRate: simPrefillRate,
 	})
 	for k, pace := range paces {
 		w.pace[fmt.Sprintf("u%d", k)] = pace
@@ -48,52 +49,54 @@
 	return w
 }
 
-func (w *predictWorld) report() {
+func (w *predictSim) report() {
 	for k := range len(w.pace) {
-		w.decide(w.home.Report(w.now, w.now, Report{Upstream: fmt.Sprintf("u%d", k), Capacity: 34_000, MaxBatch: 24}))
+		w.record(w.home.Report(w.now, w.now, Report{Upstream: fmt.Sprintf("u%d", k), Capacity: 34_000, MaxBatch: 24}))
 	}
 }
 
-// long and short are an ask for an answer of some hundred tokens, and of a few.
-func (w *predictWorld) long(id string) { w.ask(id, "long", 3000, 1500, 1800*time.Millisecond) }
+// askLong requests an answer of several hundred tokens, askShort one of a few.
+func (w *predictSim) askLong(id string) { w.ask(id, "long", 3000, 1500, 1800*time.Millisecond) }
 
-func (w *predictWorld) short(id string) { w.ask(id, "short", 2400, 50, 1500*time.Millisecond) }
+func (w *predictSim) askShort(id string) { w.ask(id, "short", 2400, 50, 1500*time.Millisecond) }
 
-func (w *predictWorld) ask(id, org string, prompt, most int, target time.Duration) {
+func (w *predictSim) ask(id, org string, prompt, maxOutput int, target time.Duration) {
 	w.asks[id] = Ask{
-		Attempt: id, Org: org, Fingerprint: uint64(len(w.asks) + 1), Prompt: prompt, MaxOutput: most,
+		Attempt: id, Org: org, Fingerprint: uint64(len(w.asks) + 1), Prompt: prompt, MaxOutput: maxOutput,
 		FirstTarget: target, MaxWait: 3 * target,
 	}
-	w.decide(w.home.Ask(w.now, w.asks[id]))
+	w.record(w.home.Ask(w.now, w.asks[id]))
 }
 
-func (w *predictWorld) decide(ds []Decision) {
+// record applies decisions to the simulation.
+func (w *predictSim) record(ds []Decision) {
 	for _, d := range ds {
 		switch d.Kind {
 		case Granted:
-			w.granted[d.Attempt] = w.now
-			w.read(d.Attempt, d.Upstream)
+			w.grantedAt[d.Attempt] = w.now
+			w.prefill(d.Attempt, d.Upstream)
 		case Refused:
-			w.refused[d.Attempt] = w.now
+			w.refusedAt[d.Attempt] = w.now
 			if d.RetryAfter <= 0 {
-				w.t.Errorf("%s was refused without a time to come back", d.Attempt)
+				w.t.Errorf("%s: refused without a Retry-After", d.Attempt)
 			}
 		}
 	}
 }
 
-func (w *predictWorld) read(id, upstream string) {
+// prefill schedules the prefill of an attempt's prompt on an upstream.
+func (w *predictSim) prefill(id, upstream string) {
 	begin := w.now
-	if w.busy[upstream].After(begin) {
-		begin = w.busy[upstream]
+	if w.prefillUntil[upstream].After(begin) {
+		begin = w.prefillUntil[upstream]
 	}
-	rate := readRate * 7 * time.Millisecond.Seconds() / w.pace[upstream].Seconds()
-	w.busy[upstream] = begin.Add(time.Duration(float64(w.asks[id].Prompt) / rate * float64(time.Second)))
-	w.on[id], w.first[id] = upstream, w.busy[upstream]
+	rate := simPrefillRate * 7 * time.Millisecond.Seconds() / w.pace[upstream].Seconds()
+	w.prefillUntil[upstream] = begin.Add(time.Duration(float64(w.asks[id].Prompt) / rate * float64(time.Second)))
+	w.placedOn[id], w.firstTokenAt[id] = upstream, w.prefillUntil[upstream]
 }
 
-// pass lets time pass: first tokens come, and entries announce what runs.
-func (w *predictWorld) pass(d time.Duration) {
+// advance advances the time in steps. Attempts progress, upstreams report and the home ticks.
+func (w *predictSim) advance(d time.Duration) {
 	const step = 20 * time.Millisecond
 	for end := w.now.Add(d); w.now.Before(end); {
 		w.now = w.now.Add(step)
@@ -102,46 +105,48 @@
 		}
 		if w.now.Sub(start)%(100*time.Millisecond) == 0 {
 			w.report()
-			w.decide(w.home.Tick(w.now))
+			w.record(w.home.Tick(w.now))
 		}
 	}
 }
 
-// ids are numbered, so that a test's order of events is always the same.
-func (w *predictWorld) progress(k int) {
+// progress produces the tokens of the attempt with number k and notifies the home. Attempts are
+// numbered so that the order of events is deterministic.
+func (w *predictSim) progress(k int) {
 	id := fmt.Sprintf("r%d", k)
-	upstream, ask := w.on[id], w.asks[id]
-	if upstream == "" || w.mute {
+	upstream, ask := w.placedOn[id], w.asks[id]
+	if upstream == "" || w.dropFirstTokens {
 		return
 	}
-	if w.now.Before(w.first[id]) {
+	if w.now.Before(w.firstTokenAt[id]) {
 		w.announce(id, Sighting{})
 		return
 	}
-	if !w.told[id] {
-		w.told[id] = true
-		w.decide(w.home.Began(w.now, id))
+	if !w.announcedFirst[id] {
+		w.announcedFirst[id] = true
+		w.record(w.home.Began(w.now, id))
 	}
-	tokens := int(w.now.Sub(w.first[id])/w.pace[upstream]) + 1
+	tokens := int(w.now.Sub(w.firstTokenAt[id])/w.pace[upstream]) + 1
 	if tokens >= min(ask.MaxOutput, 600) {
-		w.decide(w.home.End(w.now, id, tokens, true))
-		delete(w.on, id)
+		w.record(w.home.End(w.now, id, tokens, true))
+		delete(w.placedOn, id)
 		return
 	}
 	w.announce(id, Sighting{Tokens: tokens, Pace: w.pace[upstream]})
 }
 
-// announce tells the home every half second what runs.
-func (w *predictWorld) announce(id string, s Sighting) {
+// announce sends the home an attempt's progress every half second.
+func (w *predictSim) announce(id string, s Sighting) {
 	if w.now.Sub(start)%(500*time.Millisecond) == 0 {
-		w.home.Running(w.now, w.asks[id], w.on[id], s)
+		w.home.Running(w.now, w.asks[id], w.placedOn[id], s)
 	}
 }
 
-func (w *predictWorld) count(prefix func(int) bool, upstreams ...string) (n int) {
+// count returns the number of attempts on some upstreams whose number satisfies match.
+func (w *predictSim) count(match func(int) bool, upstreams ...string) (n int) {
 	for k := range len(w.asks) {
 		for _, u := range upstreams {
-			if prefix(k) && w.on[fmt.Sprintf("r%d", k)] == u {
+			if match(k) && w.placedOn[fmt.Sprintf("r%d", k)] == u {
 				n++
 			}
 		}
@@ -150,266 +155,263 @@
 }
 
 const (
-	fast = 7 * time.Millisecond
-	slow = 9 * time.Millisecond
+	fastPace = 7 * time.Millisecond
+	slowPace = 9 * time.Millisecond
 )
 
-// Pattern: slow upstreams among fast ones, under long answers and short ones. What a
-// slow upstream costs grows with the answer's length, so that long answers go to the
-// fast ones. Nothing but the tokens' times tells which are slow.
+// Two of six upstreams are slow, which shows only in the time between their tokens. The cost of a
+// slow upstream grows with the length of the answer, so that long answers must run on fast
+// upstreams.
 func TestLongAnswersRunOnFastUpstreams(t *testing.T) {
-	w := newPredictWorld(t, fast, fast, slow, fast, fast, slow)
+	w := newPredictSim(t, fastPace, fastPace, slowPace, fastPace, fastPace, slowPace)
 	longs, slowLongs := 0, 0
 	for k := range 60 {
 		id := fmt.Sprintf("r%d", k)
 		if k%2 == 1 {
-			w.short(id)
-			w.pass(200 * time.Millisecond)
+			w.askShort(id)
+			w.advance(200 * time.Millisecond)
 			continue
 		}
-		w.long(id)
-		w.pass(200 * time.Millisecond)
+		w.askLong(id)
+		w.advance(200 * time.Millisecond)
 		if k < 20 {
-			continue // nothing is known at first
+			continue // speeds and lengths are not learned yet
 		}
 		longs++
-		if up := w.on[id]; up == "u2" || up == "u5" {
+		if up := w.placedOn[id]; up == "u2" || up == "u5" {
 			slowLongs++
 		}
 	}
 	if slowLongs*5 > longs {
-		t.Errorf("%d of %d long answers run on the two slow of six upstreams", slowLongs, longs)
+		t.Errorf("long answers on the two slow of six upstreams = %d of %d, want at most one in five", slowLongs, longs)
 	}
 }
 
-// Pattern: long answers beside prompts. Each step that reads a prompt makes all that run
-// there wait as long again, so that the prompts of short answers are read where few long
-// ones run.
-func TestPromptsAreReadWhereFewWait(t *testing.T) {
-	w := newPredictWorld(t, fast, fast, fast, fast, fast, fast)
+// Each engine step that includes prefill takes twice as long, which delays all generations on the
+// upstream. The prompts of short answers must therefore be computed where few long answers run.
+func TestPrefillDelaysFewLongAnswers(t *testing.T) {
+	w := newPredictSim(t, fastPace, fastPace, fastPace, fastPace, fastPace, fastPace)
 	isLong := func(k int) bool { return k%2 == 0 }
 	beside, all := 0, 0
 	for k := range 80 {
 		id := fmt.Sprintf("r%d", k)
 		if isLong(k) {
-			w.long(id)
-			w.pass(200 * time.Millisecond)
+			w.askLong(id)
+			w.advance(200 * time.Millisecond)
 			continue
 		}
-		w.short(id)
+		w.askShort(id)
 		if k >= 20 {
-			beside += w.count(isLong, w.on[id])
+			beside += w.count(isLong, w.placedOn[id])
 			all += w.count(isLong, "u0", "u1", "u2", "u3", "u4", "u5")
 		}
-		w.pass(200 * time.Millisecond)
+		w.advance(200 * time.Millisecond)
 	}
 	if beside*6 > all/2 {
-		t.Errorf("%d long answers wait for the prompts of short ones, %.0f would if these were spread", beside, float64(all)/6)
+		t.Errorf("long answers delayed by prompts of short ones = %d, want at most half of the %.0f of an even spread", beside, float64(all)/6)
 	}
 }
 
-// Prompts wait at the home until an upstream is about to be free for them: fourteen
-// prompts come at once for four upstreams, and no upstream ever has to read more than
-// the one that it reads and one that is ready when that ends.
+// Fourteen prompts arrive at once for four upstreams. They must wait at the home until an
+// upstream is about to complete its current prompt: no upstream may hold more than that prompt
+// and the next one.
 func TestPromptsWaitAtTheHome(t *testing.T) {
-	w := newPredictWorld(t, fast, fast, fast, fast)
+	w := newPredictSim(t, fastPace, fastPace, fastPace, fastPace)
 	for k := range 14 {
-		w.short(fmt.Sprintf("r%d", k))
+		w.askShort(fmt.Sprintf("r%d", k))
 	}
 	for range 100 {
-		w.pass(20 * time.Millisecond)
-		for u, until := range w.busy {
+		w.advance(20 * time.Millisecond)
+		for u, until := range w.prefillUntil {
 			if left := until.Sub(w.now); left > 450*time.Millisecond {
-				t.Fatalf("%s has prompts for %v", u, left)
+				t.Fatalf("prefill backlog of %s = %v, want at most 450 ms", u, left)
 			}
 		}
 	}
-	if n := len(w.granted); n != 14 {
-		t.Errorf("%d of 14 were granted", n)
+	if n := len(w.grantedAt); n != 14 {
+		t.Errorf("granted requests = %d, want 14", n)
 	}
 }
 
-// The words that first tokens have come are lost with their entry. Its upstream must not
-// stay without work until the grants lapse: once the prompts must long have been read,
-// others are placed there.
+// Announcements of first tokens are lost as their entry fails. The upstream must get new work
+// once the prompts must have been computed, before the grants are dropped as orphans.
 func TestLostFirstTokensBlockNobody(t *testing.T) {
-	w := newPredictWorld(t, fast)
-	w.mute = true
+	w := newPredictSim(t, fastPace)
+	w.dropFirstTokens = true
 	for k := range 3 {
-		w.short(fmt.Sprintf("r%d", k))
+		w.askShort(fmt.Sprintf("r%d", k))
 	}
-	w.pass(2500 * time.Millisecond)
-	if w.granted["r2"].IsZero() {
-		t.Error("the third prompt is still held back, after the time in which seven are read")
+	w.advance(2500 * time.Millisecond)
+	if w.grantedAt["r2"].IsZero() {
+		t.Error("third prompt not granted after 2.5 s, want granted: seven prompts take as long")
 	}
 }
 
-// An upstream's memory is full of what the home does not know of: generations of
-// instances that have died go on there for nobody. Its next prompt is not read. The home
-// sees that no first token comes, and sends no others after it; once it comes, it does.
+// An upstream's memory is full of generations that the home does not know, such as those of
+// failed instances. It computes no prompts until memory becomes free. The home must stop sending
+// prompts when first tokens do not arrive, and resume once they do.
 func TestAStalledUpstreamGetsNoPrompts(t *testing.T) {
-	w := newPredictWorld(t, fast, fast, fast)
+	w := newPredictSim(t, fastPace, fastPace, fastPace)
 	for k := range 3 {
-		w.long(fmt.Sprintf("r%d", k))
-		w.pass(600 * time.Millisecond)
+		w.askLong(fmt.Sprintf("r%d", k))
+		w.advance(600 * time.Millisecond)
 	}
-	w.busy["u1"] = w.now.Add(4 * time.Second)
+	w.prefillUntil["u1"] = w.now.Add(4 * time.Second)
 	stalled := 0
 	for k := 3; k < 23; k++ {
-		w.short(fmt.Sprintf("r%d", k))
-		w.pass(150 * time.Millisecond)
+		w.askShort(fmt.Sprintf("r%d", k))
+		w.advance(150 * time.Millisecond)
 	}
 	for k := 3; k < 23; k++ {
-		if w.on[fmt.Sprintf("r%d", k)] == "u1" {
+		if w.placedOn[fmt.Sprintf("r%d", k)] == "u1" {
 			stalled++
 		}
 	}
 	if stalled == 0 || stalled > 3 {
-		t.Errorf("%d of 20 prompts wait at the stalled one of three upstreams, want few", stalled)
+		t.Errorf("prompts on the stalled one of three upstreams = %d of 20, want 1 to 3", stalled)
 	}
-	w.pass(4 * time.Second)
-	again := 0
+	w.advance(4 * time.Second)
+	resumed := 0
 	for k := 23; k < 43; k++ {
-		w.short(fmt.Sprintf("r%d", k))
-		if w.on[fmt.Sprintf("r%d", k)] == "u1" {
-			again++
+		w.askShort(fmt.Sprintf("r%d", k))
+		if w.placedOn[fmt.Sprintf("r%d", k)] == "u1" {
+			resumed++
 		}
-		w.pass(150 * time.Millisecond)
+		w.advance(150 * time.Millisecond)
 	}
-	if again == 0 {
-		t.Error("it gets nothing once it reads again")
+	if resumed == 0 {
+		t.Error("prompts on the upstream after it resumed prefill = 0 of 20, want some")
 	}
 }
 
-// Pattern: a crowd returns at once, as many of its instances died: 40 prompts in a
-// moment for four upstreams, which read 12 a second, and eight a second after that. Who
-// waits in turn makes all that come after late as well. What can be on time goes first,
-// the others get what is left, and all are served or refused with a time to come back.
-func TestTheLateDoNotMakeOthersLate(t *testing.T) {
-	w := newPredictWorld(t, fast, fast, fast, fast)
+// Many callers reconnect at once after the failure of instances: 40 prompts arrive together for
+// four upstreams, which compute 12 a second, followed by eight a second. If requests were served
+// in order of arrival, all later ones would be late as well. Requests that can meet their
+// deadlines must be served first, the others with the remaining capacity. All must be granted, or
+// refused with a Retry-After.
+func TestLateRequestsDoNotDelayTimelyOnes(t *testing.T) {
+	w := newPredictSim(t, fastPace, fastPace, fastPace, fastPace)
 	for k := range 40 {
-		w.short(fmt.Sprintf("r%d", k))
+		w.askShort(fmt.Sprintf("r%d", k))
 	}
-	late, came := 0, map[string]time.Time{}
+	late, arrived := 0, map[string]time.Time{}
 	for k := 40; k < 88; k++ {
 		id := fmt.Sprintf("r%d", k)
-		came[id] = w.now
-		w.short(id)
-		w.pass(125 * time.Millisecond)
+		arrived[id] = w.now
+		w.askShort(id)
+		w.advance(125 * time.Millisecond)
 	}
-	w.pass(3 * time.Second)
-	for id, at := range came {
-		if w.first[id].IsZero() || w.first[id].Sub(at) > w.asks[id].FirstTarget {
+	w.advance(3 * time.Second)
+	for id, at := range arrived {
+		if w.firstTokenAt[id].IsZero() || w.firstTokenAt[id].Sub(at) > w.asks[id].FirstTarget {
 			late++
 		}
 	}
 	if late > 3 {
-		t.Errorf("%d of 48 that came after the crowd were late or refused", late)
+		t.Errorf("late or refused requests after the burst = %d of 48, want at most 3", late)
 	}
 	for k := range 40 {
-		if id := fmt.Sprintf("r%d", k); w.granted[id].IsZero() && w.refused[id].IsZero() {
-			t.Errorf("%s has no answer", id)
+		if id := fmt.Sprintf("r%d", k); w.grantedAt[id].IsZero() && w.refusedAt[id].IsZero() {
+			t.Errorf("%s: neither granted nor refused", id)
 		}
 	}
 }
 
-// An ask that comes when it can't be on time any more, behind others for which there is
-// no time either, is refused at once: it would wait in vain.
-func TestWhatWouldWaitInVainIsRefusedAtOnce(t *testing.T) {
-	w := newPredictWorld(t, fast)
+// A request that can no longer meet its deadline waits behind all timely ones. If its predicted
+// wait there exceeds its maximum, it must be refused at once instead of waiting in vain.
+func TestLateRequestsWithTooLongAWaitAreRefusedAtOnce(t *testing.T) {
+	w := newPredictSim(t, fastPace)
 	for k := range 60 {
-		w.short(fmt.Sprintf("r%d", k))
+		w.askShort(fmt.Sprintf("r%d", k))
 	}
-	w.pass(1300 * time.Millisecond)
-	n := len(w.refused)
+	w.advance(1300 * time.Millisecond)
+	n := len(w.refusedAt)
 	if n < 30 {
-		t.Fatalf("%d of 60 were refused once it was known that they would not be served", n)
+		t.Fatalf("refused requests after 1.3 s = %d of 60, want at least 30", n)
 	}
-	for id, at := range w.refused {
+	for id, at := range w.refusedAt {
 		if waited := at.Sub(start); waited > 1300*time.Millisecond {
-			t.Errorf("%s was refused after %v", id, waited)
+			t.Errorf("%s: refused after %v, want at most 1.3 s", id, waited)
 		}
 	}
 }
 
-// The first minute: nothing is known of speeds and lengths. Work is spread all the
-// same, and each upstream gets some.
-func TestNothingIsKnownAtFirst(t *testing.T) {
-	w := newPredictWorld(t, fast, slow, fast, slow)
+// Before any speeds and lengths are learned, requests must still be spread over all upstreams.
+func TestRequestsAreSpreadBeforeLearning(t *testing.T) {
+	w := newPredictSim(t, fastPace, slowPace, fastPace, slowPace)
 	for k := range 8 {
-		w.long(fmt.Sprintf("r%d", k))
-		w.pass(300 * time.Millisecond)
+		w.askLong(fmt.Sprintf("r%d", k))
+		w.advance(300 * time.Millisecond)
 	}
 	for k := range 4 {
 		if n := w.count(func(int) bool { return true }, fmt.Sprintf("u%d", k)); n == 0 || n > 4 {
-			t.Errorf("u%d runs %d of 8", k, n)
+			t.Errorf("requests on u%d = %d of 8, want 1 to 4", k, n)
 		}
 	}
 }
 
-// Estimates of callers are far off, or missing, in any direction. They say nothing of
-// where a new answer runs, as what was learnt does.
+// The length estimates of callers may be missing or far off in either direction. Placement of a
+// new answer must use learned lengths instead.
 func TestWrongHintsDoNotMisplaceAnswers(t *testing.T) {
-	placed := func(hint int) map[string]string {
-		w := newPredictWorld(t, fast, fast, slow, fast)
+	placedWith := func(hint int) map[string]string {
+		w := newPredictSim(t, fastPace, fastPace, slowPace, fastPace)
 		for k := range 20 {
 			id := fmt.Sprintf("r%d", k)
 			w.asks[id] = Ask{Attempt: id, Org: "long", Prompt: 3000, MaxOutput: 1500, Expected: hint, FirstTarget: 1800 * time.Millisecond, MaxWait: 5 * time.Second}
-			w.decide(w.home.Ask(w.now, w.asks[id]))
-			w.pass(300 * time.Millisecond)
+			w.record(w.home.Ask(w.now, w.asks[id]))
+			w.advance(300 * time.Millisecond)
 		}
-		return w.on
+		return w.placedOn
 	}
-	without := placed(0)
+	without := placedWith(0)
 	for _, hint := range []int{1, 1500} {
-		slowOnes := 0
-		for id, up := range placed(hint) {
+		moreSlow := 0
+		for id, up := range placedWith(hint) {
 			if up == "u2" && without[id] != "u2" {
-				slowOnes++
+				moreSlow++
 			}
 		}
-		if slowOnes > 2 {
-			t.Errorf("hint %d: %d more answers on the slow upstream", hint, slowOnes)
+		if moreSlow > 2 {
+			t.Errorf("hint %d: %d more answers on the slow upstream than without hints, want at most 2", hint, moreSlow)
 		}
 	}
 }
 
-// An upstream turns slow in mid-life, without a sign but its pace: three times as long
-// a token. New long answers avoid it within some seconds, and come back to it once it
-// is well.
-func TestAnUpstreamThatTurnsSlowIsAvoided(t *testing.T) {
-	w := newPredictWorld(t, fast, fast, fast)
+// A running upstream becomes slow: each token takes three times as long. New long answers must
+// avoid it within some seconds, and use it again once it has recovered.
+func TestUpstreamThatBecomesSlowIsAvoided(t *testing.T) {
+	w := newPredictSim(t, fastPace, fastPace, fastPace)
 	k := 0
-	play := func(n int) (onIt int) {
+	ask := func(n int) (onU1 int) {
 		for range n {
 			id := fmt.Sprintf("r%d", k)
 			k++
-			w.long(id)
-			w.pass(500 * time.Millisecond)
-			if w.on[id] == "u1" {
-				onIt++
+			w.askLong(id)
+			w.advance(500 * time.Millisecond)
+			if w.placedOn[id] == "u1" {
+				onU1++
 			}
 		}
-		return onIt
+		return onU1
 	}
-	play(12)
-	w.pace["u1"] = 3 * fast
-	play(12)
-	if n := play(12); n > 2 {
-		t.Errorf("%d of 12 answers on the slow one of three upstreams", n)
+	ask(12)
+	w.pace["u1"] = 3 * fastPace
+	ask(12)
+	if n := ask(12); n > 2 {
+		t.Errorf("answers on the slow one of three upstreams = %d of 12, want at most 2", n)
 	}
-	w.pace["u1"] = fast
-	play(20)
-	if n := play(12); n < 2 {
-		t.Errorf("%d of 12 answers on it once it is well again", n)
+	w.pace["u1"] = fastPace
+	ask(20)
+	if n := ask(12); n < 2 {
+		t.Errorf("answers on the upstream after it recovered = %d of 12, want at least 2", n)
 	}
 }
 
-// Pattern: one of four upstreams gets notice while memory is nearly full. What runs
-// there must find room within the notice or is lost, so that new long answers wait until
-// it has; short ones are gone before a notice has passed, and go on at once.
+// One of four upstreams is given notice while memory is nearly full. Its generations are lost
+// unless they find room elsewhere within the notice, so that new long answers must wait until
+// these have moved. Short answers end before the notice expires and must still be placed at once.
 func TestNewWorkLeavesRoomForMoves(t *testing.T) {
-	w := newPredictWorld(t, fast, fast, fast, fast)
+	w := newPredictSim(t, fastPace, fastPace, fastPace, fastPace)
 	ask := Ask{Attempt: "new", Org: "long", Prompt: 3000, MaxOutput: 1500, FirstTarget: 1800 * time.Millisecond, MaxWait: time.Second}
 	last := ""
 	for k := 0; w.home.choose(w.now, &ask) != nil; k++ {
@@ -419,40 +421,40 @@
 		w.home.Running(w.now, runs, fmt.Sprintf("u%d", k%4), Sighting{Tokens: 300})
 	}
 	w.home.End(w.now, last, 300, false) // there is room for one more
-	w.decide(w.home.Report(w.now, w.now, Report{Upstream: "u0", Capacity: 34_000, MaxBatch: 24, Leaving: true}))
+	w.record(w.home.Report(w.now, w.now, Report{Upstream: "u0", Capacity: 34_000, MaxBatch: 24, Leaving: true}))
 	if u := w.home.choose(w.now, &ask); u != nil {
-		t.Errorf("a new long answer takes the room on %s", u.name)
+		t.Errorf("new long answer placed on %s, want it to wait", u.name)
 	}
 	short := Ask{Attempt: "s", Org: "short", Prompt: 500, MaxOutput: 20, FirstTarget: 1500 * time.Millisecond, MaxWait: time.Second}
 	if w.home.choose(w.now, &short) == nil {
-		t.Error("a short answer has to wait, too")
+		t.Error("no upstream for a short answer, want it placed at once")
 	}
 	near, skip := func(string) bool { return false }, func(string) bool { return false }
 	if w.home.Destination(w.now, "old-0", near, skip) == "" {
-		t.Error("what leaves finds no room")
+		t.Error("no destination for a generation on the leaving upstream, want one")
 	}
 	for _, p := range w.home.On(w.now, "u0") {
 		w.home.End(w.now, p.Ask.Attempt, 300, false)
 	}
 	w.home.Tick(w.now)
-	if w.home.forMoves != 0 {
-		t.Errorf("%.2f of the memory is still kept once nothing runs there", w.home.forMoves)
+	if w.home.movesReserve != 0 {
+		t.Errorf("movesReserve = %.2f after the leaving upstream is idle, want 0", w.home.movesReserve)
 	}
 }
 
-// A caller that can't be on time any more and is refused gets what those leave who can:
-// it is told to come back once the late ones before it will have been served, which
-// takes longer than the whole queue would.
-func TestTheLateAreToldToComeBackLater(t *testing.T) {
-	w := newPredictWorld(t, fast)
+// Late requests are served with the capacity that timely ones leave. The Retry-After of a late
+// request that is refused must allow for this: it must be longer than the time in which the full
+// drain rate would clear the queue.
+func TestLateRequestsGetALongerRetryAfter(t *testing.T) {
+	w := newPredictSim(t, fastPace)
 	for k := range 60 {
-		w.short(fmt.Sprintf("r%d", k))
+		w.askShort(fmt.Sprintf("r%d", k))
 	}
-	w.pass(1200 * time.Millisecond)
+	w.advance(1200 * time.Millisecond)
 	ask := w.asks["r0"]
 	d := w.home.refuse(w.now, w.now, &ask, 0)
 	all := seconds((w.home.queue.cost + w.home.promises.cost) / w.home.drainRate(w.now))
 	if all < retryMin || d.RetryAfter < 2*all {
-		t.Errorf("told to come back after %v, when all that was promised would be done after %v", d.RetryAfter, all)
+		t.Errorf("Retry-After = %v, want at least twice the %v in which all work drains, and that at least retryMin", d.RetryAfter, all)
 	}
 }
--- a/internal/core/placement/property_test.go
+++ b/internal/core/placement/property_test.go
@@ -15,87 +15,93 @@
 	"mulberrylug.example/mulberrylug/internal/testkit"
 )
 
-// world drives a home with random events and checks what it decides.
-type world struct {
-	home    *Home
-	now     time.Time
-	rng     *rand.Rand
-	asks    map[string]Ask
-	asked   map[string]time.Time
-	state   map[string]Kind
-	where   map[string]string
-	leaving map[string]bool
-	last    map[string]time.Time
-	count   int
-	err     error
+// homeSim drives a home with random events and checks its decisions against a simple model.
+type homeSim struct {
+	home *Home
+	now  time.Time
+	rng  *rand.Rand
+	// asks holds the requests by attempt, askedAt when they were sent, state the last decision
+	// on each, placedOn the upstream granted.
+	asks     map[string]Ask
+	askedAt  map[string]time.Time
+	state    map[string]Kind
+	placedOn map[string]string
+	// leaving and lastReport hold the state of the upstreams by name.
+	leaving    map[string]bool
+	lastReport map[string]time.Time
+	// count is the number of attempts so far.
+	count int
+	// err is the first violation found.
+	err error
 }
 
 const (
-	worldUpstreams = 4
-	worldMaxWait   = 5 * time.Second
+	simUpstreams = 4
+	simMaxWait   = 5 * time.Second
 )
 
-func newWorld(seed int64) *world {
-	return &world{
+func newHomeSim(seed int64) *homeSim {
+	return &homeSim{
 		home: NewHome(Settings{Weights: config.Weights{Stall: 1, Preemptions: 1, Tail: 1}, Engine: true}),
 		now:  time.Unix(1000, 0), rng: rand.New(rand.NewSource(seed)),
-		asks: map[string]Ask{}, asked: map[string]time.Time{}, state: map[string]Kind{}, where: map[string]string{},
-		leaving: map[string]bool{}, last: map[string]time.Time{},
+		asks: map[string]Ask{}, askedAt: map[string]time.Time{}, state: map[string]Kind{}, placedOn: map[string]string{},
+		leaving: map[string]bool{}, lastReport: map[string]time.Time{},
 	}
 }
 
-func (w *world) fail(format string, args ...any) {
+func (w *homeSim) fail(format string, args ...any) {
 	if w.err == nil {
 		w.err = fmt.Errorf(format, args...)
 	}
 }
 
-func (w *world) upstream() string { return fmt.Sprintf("u%d", w.rng.Intn(worldUpstreams)) }
+func (w *homeSim) upstream() string { return fmt.Sprintf("u%d", w.rng.Intn(simUpstreams)) }
 
-// step does one random event.
-func (w *world) step(op int) {
+// step plays one event, selected by op, with random parameters.
+func (w *homeSim) step(op int) {
 	w.now = w.now.Add(time.Duration(w.rng.Intn(200)) * time.Millisecond)
 	switch op {
 	case 0, 1, 2:
 		w.ask()
 	case 3:
-		w.repeat()
+		w.repeatAsk()
 	case 4, 5:
 		w.end()
 	case 6, 7:
 		w.report(w.upstream())
 	case 8:
-		w.running()
+		w.announce()
 	case 9:
-		w.take(w.home.Tick(w.now))
+		w.checkDecisions(w.home.Tick(w.now))
 	case 10:
-		w.leave()
+		w.toggleLeaving()
 	case 11:
 		w.crash()
 	}
 	w.checkLedger()
 }
 
-func (w *world) ask() {
+func (w *homeSim) ask() {
 	w.count++
 	id := fmt.Sprintf("a%d", w.count)
 	a := Ask{
 		Attempt: id, Org: fmt.Sprintf("o%d", w.rng.Intn(3)), Fingerprint: uint64(1 + w.rng.Intn(30)),
-		Prompt: 1 + w.rng.Intn(800), MaxOutput: 1 + w.rng.Intn(2000), MaxWait: worldMaxWait,
+		Prompt: 1 + w.rng.Intn(800), MaxOutput: 1 + w.rng.Intn(2000), MaxWait: simMaxWait,
 		Suspect: w.rng.Intn(4) == 0,
 	}
 	if w.rng.Intn(5) == 0 {
 		a.Exclude = []string{w.upstream()}
 	}
-	w.asks[id], w.asked[id] = a, w.now
+	w.asks[id], w.askedAt[id] = a, w.now
 	ds := w.home.Ask(w.now, a)
-	w.take(ds)
+	w.checkDecisions(ds)
 	if w.state[id] == 0 {
-		w.fail("%s was neither answered nor queued", id)
+		w.fail("%s: request was neither granted, queued nor refused", id)
 	}
 }
 
-func (w *world) some(k Kind) string {
+// randomAttempt returns an attempt in a state, or "" if there is none.
+func (w *homeSim) randomAttempt(k Kind) string {
 	for n := range w.count {
 		id := fmt.Sprintf("a%d", (n+w.rng.Intn(w.count))%w.count+1)
 		if w.state[id] == k {
@@ -105,91 +111,93 @@
 	return ""
 }
 
-// takesWork tells whether an upstream may be given new work.
-func (w *world) takesWork(name string) bool {
-	last, ok := w.last[name]
-	return ok && w.now.Sub(last) < reportMaxAge && !w.leaving[name]
+// takesWork reports whether an upstream may get new work.
+func (w *homeSim) takesWork(name string) bool {
+	reported, ok := w.lastReport[name]
+	return ok && w.now.Sub(reported) < reportMaxAge && !w.leaving[name]
 }
 
-// repeat asks again for an attempt that is granted or queued. It gets the same
-// answer, unless its grant is for an upstream that must get no new work by now:
-// then it is an ask like any other, and take checks its answer.
-func (w *world) repeat() {
-	id := w.some(Kind(1 + w.rng.Intn(2)))
+// repeatAsk repeats the request for an attempt that is granted or queued. The decision must be
+// the same, unless the granted upstream must not get new work any more: then the request is
+// treated as a new one, and checkDecisions checks the decision.
+func (w *homeSim) repeatAsk() {
+	id := w.randomAttempt(Kind(1 + w.rng.Intn(2)))
 	if id == "" {
 		return
 	}
-	was, at := w.state[id], w.where[id]
+	was, at := w.state[id], w.placedOn[id]
 	ds := w.home.Ask(w.now, w.asks[id])
 	if was == Granted && !w.takesWork(at) {
 		delete(w.state, id)
-		delete(w.where, id)
-		w.take(ds)
+		delete(w.placedOn, id)
+		w.checkDecisions(ds)
 		if w.state[id] == 0 {
-			w.fail("%s was neither answered nor queued when it was asked for again", id)
+			w.fail("%s: repeated request was neither granted, queued nor refused", id)
 		}
 		return
 	}
 	if len(ds) != 1 || ds[0].Kind != was || ds[0].Upstream != at {
-		w.fail("repeating %s gave %+v, was %s at %q", id, ds, was, at)
+		w.fail("%s: repeated request = %+v, want %s on %q as before", id, ds, was, at)
 	}
 }
 
-func (w *world) end() {
-	id := w.some(Kind(1 + w.rng.Intn(2)))
+func (w *homeSim) end() {
+	id := w.randomAttempt(Kind(1 + w.rng.Intn(2)))
 	if id == "" {
 		return
 	}
 	delete(w.state, id)
-	w.take(w.home.End(w.now, id, w.rng.Intn(w.asks[id].MaxOutput+1), w.rng.Intn(4) > 0))
+	w.checkDecisions(w.home.End(w.now, id, w.rng.Intn(w.asks[id].MaxOutput+1), w.rng.Intn(4) > 0))
 }
 
-func (w *world) report(name string) {
+func (w *homeSim) report(name string) {
 	r := Report{Upstream: name, Boot: "b", Capacity: 4000, MaxBatch: 8, Leaving: w.leaving[name]}
-	for id, at := range w.where {
+	for id, at := range w.placedOn {
 		if at == name && w.state[id] == Granted {
 			r.Gens = append(r.Gens, GenLoad{Attempt: id, Tokens: w.rng.Intn(100)})
 		}
 	}
-	w.last[name] = w.now
-	w.take(w.home.Report(w.now, w.now, r))
+	w.lastReport[name] = w.now
+	w.checkDecisions(w.home.Report(w.now, w.now, r))
 }
 
-func (w *world) running() {
-	if id := w.some(Granted); id != "" {
-		w.home.Running(w.now, w.asks[id], w.where[id], Sighting{Tokens: w.rng.Intn(w.asks[id].MaxOutput)})
+func (w *homeSim) announce() {
+	if id := w.randomAttempt(Granted); id != "" {
+		w.home.Running(w.now, w.asks[id], w.placedOn[id], Sighting{Tokens: w.rng.Intn(w.asks[id].MaxOutput)})
 	}
 }
 
-func (w *world) leave() {
+// toggleLeaving makes an upstream start or stop to report that it is leaving.
+func (w *homeSim) toggleLeaving() {
 	name := w.upstream()
 	w.leaving[name] = !w.leaving[name]
 	w.report(name)
 }
 
-func (w *world) crash() {
+func (w *homeSim) crash() {
 	name := w.upstream()
 	for _, a := range w.home.Remove(name) {
-		if w.where[a.Attempt] != name || w.state[a.Attempt] != Granted {
-			w.fail("%s was removed with %s, which ran at %q", a.Attempt, name, w.where[a.Attempt])
+		if w.placedOn[a.Attempt] != name || w.state[a.Attempt] != Granted {
+			w.fail("%s: removed with upstream %s, but granted on %q", a.Attempt, name, w.placedOn[a.Attempt])
 		}
 		delete(w.state, a.Attempt)
 	}
-	delete(w.last, name)
+	delete(w.lastReport, name)
 }
 
-// take checks decisions against what was asked and is known.
-func (w *world) take(ds []Decision) {
+// checkDecisions checks decisions against the requests and the state of the upstreams, and
+// applies them to the model.
+func (w *homeSim) checkDecisions(ds []Decision) {
 	for _, d := range ds {
 		if w.state[d.Attempt] == Granted && d.Kind != Granted {
-			w.fail("%s was granted and then %s", d.Attempt, d.Kind)
+			w.fail("%s: granted and later %s", d.Attempt, d.Kind)
 		}
 		switch d.Kind {
 		case Granted:
-			w.takeGrant(d)
+			w.checkGrant(d)
 		case Refused:
 			if d.RetryAfter <= 0 || d.Reason == "" {
-				w.fail("a refusal without a reason or a time to come back: %+v", d)
+				w.fail("refusal without a reason or a Retry-After: %+v", d)
 			}
 			delete(w.state, d.Attempt)
 			w.state[d.Attempt] = Refused
@@ -199,24 +207,25 @@
 	}
 }
 
-func (w *world) takeGrant(d Decision) {
+func (w *homeSim) checkGrant(d Decision) {
 	a := w.asks[d.Attempt]
 	if w.state[d.Attempt] == Granted {
-		w.fail("%s was granted twice", d.Attempt)
+		w.fail("%s: granted twice", d.Attempt)
 	}
 	if !w.takesWork(d.Upstream) {
-		w.fail("%s was granted at %s, which is leaving, silent or unknown", d.Attempt, d.Upstream)
+		w.fail("%s: granted on %s, which is leaving, unknown or without a recent report", d.Attempt, d.Upstream)
 	}
 	for _, x := range a.Exclude {
 		if x == d.Upstream {
-			w.fail("%s was granted at the excluded %s", d.Attempt, x)
+			w.fail("%s: granted on the excluded upstream %s", d.Attempt, x)
 		}
 	}
-	w.state[d.Attempt], w.where[d.Attempt] = Granted, d.Upstream
+	w.state[d.Attempt], w.placedOn[d.Attempt] = Granted, d.Upstream
 }
 
-// checkLedger compares the sums with the grants that make them up.
-func (w *world) checkLedger() {
+// checkLedger compares the ledger's sums and indexes with its grants, and its grants with the
+// model.
+func (w *homeSim) checkLedger() {
 	total := 0
 	prints := map[uint64]map[string]bool{}
 	for _, u := range w.home.upstreams {
@@ -229,7 +238,7 @@
 				suspects++
 			}
 			if g.index != i || g.upstream != u || w.home.granted[g.ask.Attempt] != g {
-				w.fail("the ledger's entry of %s is broken", g.ask.Attempt)
+				w.fail("%s: the ledger's indexes do not lead to its grant", g.ask.Attempt)
 			}
 			p := g.ask.Fingerprint
 			if prints[p] == nil {
@@ -238,17 +247,17 @@
 			prints[p][u.name] = true
 		}
 		if suspects != u.suspects || suspects > 1 {
-			w.fail("%s runs %d suspects, counted %d", u.name, suspects, u.suspects)
+			w.fail("%s: runs %d suspects, the ledger counts %d, want the same and at most 1", u.name, suspects, u.suspects)
 		}
 		for i := range horizons {
 			if math.Abs(need.mean[i]-u.need.mean[i]) > 1 {
-				w.fail("%s: mean at %d is %g, the grants' sum %g", u.name, horizons[i], u.need.mean[i], need.mean[i])
+				w.fail("%s: mean need at horizon %d = %g, want the sum of the grants %g", u.name, horizons[i], u.need.mean[i], need.mean[i])
 			}
 		}
 	}
 	for p, at := range prints {
-		if len(at) > printSpread {
-			w.fail("fingerprint %d runs on %d upstreams", p, len(at))
+		if len(at) > maxFingerprintSpread {
+			w.fail("fingerprint %d: runs on %d upstreams, want at most maxFingerprintSpread", p, len(at))
 		}
 	}
 	granted, waiting := 0, 0
@@ -262,33 +271,33 @@
 		}
 	}
 	if granted != total || granted != len(w.home.granted) || waiting != w.home.queue.len() {
-		w.fail("granted %d, in the ledger %d; waiting %d, queued %d", granted, total, waiting, w.home.queue.len())
+		w.fail("%d granted, but %d in the ledger; %d waiting, but %d in the queue", granted, total, waiting, w.home.queue.len())
 	}
 }
 
-// settle lets time pass until every ask that may wait has waited long enough.
-func (w *world) settle() {
+// drainQueue advances the time until all queued requests have reached their maximum wait.
+func (w *homeSim) drainQueue() {
 	for range 60 {
 		w.now = w.now.Add(100 * time.Millisecond)
-		w.take(w.home.Tick(w.now))
+		w.checkDecisions(w.home.Tick(w.now))
 	}
 	if n := w.home.queue.len(); n != 0 {
-		w.fail("%d asks still wait after their longest wait", n)
+		w.fail("%d requests are still queued after their maximum wait", n)
 	}
 }
 
 func TestPropertyHome(t *testing.T) {
 	properties := gopter.NewProperties(testkit.Parameters())
-	properties.Property("a home's decisions and ledger hold in any order of events", prop.ForAll(
+	properties.Property("decisions and ledger are consistent for any order of events", prop.ForAll(
 		func(seed int64, ops []int) (bool, error) {
-			w := newWorld(seed)
-			for i := range worldUpstreams {
+			w := newHomeSim(seed)
+			for i := range simUpstreams {
 				w.report(fmt.Sprintf("u%d", i))
 			}
 			for _, op := range ops {
 				w.step(op)
 			}
-			w.settle()
+			w.drainQueue()
 			return w.err == nil, w.err
 		},
 		gen.Int64(), gen.SliceOf(gen.IntRange(0, 11)),
@@ -296,11 +305,11 @@
 	properties.TestingRun(t)
 }
 
-// One organisation queues far more than the others. While all wait, what two
-// of them are granted must not differ by more than the slack and one ask.
+// Organisations queue different amounts of work. While all of them wait, the cost served for any
+// two must not differ by more than slack and twice the highest cost of a request.
 func TestPropertyFairness(t *testing.T) {
 	properties := gopter.NewProperties(testkit.Parameters())
-	properties.Property("waiting organisations are served alike", prop.ForAll(
+	properties.Property("waiting organisations are served equally", prop.ForAll(
 		func(costs []float64, picks []int) (bool, error) {
 			q := newQueue(tune(config.Weights{Stall: 1, Preemptions: 1, Tail: 1}))
 			now := time.Unix(1000, 0)
@@ -316,35 +325,35 @@
 				q.charge(best.ask.Org, best.cost)
 				served[best.ask.Org] += best.cost
 			}
-			least, most := math.Inf(1), 0.0
+			lowest, highest := math.Inf(1), 0.0
 			for i := range orgs {
 				s := served[fmt.Sprintf("o%d", i)]
-				least, most = min(least, s), max(most, s)
+				lowest, highest = min(lowest, s), max(highest, s)
 			}
-			if len(served) > 0 && most-least > q.slack+2*fairTestCost {
-				return false, fmt.Errorf("served between %g and %g", least, most)
+			if len(served) > 0 && highest-lowest > q.slack+2*maxFairnessCost {
+				return false, fmt.Errorf("served cost is between %g and %g, want a difference of at most slack and two requests", lowest, highest)
 			}
 			return true, nil
 		},
-		gen.SliceOfN(200, gen.Float64Range(0, fairTestCost)), gen.SliceOfN(50, gen.IntRange(0, 9)),
+		gen.SliceOfN(200, gen.Float64Range(0, maxFairnessCost)), gen.SliceOfN(50, gen.IntRange(0, 9)),
 	))
 	properties.TestingRun(t)
 }
 
-// fairTestCost is the highest cost of one ask in the test of fairness.
-const fairTestCost = 4e6
+// maxFairnessCost is the highest cost of a request in TestPropertyFairness.
+const maxFairnessCost = 4e6
 
-// A long and expensive ask waits while cheap ones keep coming, enough to use
-// all that drains. Ageing must bring its turn: nothing that came more than
-// maxAhead later may be served before it.
+// An expensive request waits while cheap ones keep arriving, enough to use the full drain rate.
+// Ageing must prevent its starvation: no request that arrived more than maxAhead later may be
+// served before it.
 func TestPropertyNoStarvation(t *testing.T) {
 	properties := gopter.NewProperties(testkit.Parameters())
-	properties.Property("ageing brings every ask its turn", prop.ForAll(
-		func(cost float64, every int) (bool, error) {
+	properties.Property("ageing prevents the starvation of expensive requests", prop.ForAll(
+		func(cost float64, intervalMs int) (bool, error) {
 			q := newQueue(tune(config.Weights{Stall: 1, Preemptions: 1, Tail: 1}))
 			start := time.Unix(1000, 0)
 			q.push(Ask{Attempt: "old", Org: "a"}, start, cost)
-			step := time.Duration(every) * time.Millisecond
+			step := time.Duration(intervalMs) * time.Millisecond
 			for n := 0; ; n++ {
 				now := start.Add(time.Duration(n) * step)
 				q.push(Ask{Attempt: fmt.Sprint(n), Org: "a"}, now, 1)
@@ -353,7 +362,7 @@
 					return true, nil
 				}
 				if now.Sub(start) > maxAhead+step {
-					return false, fmt.Errorf("still waiting after %s", now.Sub(start))
+					return false, fmt.Errorf("expensive request not served after %s, want at most maxAhead", now.Sub(start))
 				}
 				q.remove(best)
 			}
--- a/internal/core/placement/queue.go
+++ b/internal/core/placement/queue.go
@@ -8,36 +8,40 @@
 	"time"
 )
 
-// queued is a waiting ask.
-type queued struct {
+// queuedAsk is a queued request.
+type queuedAsk struct {
 	ask Ask
-	// since is when the caller first asked, asked when this ask arrived.
-	since time.Time
-	asked time.Time
-	// cost is the expected work: memory held times tokens produced.
+	// firstAsked is when the caller first sent the request, arrived when it sent it this time.
+	// They differ if the caller was refused and returned.
+	firstAsked time.Time
+	arrived    time.Time
+	// cost is the expected work: memory held times tokens produced; see Home.cost.
 	cost float64
-	// key orders an organisation's asks. With a target it is the deadline of the first token,
-	// moved behind the others once it can no longer be met. Otherwise it is the arrival time,
-	// delayed in proportion to the cost up to maxCost, which bounds the wait.
+	// key orders the requests of an organisation. For a request with a first-token target it is
+	// the deadline of the first token; once that can no longer be met, it is delayed by
+	// lateKeyDelay. Otherwise it is the time of the first request, delayed in proportion to the
+	// cost up to maxCost, which bounds the wait.
 	key time.Time
-	// late is set once the ask was moved behind the others.
-	late  bool
+	// late is set once the deadline can no longer be met and the key was delayed.
+	late bool
+	// index is the position in the organisation's heap.
 	index int
 }
 
-// lateBehind is the delay added to the key of an ask that can no longer meet its deadline.
-// Served in order, late asks would make the following ones late as well.
-const lateBehind = time.Minute
+// lateKeyDelay is the delay added to the key of a request that can no longer meet its deadline.
+// Served in order of deadlines, late requests would make the following ones late as well.
+const lateKeyDelay = time.Minute
 
-// waitingOrg holds the queue of one organisation.
-type waitingOrg struct {
+// orgQueue holds the queue of one organisation.
+type orgQueue struct {
 	name string
 	asks askHeap
-	// served is the cost granted so far, on the queue's virtual clock.
+	// served is the cost granted so far, measured on the queue's virtual clock.
 	served float64
 }
 
-type askHeap []*queued
+// askHeap implements heap.Interface; the first request is the next one.
+type askHeap []*queuedAsk
 
 func (h askHeap) Len() int           { return len(h) }
 func (h askHeap) Less(a, b int) bool { return h[a].before(h[b]) }
@@ -48,7 +52,7 @@
 }
 
 func (h *askHeap) Push(x any) {
-	q := x.(*queued)
+	q := x.(*queuedAsk)
 	q.index = len(*h)
 	*h = append(*h, q)
 }
@@ -61,51 +65,54 @@
 	return q
 }
 
-// queue orders asks fairly among organisations, then cheapest first with ageing. An
-// organisation may lead the least served one by slack, so that two waiting organisations
-// differ by at most slack and the cost of one ask.
+// queue orders requests fairly among organisations, and within an organisation by key: by
+// deadline, or cheapest first with ageing. The cost served for an organisation may exceed that of
+// the least served one by slack, so that two waiting organisations differ by at most slack and
+// the cost of one request.
 type queue struct {
-	slack   float64
-	perCost float64
-	// byDue orders asks by the deadline of their first token.
-	byDue bool
-	byID  map[string]*queued
-	// lates counts the late asks; lateCost is the sum of their cost.
-	lates    int
-	lateCost float64
-	// cost sums the cost of all asks.
+	// slack is in units of cost.
+	slack float64
+	// delayPerCost is the delay of a request's key, in nanoseconds, for each unit of cost.
+	delayPerCost float64
+	// byDeadline orders requests by the deadline of their first token.
+	byDeadline bool
+	byAttempt  map[string]*queuedAsk
+	// lateCount is the number of late requests, lateCost the sum of their costs.
+	lateCount int
+	lateCost  float64
+	// cost is the sum of the costs of all requests.
 	cost float64
-	orgs map[string]*waitingOrg
-	// waiting lists the organisations with asks.
-	waiting []*waitingOrg
-	// clock is the minimum served over waiting organisations. One that returns after a pause
-	// starts there, without credit.
+	orgs map[string]*orgQueue
+	// waiting lists the organisations that have queued requests.
+	waiting []*orgQueue
+	// clock is the virtual clock: the minimum of served over the waiting organisations. An
+	// organisation that returns after an idle time starts there, without credit for that time.
 	clock float64
 }
 
 func newQueue(t tuning) *queue {
 	return &queue{
-		slack: t.slack, perCost: t.perCost,
-		byID: map[string]*queued{}, orgs: map[string]*waitingOrg{},
+		slack: t.slack, delayPerCost: t.delayPerCost,
+		byAttempt: map[string]*queuedAsk{}, orgs: map[string]*orgQueue{},
 	}
 }
 
-func (q *queue) len() int { return len(q.byID) }
+func (q *queue) len() int { return len(q.byAttempt) }
 
-// all lists the asks ordered by attempt.
-func (q *queue) all() []*queued {
-	out := make([]*queued, 0, len(q.byID))
-	for _, attempt := range slices.Sorted(maps.Keys(q.byID)) {
-		out = append(out, q.byID[attempt])
+// all returns the requests sorted by attempt.
+func (q *queue) all() []*queuedAsk {
+	out := make([]*queuedAsk, 0, len(q.byAttempt))
+	for _, attempt := range slices.Sorted(maps.Keys(q.byAttempt)) {
+		out = append(out, q.byAttempt[attempt])
 	}
 	return out
 }
 
-func (q *queue) push(ask Ask, since time.Time, cost float64) *queued {
-	item := &queued{ask: ask, since: since, cost: cost}
+func (q *queue) push(ask Ask, since time.Time, cost float64) *queuedAsk {
+	item := &queuedAsk{ask: ask, firstAsked: since, cost: cost}
 	item.key = q.keyOf(&ask, since, cost)
 	q.cost += cost
-	q.byID[ask.Attempt] = item
+	q.byAttempt[ask.Attempt] = item
 	o := q.org(ask.Org)
 	if len(o.asks) == 0 {
 		q.waiting = append(q.waiting, o)
@@ -116,16 +123,16 @@
 }
 
 func (q *queue) keyOf(ask *Ask, since time.Time, cost float64) time.Time {
-	if q.byDue && ask.FirstTarget > 0 {
+	if q.byDeadline && ask.FirstTarget > 0 {
 		return since.Add(ask.FirstTarget)
 	}
-	return since.Add(time.Duration(min(cost, maxCost) * q.perCost))
+	return since.Add(time.Duration(min(cost, maxCost) * q.delayPerCost))
 }
 
-// ahead returns the sum of the cost of asks before a key.
-func (q *queue) ahead(key time.Time) float64 {
+// costAhead returns the sum of the costs of the requests before a key.
+func (q *queue) costAhead(key time.Time) float64 {
 	sum := 0.0
-	for _, item := range q.byID {
+	for _, item := range q.byAttempt {
 		if item.key.Before(key) {
 			sum += item.cost
 		}
@@ -133,24 +140,24 @@
 	return sum
 }
 
-// demote moves asks that can no longer meet their deadline behind the others and returns them
-// in order.
-func (q *queue) demote(missed func(item *queued) bool) []*queued {
-	var out []*queued
+// demote marks the requests for which missed returns true as late and moves them behind the
+// others. It returns them in their new order.
+func (q *queue) demote(missed func(item *queuedAsk) bool) []*queuedAsk {
+	var out []*queuedAsk
 	for _, o := range q.waiting {
 		for _, item := range slices.Clone(o.asks) {
 			if item.late || !missed(item) {
 				continue
 			}
 			item.late = true
-			q.lates++
+			q.lateCount++
 			q.lateCost += item.cost
-			item.key = item.key.Add(lateBehind)
+			item.key = item.key.Add(lateKeyDelay)
 			heap.Fix(&o.asks, item.index)
 			out = append(out, item)
 		}
 	}
-	slices.SortFunc(out, func(a, b *queued) int {
+	slices.SortFunc(out, func(a, b *queuedAsk) int {
 		if a.before(b) {
 			return -1
 		}
@@ -159,17 +166,18 @@
 	return out
 }
 
-// before orders the asks of one organisation.
-func (q *queued) before(o *queued) bool {
+// before reports whether a request is served before another one of the same organisation.
+func (q *queuedAsk) before(o *queuedAsk) bool {
 	if q.key.Equal(o.key) {
 		return q.ask.Attempt < o.ask.Attempt
 	}
 	return q.key.Before(o.key)
 }
 
-// lateAhead sums the cost and prompts of the late asks before another.
-func (q *queue) lateAhead(of *queued) (cost, prompts float64) {
-	for _, item := range q.byID {
+// lateAhead returns the sums of the costs and of the prompt tokens of the late requests before
+// another one.
+func (q *queue) lateAhead(of *queuedAsk) (cost, prompts float64) {
+	for _, item := range q.byAttempt {
 		if item.late && item.before(of) {
 			cost += item.cost
 			prompts += float64(item.ask.Prompt)
@@ -178,12 +186,12 @@
 	return cost, prompts
 }
 
-// overdue returns the asks that have reached their longest wait, in order.
-func (q *queue) overdue(now time.Time) []*queued {
-	var out []*queued
+// overdue returns the requests that have reached their maximum wait.
+func (q *queue) overdue(now time.Time) []*queuedAsk {
+	var out []*queuedAsk
 	for _, o := range q.waiting {
 		for _, item := range o.asks {
-			if now.Sub(item.asked) >= item.ask.MaxWait {
+			if now.Sub(item.arrived) >= item.ask.MaxWait {
 				out = append(out, item)
 			}
 		}
@@ -191,20 +199,20 @@
 	return out
 }
 
-func (q *queue) org(name string) *waitingOrg {
+func (q *queue) org(name string) *orgQueue {
 	o := q.orgs[name]
 	if o == nil {
-		o = &waitingOrg{name: name, served: q.clock}
+		o = &orgQueue{name: name, served: q.clock}
 		q.orgs[name] = o
 	}
 	return o
 }
 
-func (q *queue) remove(item *queued) {
-	delete(q.byID, item.ask.Attempt)
+func (q *queue) remove(item *queuedAsk) {
+	delete(q.byAttempt, item.ask.Attempt)
 	q.cost = max(q.cost-item.cost, 0)
 	if item.late {
-		q.lates--
+		q.lateCount--
 		q.lateCost = max(q.lateCost-item.cost, 0)
 	}
 	o := q.orgs[item.ask.Org]
@@ -220,33 +228,34 @@
 	}
 }
 
-// charge adds a granted ask to its organisation's served cost.
+// charge adds the cost of a granted request to that served for its organisation.
 func (q *queue) charge(org string, cost float64) {
 	q.org(org).served += cost
 }
 
-// best returns the next ask not passed over in this round, late asks last. An organisation
-// with late asks only does not hold back others.
-func (q *queue) best(passed map[*queued]bool) *queued {
-	q.tick()
-	if b := q.bestOf(passed, false); b != nil {
+// best returns the next request that is not in passed, late requests last. An organisation that
+// has only late requests does not delay others.
+func (q *queue) best(passed map[*queuedAsk]bool) *queuedAsk {
+	q.advanceClock()
+	if b := q.bestAmong(passed, false); b != nil {
 		return b
 	}
-	return q.bestOf(passed, true)
+	return q.bestAmong(passed, true)
 }
 
-// bestOf returns the next late or timely ask among the organisations within slack.
-func (q *queue) bestOf(passed map[*queued]bool, late bool) *queued {
-	least := math.Inf(1)
+// bestAmong returns the next late request, or the next timely one, among the organisations whose
+// lead is within slack.
+func (q *queue) bestAmong(passed map[*queuedAsk]bool, late bool) *queuedAsk {
+	minServed := math.Inf(1)
 	for _, o := range q.waiting {
 		if o.asks[0].late == late {
-			least = min(least, o.served)
+			minServed = min(minServed, o.served)
 		}
 	}
-	var best *queued
+	var best *queuedAsk
 	for _, o := range q.waiting {
 		head := o.asks[0]
-		if head.late != late || o.served > least+q.slack || passed[head] {
+		if head.late != late || o.served > minServed+q.slack || passed[head] {
 			continue
 		}
 		if best == nil || head.before(best) {
@@ -256,23 +265,23 @@
 	return best
 }
 
-// tick advances the clock to the minimum served.
-func (q *queue) tick() {
+// advanceClock advances the clock to the minimum of served over the waiting organisations.
+func (q *queue) advanceClock() {
 	if len(q.waiting) == 0 {
 		return
 	}
-	least := q.waiting[0].served
+	minServed := q.waiting[0].served
 	for _, o := range q.waiting {
-		least = min(least, o.served)
+		minServed = min(minServed, o.served)
 	}
-	q.clock = max(q.clock, least)
+	q.clock = max(q.clock, minServed)
 }
 
-// forget drops idle organisations that the clock has passed; they would restart in the same
-// state.
-func (q *queue) forget() {
+// dropIdleOrgs drops the organisations without requests whose served cost the clock has passed.
+// They start at the clock when they return, so that no state is lost.
+func (q *queue) dropIdleOrgs() {
 	if len(q.waiting) == 0 {
-		q.clock = q.mostServed()
+		q.clock = q.maxServed()
 	}
 	for name, o := range q.orgs {
 		if len(o.asks) == 0 && o.served <= q.clock {
@@ -281,10 +290,10 @@
 	}
 }
 
-func (q *queue) mostServed() float64 {
-	most := q.clock
+func (q *queue) maxServed() float64 {
+	highest := q.clock
 	for _, o := range q.orgs {
-		most = max(most, o.served)
+		highest = max(highest, o.served)
 	}
-	return most
+	return highest
 }
--- a/internal/core/placement/race_off_test.go
+++ b/internal/core/placement/race_off_test.go
@@ -2,5 +2,5 @@
 
 package placement_test
 
-// underRace is set when the race detector is on.
+// underRace reports whether the race detector is enabled.
 const underRace = false
--- a/internal/core/placement/speed.go
+++ b/internal/core/placement/speed.go
@@ -6,86 +6,89 @@
 	"mulberrylug.example/mulberrylug/internal/core/mechanism"
 )
 
-// speed holds an upstream's unloaded decode interval and prefill throughput; 0 while unknown.
+// speed holds the decode interval and the prefill throughput of an upstream; 0 while unknown.
 type speed struct {
-	// pace is the decode interval in seconds without prefill beside it.
+	// pace is the decode interval, in seconds, without concurrent prefill.
 	pace float64
 	// rate is the prefill throughput in tokens a second.
 	rate float64
-	// pacedAt and ratedAt are the times of the last measurements.
-	pacedAt time.Time
-	ratedAt time.Time
+	// paceAt and rateAt are the times of the last measurements.
+	paceAt time.Time
+	rateAt time.Time
 }
 
 const (
-	// speedFade is the weight of one measurement: upstreams are short-lived and may become
-	// slow.
-	speedFade = 0.3
-	// disturbedFade is that weight for a longer decode interval, most of which were disturbed
-	// by prefill all the while.
-	disturbedFade = 0.03
-	// typicalFade is the weight in the mean of the pool.
-	typicalFade = 0.02
-	// speedTTL is how long a measurement counts. An upstream that is avoided gets no new ones.
+	// speedWeight is the weight of one measurement in an upstream's moving average. It is high,
+	// as upstreams are short-lived and may become slow.
+	speedWeight = 0.3
+	// slowerPaceWeight is that weight for a decode interval above the average. Most of these
+	// were measured under continuous concurrent prefill.
+	slowerPaceWeight = 0.03
+	// poolSpeedWeight is the weight of one measurement in the moving average of the pool.
+	poolSpeedWeight = 0.02
+	// speedTTL is how long a measurement counts. An upstream that gets no work because it was
+	// slow is not measured again, so that its measurements must expire.
 	speedTTL = 10 * time.Second
-	// firstPace is the initial estimate of the decode interval in seconds.
-	firstPace = 0.01
+	// initialPace is the initial estimate of the decode interval in seconds.
+	initialPace = 0.01
 )
 
-// learn updates a mean that is 0 before the first value.
-func learn(mean *float64, value, fade float64) {
+// updateMean adds a value with a weight to a moving average, which is 0 before the first value.
+func updateMean(mean *float64, value, weight float64) {
 	if *mean == 0 {
 		*mean = value
 		return
 	}
-	*mean += fade * (value - *mean)
+	*mean += weight * (value - *mean)
 }
 
-// learnPace records the decode interval of an answer.
-func (h *Home) learnPace(now time.Time, u *upstream, pace time.Duration) {
-	fade := speedFade
-	if pace.Seconds() > u.speed.pace {
-		fade = disturbedFade
+// recordPace records the decode interval of a generation.
+func (h *Home) recordPace(now time.Time, u *upstream, pace time.Duration) {
+	weight := speedWeight
+	if pace.Seconds() > u.measuredSpeed.pace {
+		weight = slowerPaceWeight
 	}
-	learn(&u.speed.pace, pace.Seconds(), fade)
-	u.speed.pacedAt = now
-	learn(&h.typical.pace, u.speed.pace, typicalFade)
+	updateMean(&u.measuredSpeed.pace, pace.Seconds(), weight)
+	u.measuredSpeed.paceAt = now
+	updateMean(&h.poolSpeed.pace, u.measuredSpeed.pace, poolSpeedWeight)
 }
 
-// learnRate records the duration of a prefill without other prompts.
-func (h *Home) learnRate(now time.Time, u *upstream, prompt int, took time.Duration) {
+// recordPrefillRate records the duration of a prefill that waited for no other prompt.
+func (h *Home) recordPrefillRate(now time.Time, u *upstream, prompt int, took time.Duration) {
 	rate := float64(prompt) / took.Seconds()
-	learn(&u.speed.rate, rate, speedFade)
-	u.speed.ratedAt = now
-	learn(&h.typical.rate, rate, typicalFade)
+	updateMean(&u.measuredSpeed.rate, rate, speedWeight)
+	u.measuredSpeed.rateAt = now
+	updateMean(&h.poolSpeed.rate, rate, poolSpeedWeight)
 }
 
-// speedAt returns an upstream's assumed speed: what was measured, or the pool's. A slow
-// prefill implies slow decoding, so that the first prompt already tells about a new upstream.
+// speedAt returns the speed assumed for an upstream: recent measurements, or the pool's speed if
+// there are none. While only the prefill throughput is measured, the decode interval is assumed
+// to be proportionally slower or faster, so that the first prompt already gives an estimate for a
+// new upstream.
 func (h *Home) speedAt(now time.Time, u *upstream) speed {
-	paced, rated := now.Sub(u.speed.pacedAt) < speedTTL, now.Sub(u.speed.ratedAt) < speedTTL
+	hasPace, hasRate := now.Sub(u.measuredSpeed.paceAt) < speedTTL, now.Sub(u.measuredSpeed.rateAt) < speedTTL
 	if h.settings.Without.Has(mechanism.Speeds) {
-		paced, rated = false, false
+		hasPace, hasRate = false, false
 	}
-	s := speed{pace: h.typical.pace, rate: h.typicalRate()}
-	if rated {
-		s.rate = u.speed.rate
+	s := speed{pace: h.poolSpeed.pace, rate: h.poolPrefillRate()}
+	if hasRate {
+		s.rate = u.measuredSpeed.rate
 	}
 	switch {
-	case paced:
-		s.pace = u.speed.pace
+	case hasPace:
+		s.pace = u.measuredSpeed.pace
 	case s.pace == 0:
-		s.pace = firstPace
-	case rated:
-		s.pace *= h.typicalRate() / s.rate
+		s.pace = initialPace
+	case hasRate:
+		s.pace *= h.poolPrefillRate() / s.rate
 	}
 	return s
 }
 
-// typicalRate returns the pool's mean prefill throughput in tokens a second.
-func (h *Home) typicalRate() float64 {
-	if h.typical.rate > 0 {
-		return h.typical.rate
+// poolPrefillRate returns the mean prefill throughput of the pool's upstreams in tokens a second.
+func (h *Home) poolPrefillRate() float64 {
+	if h.poolSpeed.rate > 0 {
+		return h.poolSpeed.rate
 	}
 	return h.settings.PromptRate
 }
--- a/internal/core/placement/tuning.go
+++ b/internal/core/placement/tuning.go
@@ -10,74 +10,77 @@
 
 // tuning holds the parameters derived from the deployment's weights.
 type tuning struct {
-	// calmZ is the headroom in standard deviations while nothing waits, busyZ that with
-	// patience's worth of work or more in the queue.
-	calmZ, busyZ float64
-	patience     time.Duration
-	// reserve is the fraction of the capacity that stays free in addition.
+	// idleZ is the memory headroom in standard deviations while the queue is empty, busyZ that
+	// while the queued work takes busyBacklog or longer to drain.
+	idleZ, busyZ float64
+	busyBacklog  time.Duration
+	// reserve is the fraction of the memory that is kept free in addition.
 	reserve float64
-	// gap is the longest predicted time between tokens for new work, in seconds.
-	gap float64
-	// slack is the cost by which an organisation may lead another that waits.
+	// maxTokenTime is the time per token in seconds above which a busy upstream gets no new
+	// work.
+	maxTokenTime float64
+	// slack is the cost by which one organisation may be served ahead of another waiting one.
 	slack float64
-	// perCost is the delay in the queue's order for each unit of cost.
-	perCost float64
+	// delayPerCost is the delay in the queue's order, in nanoseconds, for each unit of cost.
+	delayPerCost float64
 }
 
 const (
-	// evenBusyZ is busyZ with equal weights of stalls and steady output, zPerOctave its growth
-	// with each doubling of the latter, minZ its minimum. evenCalmZ is calmZ, which is never
-	// below busyZ.
-	evenBusyZ  = 1.0
+	// equalBusyZ is busyZ if stalls and steady output have equal weights, zPerOctave its increase
+	// with each doubling of the latter's weight, minZ its minimum. equalIdleZ is idleZ, which is
+	// never below busyZ.
+	equalBusyZ = 1.0
 	zPerOctave = 0.175
 	minZ       = 0.4
-	evenCalmZ  = 1.4
-	// evenPatience is the patience in seconds with equal weights.
-	evenPatience = 2.0
-	// memoryReserve is the fraction of memory kept free, about the lag of the ledger behind
-	// the engine.
+	equalIdleZ = 1.4
+	// equalBusyBacklog is busyBacklog in seconds with equal weights.
+	equalBusyBacklog = 2.0
+	// memoryReserve is the fraction of memory kept free. It covers the tokens that engines have
+	// produced but the ledger does not yet include.
 	memoryReserve = 0.03
-	// steadyGap is the time between tokens in seconds that 95 in 100 must keep.
-	steadyGap = 0.038
-	// fairSlack is the lead of an organisation in cost: about two seconds of a pool of twelve
-	// small engines.
+	// steadyTokenTime is the time between tokens, in seconds, that 95 of 100 tokens must not
+	// exceed.
+	steadyTokenTime = 0.038
+	// fairSlack is the permitted lead of an organisation, in cost: about two seconds of work of
+	// a pool of twelve small engines.
 	fairSlack = 20e6
-	// maxCost bounds the cost that counts in the queue's order; maxAhead is the delay at
-	// maxCost.
+	// maxCost bounds the cost that delays a request in the queue's order; maxAhead is the delay
+	// at maxCost.
 	maxCost  = 2e6
 	maxAhead = 300 * time.Second
 )
 
-// tune derives the parameters from the weights. Only the ratio of steady output to stalls
-// matters.
+// tune derives the parameters from the weights. Only the ratio of the weight of steady output,
+// the mean of preemptions and tail, to that of stalls matters.
 func tune(w config.Weights) tuning {
 	stall := max(w.Stall, 0.01)
 	steady := max((w.Preemptions+w.Tail)/2, 0.01)
 	octaves := math.Log2(steady / stall)
-	busy := max(evenBusyZ+zPerOctave*octaves, minZ)
+	busy := max(equalBusyZ+zPerOctave*octaves, minZ)
 	return tuning{
-		calmZ:    max(evenCalmZ, busy),
-		busyZ:    busy,
-		patience: time.Duration(evenPatience * math.Exp2(octaves) * float64(time.Second)),
-		gap:      steadyGap,
-		slack:    fairSlack,
-		reserve:  memoryReserve,
-		perCost:  float64(maxAhead) / maxCost,
+		idleZ:        max(equalIdleZ, busy),
+		busyZ:        busy,
+		busyBacklog:  time.Duration(equalBusyBacklog * math.Exp2(octaves) * float64(time.Second)),
+		maxTokenTime: steadyTokenTime,
+		slack:        fairSlack,
+		reserve:      memoryReserve,
+		delayPerCost: float64(maxAhead) / maxCost,
 	}
 }
 
-// leaveOut disables the parameters of mechanisms that are left out.
-func (t *tuning) leaveOut(without mechanism.Set) {
+// disable neutralises the parameters of disabled mechanisms.
+func (t *tuning) disable(without mechanism.Set) {
 	if without.Has(mechanism.Headroom) {
-		t.calmZ, t.busyZ = 0, 0
+		t.idleZ, t.busyZ = 0, 0
 	}
 	if without.Has(mechanism.Fairness) {
 		t.slack = math.Inf(1)
 	}
 }
 
-// headroom returns z for a queue: the more waits, the less memory is kept free.
+// headroom returns z for a queue that takes backlog to drain. The longer the queue, the less
+// memory is kept free.
 func (t *tuning) headroom(backlog time.Duration) float64 {
-	part := min(backlog.Seconds()/t.patience.Seconds(), 1)
-	return t.calmZ + part*(t.busyZ-t.calmZ)
+	part := min(backlog.Seconds()/t.busyBacklog.Seconds(), 1)
+	return t.idleZ + part*(t.busyZ-t.idleZ)
 }
--- a/internal/core/placement/wait.go
+++ b/internal/core/placement/wait.go
@@ -7,28 +7,29 @@
 )
 
 const (
-	// usable is the mean fraction of the upstreams' memory in use while work waits.
-	usable = 0.75
+	// usableMemory is the mean fraction of the upstreams' memory in use while requests wait.
+	usableMemory = 0.75
 	// retryMin and retryMax bound the Retry-After of refusals.
 	retryMin = time.Second
 	retryMax = 5 * time.Minute
-	// readMargin is the time allowed between a grant and its first token beside the prefill:
-	// messages, the rest of the previous prompt, a slower upstream.
-	readMargin = 250 * time.Millisecond
+	// firstTokenMargin is the time allowed between a grant and its first token in addition to
+	// the prefill. It covers messages, the rest of the previous prompt and a slower upstream.
+	firstTokenMargin = 250 * time.Millisecond
 	// maxPromises bounds the number of promises.
 	maxPromises = 16_384
-	// promiseTTL is how long a promise is kept after its time.
+	// promiseTTL is how long a promise is kept after the time at which the caller should return.
 	promiseTTL = 10 * time.Second
 )
 
-// drainRate returns the cost that the pool completes per second: memory times tokens a second.
+// drainRate returns the cost that the pool completes per second: tokens of memory times output
+// tokens a second for engines, calls a second for plain services.
 func (h *Home) drainRate(now time.Time) float64 {
 	guess := 0.0
 	for _, u := range h.upstreams {
 		switch {
 		case !u.takesWork(now):
 		case h.settings.Engine:
-			guess += float64(u.report.Capacity) * usable / u.timePerToken()
+			guess += float64(u.report.Capacity) * usableMemory / u.tokenTimeOrDefault()
 		default:
 			guess += float64(u.report.MaxBatch)
 		}
@@ -36,69 +37,71 @@
 	return max(h.meter.rate(guess), 1)
 }
 
-// predictWait returns the expected wait of an ask: until the work ahead of it has drained,
-// while cheaper work continues to arrive. An ask with a target that it can still meet waits
-// until its deadline at most before it is reconsidered.
+// predictWait returns the expected wait of a request: until the work ahead of it has drained,
+// while cheaper work continues to arrive. With Settings.Predict it is 0 for a request that can
+// still meet its deadline: that waits until the deadline at most and is then reconsidered.
 func (h *Home) predictWait(now, since time.Time, ask *Ask, cost float64) time.Duration {
 	if h.queue.len() == 0 {
 		return 0
 	}
 	key := h.queue.keyOf(ask, since, cost)
 	if h.settings.Predict && ask.FirstTarget > 0 {
-		if h.misses(now, since, ask) {
-			return h.lateWait(now, &queued{ask: *ask, key: key.Add(lateBehind), cost: cost})
+		if h.missesDeadline(now, since, ask) {
+			return h.lateWait(now, &queuedAsk{ask: *ask, key: key.Add(lateKeyDelay), cost: cost})
 		}
 		return 0
 	}
 	rate := h.drainRate(now)
-	left := max(rate-h.meter.cheaper(cost), rate*minShare)
-	ahead := h.queue.ahead(key) + cost
-	return seconds(ahead / left * h.meter.doubt())
+	left := max(rate-h.meter.cheaperRate(cost), rate*minShare)
+	ahead := h.queue.costAhead(key) + cost
+	return seconds(ahead / left * h.meter.correction())
 }
 
-// tooLong reports whether an ask is refused because its wait would be in vain.
-func (h *Home) tooLong(wait, patience time.Duration) bool {
-	return wait > patience && !h.settings.Without.Has(mechanism.EarlyRefusal)
+// tooLong reports whether a request is refused because its predicted wait exceeds the maximum.
+func (h *Home) tooLong(wait, maxWait time.Duration) bool {
+	return wait > maxWait && !h.settings.Without.Has(mechanism.EarlyRefusal)
 }
 
-// lateWait returns the expected wait of a late ask behind the timely ones, by memory or by
-// prefill.
-func (h *Home) lateWait(now time.Time, q *queued) time.Duration {
+// lateWait returns the expected wait of a late request behind the timely ones: until the late
+// work ahead of it has drained, limited by memory or by prefill, whichever takes longer.
+func (h *Home) lateWait(now time.Time, q *queuedAsk) time.Duration {
 	rate := h.drainRate(now)
 	left := h.meter.lateRate(rate)
 	cost, prompts := h.queue.lateAhead(q)
-	reading := h.readRate(now) * left / rate
-	return seconds(max((cost+q.cost)/left, (prompts+float64(q.ask.Prompt))/max(reading, 1)))
+	prefill := h.prefillRate(now) * left / rate
+	return seconds(max((cost+q.cost)/left, (prompts+float64(q.ask.Prompt))/max(prefill, 1)))
 }
 
-// readRate returns the pool's prefill throughput in tokens a second.
-func (h *Home) readRate(now time.Time) float64 {
+// prefillRate returns the total prefill throughput of the pool in tokens a second.
+func (h *Home) prefillRate(now time.Time) float64 {
 	sum := 0.0
 	for _, u := range h.upstreams {
 		if u.takesWork(now) {
-			sum += u.believed.rate
+			sum += u.assumedSpeed.rate
 		}
 	}
 	return sum
 }
 
-// misses reports whether a queued ask can no longer meet its deadline.
-func (h *Home) misses(now, since time.Time, ask *Ask) bool {
+// missesDeadline reports whether a request that was first sent at since can no longer meet the
+// deadline of its first token.
+func (h *Home) missesDeadline(now, since time.Time, ask *Ask) bool {
 	if ask.FirstTarget == 0 {
 		return false
 	}
-	first := now.Add(readMargin + seconds(float64(ask.Prompt)/h.typicalRate()))
+	first := now.Add(firstTokenMargin + seconds(float64(ask.Prompt)/h.poolPrefillRate()))
 	return first.After(since.Add(ask.FirstTarget))
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// refuse refuses an ask with a Retry-After: when the queue and the work of callers who were
-// told to return earlier have drained.
+// refuse refuses a request. Its Retry-After is the time until the queued work has drained, and
+// the work of the callers that were refused before and are expected to return.
 func (h *Home) refuse(now, since time.Time, ask *Ask, cost float64) Decision {
 	rate, ahead := h.drainRate(now), h.queue.cost
 	if h.settings.Predict && ask.FirstTarget > 0 {
-		// Those who can be on time still go first: it gets what they leave.
+		// Requests that can still meet their deadlines are served first: this one gets the
+		// share of late requests.
 		rate, ahead = h.meter.lateRate(rate), h.queue.lateCost
 	}
 	after := seconds((ahead + h.promises.cost) / rate)
@@ -107,59 +110,62 @@
 	return Decision{Attempt: ask.Attempt, Kind: Refused, Reason: ReasonQueueFull, RetryAfter: after}
 }
 
-// promise is the Retry-After given to a refused caller.
+// promise is the record of a refused request: a caller that sends it again after its Retry-After
+// is queued as if it had waited since its first request.
 type promise struct {
-	print uint64
-	// since is when the caller first asked, at when it was told to return.
-	since, at time.Time
-	cost      float64
+	fingerprint uint64
+	// firstAsked is when the caller first sent the request, returnAt is the end of the
+	// Retry-After.
+	firstAsked, returnAt time.Time
+	cost                 float64
 }
 
-// promises holds the promises by fingerprint. A caller who returns as told takes the place of
-// its first ask.
+// promises holds the promises that callers have not yet redeemed.
 type promises struct {
-	byPrint map[uint64]*promise
-	order   []*promise
-	cost    float64
+	byFingerprint map[uint64]*promise
+	// order lists the promises, oldest first. It may include redeemed ones.
+	order []*promise
+	// cost is the sum of the costs of the promises.
+	cost float64
 }
 
-func newPromises() promises { return promises{byPrint: map[uint64]*promise{}} }
+func newPromises() promises { return promises{byFingerprint: map[uint64]*promise{}} }
 
 func (p *promises) add(now, since time.Time, ask *Ask, after time.Duration, cost float64) {
-	if ask.Fingerprint == 0 || p.byPrint[ask.Fingerprint] != nil || len(p.byPrint) >= maxPromises {
+	if ask.Fingerprint == 0 || p.byFingerprint[ask.Fingerprint] != nil || len(p.byFingerprint) >= maxPromises {
 		return
 	}
-	made := &promise{print: ask.Fingerprint, since: since, at: now.Add(after), cost: cost}
-	p.byPrint[ask.Fingerprint] = made
+	made := &promise{fingerprint: ask.Fingerprint, firstAsked: since, returnAt: now.Add(after), cost: cost}
+	p.byFingerprint[ask.Fingerprint] = made
 	p.order = append(p.order, made)
 	p.cost += cost
 }
 
-// redeem returns the time from which an ask counts as waiting: that of its first refusal if
-// the caller returned as told.
+// redeem returns the time from which a request counts as waiting: the time of the caller's first
+// request if it was refused then and has returned after the Retry-After, now otherwise.
 func (p *promises) redeem(now time.Time, ask *Ask) time.Time {
-	made := p.byPrint[ask.Fingerprint]
-	if made == nil || now.Before(made.at) {
+	made := p.byFingerprint[ask.Fingerprint]
+	if made == nil || now.Before(made.returnAt) {
 		return now
 	}
 	p.drop(made)
-	return made.since
+	return made.firstAsked
 }
 
 func (p *promises) drop(made *promise) {
-	if p.byPrint[made.print] != made {
+	if p.byFingerprint[made.fingerprint] != made {
 		return
 	}
-	delete(p.byPrint, made.print)
+	delete(p.byFingerprint, made.fingerprint)
 	p.cost = max(p.cost-made.cost, 0)
 }
 
-// forget drops the promises whose callers did not return.
-func (p *promises) forget(now time.Time) {
+// expire drops the promises whose callers did not return.
+func (p *promises) expire(now time.Time) {
 	for len(p.order) > 0 {
 		made := p.order[0]
-		live := p.byPrint[made.print] == made
-		if live && now.Sub(made.at) < promiseTTL {
+		live := p.byFingerprint[made.fingerprint] == made
+		if live && now.Sub(made.returnAt) < promiseTTL {
 			return
 		}
 		p.drop(made)
