--- a/internal/core/pool/cordon_test.go
+++ b/internal/core/pool/cordon_test.go
@@ -27,54 +27,54 @@
 	s.sync()
 }
 
-// A data centre is cordoned under load. It must get no grant and no move, what runs there
-// must stay, and work must return at once when the cordon is lifted.
+// Two data centres are cordoned under load. They must get no grants and no moves, generations that
+// run there must stay, and new work must be placed there again once the cordon is lifted.
 func TestACordonedDataCentreGetsNoWork(t *testing.T) {
 	s := newSim(t, 6)
 	s.fill(18, 100*time.Millisecond)
 	s.cordon("u01", "u03")
-	there := map[string]string{}
+	before := map[string]string{}
 	for attempt, u := range s.granted {
 		if u == "u01" || u == "u03" {
-			there[attempt] = u
+			before[attempt] = u
 		}
 	}
 	for k := range 20 {
 		s.ask(fmt.Sprintf("b-%02d", k), 3000, 200)
-		s.pass(100 * time.Millisecond)
+		s.advance(100 * time.Millisecond)
 	}
 	s.find("u00").LeavingSince = s.now
 	s.sync()
 	for k := 0; k < len(s.orders) && k < 20; k++ {
-		s.answer(s.orders[k], msg.MoveDone)
+		s.answerOrder(s.orders[k], msg.MoveDone)
 	}
-	if len(s.orders) == 0 || len(there) == 0 {
-		t.Fatal("nothing was moved or ran there: the test shows nothing")
+	if len(s.orders) == 0 || len(before) == 0 {
+		t.Fatal("no move was ordered, or no generation ran in the cordoned data centres: the test checks nothing")
 	}
 	for _, o := range s.orders {
 		if o.From != "u00" || o.To == "u01" || o.To == "u03" {
-			t.Errorf("order %+v", o)
+			t.Errorf("move order = %+v, want from u00 to an upstream that is not cordoned", o)
 		}
 	}
 	for attempt, u := range s.granted {
-		if (u == "u01" || u == "u03") && there[attempt] != u {
-			t.Errorf("%s was given to %s, which is cordoned", attempt, u)
+		if (u == "u01" || u == "u03") && before[attempt] != u {
+			t.Errorf("%s: placed on %s, which is cordoned", attempt, u)
 		}
 	}
-	s.pass(8 * time.Second)
+	s.advance(8 * time.Second)
 	s.cordon()
 	for k := range 12 {
 		s.ask(fmt.Sprintf("c-%02d", k), 3000, 200)
-		s.pass(100 * time.Millisecond)
+		s.advance(100 * time.Millisecond)
 	}
-	if n := s.on("u01") + s.on("u03"); n < 3 || n > 9 {
-		t.Errorf("%d of 12 went to the two of six upstreams that are back", n)
+	if n := s.countOn("u01") + s.countOn("u03"); n < 3 || n > 9 {
+		t.Errorf("generations on the two of six upstreams after the cordon = %d of 12, want 3 to 9", n)
 	}
 }
 
-// All data centres are cordoned while asks wait. They must be refused at once, not when
-// their patience ends, and so must those that come.
-func TestAsksThatWaitForCordonedUpstreamsAreRefusedAtOnce(t *testing.T) {
+// All data centres are cordoned while requests are queued. These must be refused at once instead
+// of at their maximum wait, and so must new requests.
+func TestRequestsForCordonedUpstreamsAreRefusedAtOnce(t *testing.T) {
 	s := newSim(t, 2)
 	for k := range 30 {
 		s.ask(fmt.Sprintf("a-%02d", k), 3000, 900)
@@ -85,23 +85,23 @@
 	s.home.Tick(s.now)
 	s.drain()
 	if waiting == 0 || len(s.granted)+len(s.refused) != 30 {
-		t.Errorf("%d waited, %d were granted and %d refused of 30", waiting, len(s.granted), len(s.refused))
+		t.Errorf("of 30 requests %d were queued, then %d granted and %d refused, want some queued and all decided", waiting, len(s.granted), len(s.refused))
 	}
 	s.home.Ask(s.now, entry, msg.GrantAsk{Pool: "pool", Ask: placement.Ask{Attempt: "new", Prompt: 10, MaxOutput: 10}})
 	for _, o := range s.home.Take() {
 		if a, ok := o.Msg.(msg.GrantAnswer); ok && a.Decision.Reason != placement.ReasonCordoned {
-			t.Errorf("decision %+v", a.Decision)
+			t.Errorf("decision on a new request = %+v, want refused with reason cordoned", a.Decision)
 		}
 	}
 }
 
-// Upstreams become cold, also in the middle of a burst and without a word. Whatever two
-// homes that both believe in themselves grant and move, no upstream that is known to be cold
-// may get more in any second than it bears, and no other more than that from either.
-func TestPropertyNoColdUpstreamIsRunOver(t *testing.T) {
+// Upstreams may become cold during a burst without being known to be, and two instances may both
+// act as home. In any second, both homes together must not start more requests on an upstream that
+// is known to be cold than it accepts, and each home not more than that on any other upstream.
+func TestPropertyColdUpstreamsAreNotOverloaded(t *testing.T) {
 	const rate = 10
 	props := gopter.NewProperties(testkit.Parameters())
-	props.Property("no cold upstream is run over", prop.ForAll(
+	props.Property("no cold upstream is overloaded", prop.ForAll(
 		func(draws []int) string {
 			now := start
 			homes := []*Home{NewHome("pool", engine, 0, 0), NewHome("pool", engine, 0, 0)}
@@ -110,7 +110,7 @@
 				cold = append(cold, &roster.Upstream{Entry: roster.Entry{ID: fmt.Sprint("u", k), DataCentre: "dc", Slots: 24}, Seen: now})
 			}
 			cold[0].ColdUntil = now.Add(time.Hour)
-			given := map[string][]time.Time{}
+			started := map[string][]time.Time{}
 			for step, d := range draws {
 				now = now.Add(time.Duration(d%40) * time.Millisecond)
 				h := homes[d%2]
@@ -123,19 +123,19 @@
 				}
 				for _, o := range h.Take() {
 					if a, ok := o.Msg.(msg.GrantAnswer); ok && a.Decision.Kind == placement.Granted {
-						given[a.Decision.Upstream] = append(given[a.Decision.Upstream], now)
+						started[a.Decision.Upstream] = append(started[a.Decision.Upstream], now)
 						h.End(now, msg.GrantEnd{Pool: "pool", Attempt: a.Decision.Attempt, Tokens: 5})
 					}
 				}
 			}
-			for id, times := range given {
-				most := 2 * rate
+			for id, times := range started {
+				limit := 2 * rate
 				if id == "u0" {
-					most = rate
+					limit = rate
 				}
 				for k := range times {
-					if k >= most && times[k].Sub(times[k-most]) < pace.Window {
-						return fmt.Sprintf("%s got more than %d in a second", id, most)
+					if k >= limit && times[k].Sub(times[k-limit]) < pace.Window {
+						return fmt.Sprintf("%s: more than %d requests in a second", id, limit)
 					}
 				}
 			}
@@ -146,8 +146,8 @@
 	props.TestingRun(t)
 }
 
-// Generations are confined to two of six data centres. Neither a grant nor a move may take them
-// elsewhere, and when both have lost their upstreams they are refused at once.
+// Requests are limited to two of six data centres. Neither a grant nor a move may place them in
+// another one, and once the upstreams of both are leaving, new requests must be refused at once.
 func TestConfinedGenerationsStayInTheirDataCentres(t *testing.T) {
 	s := newSim(t, 6)
 	allowed := []string{s.find("u01").DataCentre, s.find("u04").DataCentre}
@@ -159,26 +159,26 @@
 	}
 	for k := range 8 {
 		ask(fmt.Sprint("a-", k))
-		s.pass(200 * time.Millisecond)
+		s.advance(200 * time.Millisecond)
 	}
-	if s.on("u01")+s.on("u04") != 8 {
-		t.Fatalf("granted %v", s.granted)
+	if s.countOn("u01")+s.countOn("u04") != 8 {
+		t.Fatalf("granted = %v, want all 8 on u01 and u04", s.granted)
 	}
 	s.find("u01").LeavingSince = s.now
 	s.sync()
 	for k := 0; k < len(s.orders) && k < 20; k++ {
 		if s.orders[k].To != "u04" {
-			t.Errorf("order %+v", s.orders[k])
+			t.Errorf("move order = %+v, want to u04", s.orders[k])
 		}
-		s.answer(s.orders[k], msg.MoveDone)
+		s.answerOrder(s.orders[k], msg.MoveDone)
 	}
 	if len(s.orders) == 0 {
-		t.Error("nothing was moved: the test shows nothing")
+		t.Error("no move was ordered, want moves off u01")
 	}
 	s.find("u04").LeavingSince = s.now
 	s.sync()
 	ask("late")
 	if _, refused := s.refused["late"]; !refused {
-		t.Error("it waits for upstreams where it may not run")
+		t.Error("request without an upstream in its data centres was not refused, want refused at once")
 	}
 }
--- a/internal/core/pool/evacuate.go
+++ b/internal/core/pool/evacuate.go
@@ -12,66 +12,75 @@
 )
 
 const (
-	// evacuationTimeout is how long after the first notice generations are still moved.
+	// evacuationTimeout is how long after the first notice an unlisted upstream is kept while
+	// generations may still run there.
 	evacuationTimeout = 6 * time.Second
-	// minNotice is the assumed remaining life of a leaving upstream that does not state it.
+	// minNotice is the time for which a leaving upstream is assumed to serve if it does not state
+	// that time.
 	minNotice = 1500 * time.Millisecond
-	// orderSlack is added to the expected duration of a move before its order is given up.
+	// orderSlack is added to twice the expected duration of a copy to get the timeout of a move
+	// order.
 	orderSlack = 400 * time.Millisecond
-	// maxTries is the number of failed moves of one generation.
+	// maxTries is the number of attempts to move one generation.
 	maxTries = 2
-	// fullBackoff is how long a destination without room is skipped, whatever the forecast
-	// says: it may hold copies that were not picked up.
+	// fullBackoff is how long a destination without room is skipped, whatever memory the
+	// forecast leaves free: it may hold copies from which no generation was continued.
 	fullBackoff = 400 * time.Millisecond
-	// prefillRetry is the delay before a move is retried that found no running generation:
+	// prefillRetry is the delay before the retry of a move that found no running generation, as
 	// prompts cannot be moved during prefill.
 	prefillRetry = 100 * time.Millisecond
-	// minRest is the minimum remaining duration of a generation worth moving.
-	minRest = 150 * time.Millisecond
-	// outputValue is the value of an output token in prompt tokens: decoding takes ten times
-	// as long as prefill.
+	// minRemainingTime is the expected remaining duration below which a generation that ends
+	// before its upstream stops is not moved.
+	minRemainingTime = 150 * time.Millisecond
+	// outputValue is the value of an output token in prompt tokens: engines take ten times as
+	// long to decode it as to prefill a prompt token.
 	outputValue = 10
 )
 
-// evacuation moves the generations off a leaving upstream, one at a time: copies share its
-// link, and the final copy of a generation, during which its stream pauses, must not queue
-// behind another's.
+// evacuation is the state of moving the generations off a leaving upstream. They are moved one at
+// a time: copies share the upstream's link, and the final part of a copy, during which the
+// generation's stream pauses, must not queue behind another copy.
 type evacuation struct {
 	upstream *roster.Upstream
-	// ends is when the upstream is expected to stop.
-	ends  time.Time
+	// stopsAt is when the upstream is expected to stop.
+	stopsAt time.Time
+	// order is the move in progress; nil if there is none.
 	order *order
+	// tries counts the moves ordered for each attempt.
 	tries map[string]int
-	// later holds when generations that cannot be moved yet are tried again.
-	later map[string]time.Time
+	// retryAt holds when the move of an attempt that could not be moved yet is retried.
+	retryAt map[string]time.Time
 }
 
-// order is a move that an entry was told to make.
+// order is a move that an entry was ordered to make.
 type order struct {
 	attempt string
 	number  int64
-	to      string
-	// tokens is the size of the copy.
+	// to is the destination upstream.
+	to string
+	// tokens is the size of the copy in tokens of memory.
 	tokens int
-	due    time.Time
-	given  time.Time
+	// deadline is when the order is given up.
+	deadline time.Time
+	sentAt   time.Time
 }
 
-// abandoned is an unused copy that could not be freed: it occupies memory until it expires.
-type abandoned struct {
+// abandonedCopy is a copy that may be unused and cannot be freed. It occupies memory until it
+// expires.
+type abandonedCopy struct {
 	upstream string
 	tokens   int
 	until    time.Time
 }
 
-// abandonCopy records that the fate of an order's copy is unknown.
+// abandonCopy records that an order ended without confirmation of whether its copy is used.
 func (h *Home) abandonCopy(now time.Time, o *order) {
-	h.abandoned = append(h.abandoned, abandoned{upstream: o.to, tokens: o.tokens, until: now.Add(h.engine.CopyLife)})
+	h.abandoned = append(h.abandoned, abandonedCopy{upstream: o.to, tokens: o.tokens, until: now.Add(h.engine.CopyLife)})
 }
 
-// lapseCopies releases the memory of expired copies.
-func (h *Home) lapseCopies(now time.Time) {
-	h.abandoned = slices.DeleteFunc(h.abandoned, func(a abandoned) bool {
+// expireCopies releases the memory of expired copies.
+func (h *Home) expireCopies(now time.Time) {
+	h.abandoned = slices.DeleteFunc(h.abandoned, func(a abandonedCopy) bool {
 		if now.Before(a.until) {
 			return false
 		}
@@ -85,28 +94,29 @@
 	if since.IsZero() {
 		since = now
 	}
-	return &evacuation{upstream: u, ends: since.Add(minNotice), tries: map[string]int{}, later: map[string]time.Time{}}
+	return &evacuation{upstream: u, stopsAt: since.Add(minNotice), tries: map[string]int{}, retryAt: map[string]time.Time{}}
 }
 
-// evacuate gives the next order for each evacuation.
+// evacuate gives up expired orders and sends the next order of each evacuation.
 func (h *Home) evacuate(now time.Time) {
 	if !h.engine.Moves {
 		return
 	}
-	for _, id := range h.leaving() {
+	for _, id := range h.evacuating() {
 		e := h.evacuations[id]
-		if e.order != nil && now.After(e.order.due) {
-			h.note("move_given_up", "request", e.order.attempt, "from", id, "to", e.order.to, "after", now.Sub(e.order.given))
+		if e.order != nil && now.After(e.order.deadline) {
+			h.note("move_given_up", "request", e.order.attempt, "from", id, "to", e.order.to, "after", now.Sub(e.order.sentAt))
 			h.abandonCopy(now, e.order)
 			e.order = nil
 		}
 		if e.order == nil {
-			h.next(now, e)
+			h.orderNext(now, e)
 		}
 	}
 }
 
-func (h *Home) leaving() []string {
+// evacuating returns the sorted ids of the upstreams that are being evacuated.
+func (h *Home) evacuating() []string {
 	ids := make([]string, 0, len(h.evacuations))
 	for id := range h.evacuations {
 		ids = append(ids, id)
@@ -115,35 +125,35 @@
 	return ids
 }
 
-// next orders the most valuable move.
-func (h *Home) next(now time.Time, e *evacuation) {
-	for _, p := range h.candidates(now, e) {
+// orderNext orders the move of the first movable generation for which a destination has room.
+func (h *Home) orderNext(now time.Time, e *evacuation) {
+	for _, p := range h.movable(now, e) {
 		to := h.placement.Destination(now, p.Ask.Attempt,
-			func(name string) bool { return h.near(e.upstream.ID, name) },
-			func(name string) bool { return h.receiving(name) || now.Before(h.full[name]) })
+			func(name string) bool { return h.sameDataCentre(e.upstream.ID, name) },
+			func(name string) bool { return h.isDestination(name) || now.Before(h.fullUntil[name]) })
 		if to == "" {
 			continue
 		}
-		h.give(now, e, p, to)
+		h.sendOrder(now, e, p, to)
 		return
 	}
 }
 
-// candidates lists the movable generations: those that will not finish in time first, then by
-// value.
-func (h *Home) candidates(now time.Time, e *evacuation) []placement.Placed {
+// movable returns the generations of an evacuation that can be moved now. Those that will not end
+// before the upstream stops come first, then the more valuable ones.
+func (h *Home) movable(now time.Time, e *evacuation) []placement.Placed {
 	var out []placement.Placed
 	for _, p := range h.placement.On(now, e.upstream.ID) {
-		if !p.Begun || e.tries[p.Ask.Attempt] >= maxTries || h.entries[p.Ask.Attempt] == "" || now.Before(e.later[p.Ask.Attempt]) {
+		if !p.Begun || e.tries[p.Ask.Attempt] >= maxTries || h.entries[p.Ask.Attempt] == "" || now.Before(e.retryAt[p.Ask.Attempt]) {
 			continue
 		}
-		if p.Tokens > 0 && rest(p) < minRest && now.Add(minRest).Before(e.ends) {
+		if p.Tokens > 0 && remainingTime(p) < minRemainingTime && now.Add(minRemainingTime).Before(e.stopsAt) {
 			continue
 		}
 		out = append(out, p)
 	}
 	endsInTime := func(p placement.Placed) int {
-		if now.Add(rest(p)).Before(e.ends) {
+		if now.Add(remainingTime(p)).Before(e.stopsAt) {
 			return 1
 		}
 		return 0
@@ -157,23 +167,24 @@
 	return out
 }
 
-// rest is the expected remaining duration of a generation.
-func rest(p placement.Placed) time.Duration {
+// remainingTime returns the expected remaining duration of a generation.
+func remainingTime(p placement.Placed) time.Duration {
 	return time.Duration(p.Left * float64(p.TokenTime))
 }
 
-// value is what is lost with a generation, in prompt tokens.
+// value returns the work that is lost if a generation is, in prompt tokens.
 func value(p placement.Placed) float64 {
 	return float64(p.Ask.Prompt) + outputValue*(float64(p.Tokens)+p.Left)
 }
 
-func (h *Home) near(a, b string) bool {
+// sameDataCentre reports whether two upstreams are known to be in the same data centre.
+func (h *Home) sameDataCentre(a, b string) bool {
 	ua, ub := h.upstreams[a], h.upstreams[b]
 	return ua != nil && ub != nil && ua.DataCentre == ub.DataCentre
 }
 
-// receiving reports whether an upstream is the destination of a move in progress.
-func (h *Home) receiving(name string) bool {
+// isDestination reports whether an upstream is the destination of a move in progress.
+func (h *Home) isDestination(name string) bool {
 	for _, e := range h.evacuations {
 		if e.order != nil && e.order.to == name {
 			return true
@@ -182,40 +193,41 @@
 	return false
 }
 
-func (h *Home) give(now time.Time, e *evacuation, p placement.Placed, to string) {
-	h.number++
+// sendOrder orders the entry of a generation to move it.
+func (h *Home) sendOrder(now time.Time, e *evacuation, p placement.Placed, to string) {
+	h.lastOrder++
 	e.tries[p.Ask.Attempt]++
 	e.order = &order{
-		attempt: p.Ask.Attempt, number: h.number, to: to, tokens: p.Ask.Prompt + p.Tokens, given: now,
-		due: now.Add(2*h.copyTime(p, e.upstream.ID, to) + orderSlack),
+		attempt: p.Ask.Attempt, number: h.lastOrder, to: to, tokens: p.Ask.Prompt + p.Tokens, sentAt: now,
+		deadline: now.Add(2*h.copyTime(p, e.upstream.ID, to) + orderSlack),
 	}
 	h.placement.HoldCopy(to, e.order.tokens)
 	h.placement.Started(now, to)
 	h.send(h.entries[p.Ask.Attempt], msg.MoveOrder{
-		Pool: h.service, Attempt: p.Ask.Attempt, Number: h.number,
+		Pool: h.service, Attempt: p.Ask.Attempt, Number: h.lastOrder,
 		From: e.upstream.ID, To: to, ToAddress: h.upstreams[to].Address, ToDataCentre: h.upstreams[to].DataCentre,
 	})
 	h.note("move_ordered", "request", p.Ask.Attempt, "entry", h.entries[p.Ask.Attempt], "from", e.upstream.ID, "to", to,
 		"tokens", p.Ask.Prompt+p.Tokens, "left", int(p.Left), "try", e.tries[p.Ask.Attempt], "since_notice", now.Sub(e.upstream.LeavingSince))
 }
 
-// copyTime estimates the duration of a copy; links between data centres take twice as long.
+// copyTime estimates the duration of a copy. A copy between data centres takes twice as long.
 func (h *Home) copyTime(p placement.Placed, from, to string) time.Duration {
 	bits := float64(p.Ask.Prompt+p.Tokens) * h.engine.TokenBytes * 8
 	t := time.Duration(bits / (max(h.engine.LinkMbps, 1) * 1e6) * float64(time.Second))
-	if !h.near(from, to) {
+	if !h.sameDataCentre(from, to) {
 		t *= 2
 	}
 	return t
 }
 
-// Moved processes the outcome of an order.
+// Moved processes an entry's report of the outcome of a move order.
 func (h *Home) Moved(now time.Time, m msg.Moved) {
 	for id, e := range h.evacuations {
 		if e.order == nil || e.order.number != m.Number {
 			continue
 		}
-		h.note("move_ended", "request", m.Attempt, "from", id, "to", e.order.to, "outcome", m.Outcome, "after", now.Sub(e.order.given))
+		h.note("move_ended", "request", m.Attempt, "from", id, "to", e.order.to, "outcome", m.Outcome, "after", now.Sub(e.order.sentAt))
 		if m.Outcome == msg.MoveFailed {
 			h.abandonCopy(now, e.order)
 		} else {
@@ -226,11 +238,11 @@
 			h.placement.Move(m.Attempt, e.order.to)
 		case msg.MoveNoRun:
 			e.tries[m.Attempt]--
-			e.later[m.Attempt] = now.Add(prefillRetry)
+			e.retryAt[m.Attempt] = now.Add(prefillRetry)
 		case msg.MoveNoRoom:
-			// The generation goes on and can be moved later.
+			// The generation continues where it is and can be moved later.
 			e.tries[m.Attempt]--
-			h.full[e.order.to] = now.Add(fullBackoff)
+			h.fullUntil[e.order.to] = now.Add(fullBackoff)
 		}
 		e.order = nil
 	}
--- a/internal/core/pool/failing_test.go
+++ b/internal/core/pool/failing_test.go
@@ -8,55 +8,54 @@
 	"mulberrylug.example/mulberrylug/internal/core/msg"
 )
 
-// One of six engines fails two in five requests half a second after it got them,
-// with good health. As failed
-// requests free it at once, it looks idle, and without a memory of failures it gets
-// more than its share: each such draft is lost. Work comes at the rate of a calm
-// day for six engines, 2.4 drafts a second of some eight seconds.
+// One of six engines passes its health checks but fails two in five requests 0.4 s after their
+// start. Failed requests free it at once, so that it appears idle. If failures were not recorded,
+// it would get more than its share of the requests. The load is light for six engines: 2.5
+// generations a second of about eight seconds each.
 func TestAnEngineThatFailsGetsLittleWork(t *testing.T) {
 	s := newSim(t, 6)
 	const bad = "u03"
-	given, failed := 0, 0
+	placed, failed := 0, 0
 	for k := range 72 {
 		id := fmt.Sprintf("f-%02d", k)
 		s.ask(id, 3000, 900)
 		if s.granted[id] == bad {
-			if given++; given%5 < 2 {
+			if placed++; placed%5 < 2 {
 				failed++
-				s.pass(400 * time.Millisecond)
+				s.advance(400 * time.Millisecond)
 				delete(s.granted, id)
 				s.home.End(s.now, msg.GrantEnd{Pool: "pool", Attempt: id, Upstream: bad, Failed: true})
 				continue
 			}
 		}
-		s.pass(400 * time.Millisecond)
+		s.advance(400 * time.Millisecond)
 	}
-	if given == 0 {
-		t.Fatal("the engine got nothing: the test shows nothing")
+	if placed == 0 {
+		t.Fatal("no request was placed on the failing engine: the test checks nothing")
 	}
-	if given >= 72/6 || failed > 5 {
-		t.Errorf("%d of 72 drafts were given to the engine, and %d failed: an even share is 12", given, failed)
+	if placed >= 72/6 || failed > 5 {
+		t.Errorf("requests on the failing engine = %d of 72, failed %d, want fewer than an even share of 12 and at most 5 failed", placed, failed)
 	}
 	for range 30 {
-		s.pass(time.Second)
+		s.advance(time.Second)
 	}
-	before := given
+	before := placed
 	for k := range 24 {
 		id := fmt.Sprintf("w-%02d", k)
 		s.ask(id, 3000, 900)
 		if s.granted[id] == bad {
-			given++
+			placed++
 		}
-		s.pass(400 * time.Millisecond)
+		s.advance(400 * time.Millisecond)
 	}
-	if given == before {
-		t.Error("the engine gets nothing though it has been well for half a minute")
+	if placed == before {
+		t.Error("no request was placed on the engine half a minute after its last failure, want some")
 	}
 }
 
-// Three engines leave, and what ran there is cut. That says nothing about how an
-// engine of the same name fares that comes again, or about others.
-func TestALeavingEnginesCutsAreNoFailures(t *testing.T) {
+// A leaving engine cuts its running streams. These must not count as failures, as they say nothing
+// about the health of an engine that later joins under the same name.
+func TestCutsByALeavingEngineAreNotFailures(t *testing.T) {
 	s := newSim(t, 3)
 	s.fill(6, 200*time.Millisecond)
 	s.find("u01").LeavingSince = s.now
@@ -67,6 +66,6 @@
 		}
 	}
 	if rate := s.home.failureRate(s.now, "u01"); rate != 0 {
-		t.Errorf("failure rate %.2f", rate)
+		t.Errorf("failure rate = %.2f, want 0", rate)
 	}
 }
--- a/internal/core/pool/pool.go
+++ b/internal/core/pool/pool.go
@@ -1,8 +1,8 @@
-// Package pool is the home of an engine pool on a hosting platform: one instance that places
-// the pool's generations and moves them off leaving upstreams. Its state is soft: a successor
-// rebuilds it from the entries' announcements. It does no I/O.
+// Package pool implements the home of an engine pool on a hosting platform: the instance that
+// places the pool's generations and moves them off leaving upstreams. Its state is soft: the next
+// home rebuilds it from the announcements of the entries. The package does no I/O.
 //
-// pool.go places generations, upstreams.go tracks the upstreams, evacuate.go orders moves.
+// pool.go places generations, upstreams.go tracks the upstreams, and evacuate.go orders moves.
 package pool
 
 import (
@@ -18,44 +18,46 @@
 )
 
 const (
-	// grantTTL bounds the use of a grant by an entry that was frozen in the meantime.
+	// grantTTL is how long an entry may use a grant. It stops entries that were frozen in the
+	// meantime from using an outdated one.
 	grantTTL = time.Second
-	// orphanTimeout is how long a grant is kept that no entry announces.
+	// orphanTimeout is how long a grant is kept without being announced by an entry.
 	orphanTimeout = 3 * time.Second
-	// firstPromptRate is the assumed prefill throughput in tokens a second before any was
-	// measured.
-	firstPromptRate = 7200
+	// initialPrefillRate is the prefill throughput, in tokens a second, that is assumed until it
+	// has been measured.
+	initialPrefillRate = 7200
 	// failurePenalty is the cost of a failure rate of 1, in seconds in flight. Without it a
-	// failing engine, which frees its slots at once, would look idle and attract work.
+	// failing engine, which frees its slots at once, would appear idle and get more work.
 	failurePenalty = 20.0
-	// unreachableBackoff is how long an unreachable upstream gets no new work. Dead ones stay
-	// listed for three heartbeats, and throughout an outage of the store.
+	// unreachableBackoff is how long an upstream gets no new work after a failed connection.
+	// Failed upstreams stay listed for three heartbeats, and throughout an outage of the store.
 	unreachableBackoff = 1500 * time.Millisecond
-	// probeInterval is the interval at which upstreams are asked whether they are leaving.
-	// Notices can be as short as 1.5 s, and the store may be unavailable when they arrive.
+	// probeInterval is the interval at which upstreams are probed for whether they are leaving.
+	// Notices can be as short as 1.5 s, and the store may be unavailable when they are given.
 	probeInterval = time.Second
-	// storeFresh is the age of the store's last answer from which outageProbeInterval is used
-	// instead.
-	storeFresh          = 900 * time.Millisecond
+	// maxStoreAge is the age of the store's last reply above which the store is assumed to be
+	// unavailable and outageProbeInterval replaces probeInterval.
+	maxStoreAge         = 900 * time.Millisecond
 	outageProbeInterval = 300 * time.Millisecond
-	// propagationTime is how long after an upstream was listed here entries may not know it
-	// yet: relays may be in between.
+	// propagationTime is how long an upstream that was listed here may still be unknown to
+	// entries, which may receive the list through relays.
 	propagationTime = 3 * time.Second
-	// AnnounceInterval is the minimum interval of an entry's announcements, to which
-	// announcePerRun is added for each running generation, up to maxAnnounceInterval. An entry
-	// that is silent for orphanTimeout counts as dead.
+	// AnnounceInterval is the minimum interval between an entry's announcements. The interval is
+	// announcePerRun for each running generation if that is longer, up to maxAnnounceInterval.
+	// The attempts of an entry that announces nothing for orphanTimeout are dropped.
 	AnnounceInterval    = 500 * time.Millisecond
 	announcePerRun      = 8 * time.Millisecond
 	maxAnnounceInterval = orphanTimeout / 2
 )
 
-// AnnouncePause returns the interval of announcements for a number of running generations.
+// AnnouncePause returns the interval between announcements for a number of running generations.
 func AnnouncePause(running int) time.Duration {
 	return min(max(AnnounceInterval, time.Duration(running)*announcePerRun), maxAnnounceInterval)
 }
 
 // Out is an outgoing message.
 type Out struct {
+	// To is the name of the receiving instance.
 	To  string
 	Msg msg.Message
 }
@@ -65,8 +67,9 @@
 	service string
 	engine  route.Engine
 	without mechanism.Set
-	// part is set for a group of a divided service, whose upstreams entries do not know.
-	part      bool
+	// isGroup is set if the pool is a group of a divided service. Entries do not know the
+	// upstreams of groups.
+	isGroup   bool
 	placement *placement.Home
 	upstreams map[string]*roster.Upstream
 	// entries maps attempts to the instances that requested them.
@@ -74,25 +77,28 @@
 	evacuations map[string]*evacuation
 	// coldRate is the request rate that a cold upstream accepts; 0 means no limit.
 	coldRate float64
-	// full holds until when a destination is skipped that had no room for a copy.
-	full map[string]time.Time
+	// fullUntil holds, for each destination that had no room for a copy, until when it is
+	// skipped.
+	fullUntil map[string]time.Time
 	// abandoned holds copies that occupy memory until they expire.
-	abandoned []abandoned
-	// unreachable and probedAt hold when each upstream was last found unreachable and last
-	// asked.
+	abandoned []abandonedCopy
+	// unreachable holds when a connection to each upstream last failed, probedAt when each was
+	// last probed.
 	unreachable map[string]time.Time
 	// failures holds the recent outcomes of each upstream.
 	failures map[string]*health.Record
-	// own holds the upstreams that reported leaving themselves.
-	own      map[string]time.Time
-	probedAt map[string]time.Time
-	number   int64
-	probes   []Probe
-	out      []Out
-	notes    []Note
+	// ownNotices holds when each upstream reported itself that it is leaving.
+	ownNotices map[string]time.Time
+	probedAt   map[string]time.Time
+	// lastOrder is the number of the last move order.
+	lastOrder int64
+	// probes, out and notes hold the results that the caller has not yet taken.
+	probes []Probe
+	out    []Out
+	notes  []Note
 }
 
-// Probe is an upstream to ask for its state.
+// Probe is an upstream to be probed for whether it is leaving.
 type Probe struct {
 	ID      string
 	Address string
@@ -101,20 +107,21 @@
 // Note is a log event.
 type Note struct {
 	Event string
+	// Pairs alternates keys and values.
 	Pairs []any
 }
 
-// NewHome returns the home of a pool: a service or a group of its upstreams. without lists
-// disabled mechanisms, ways alternative ways of deciding.
+// NewHome returns the home of a pool. service is the name of a service or of a group of its
+// upstreams, without holds the disabled mechanisms, ways selects alternative algorithms.
 func NewHome(service string, engine route.Engine, without mechanism.Set, ways mechanism.Ways) *Home {
 	engine.Moves = engine.Moves && !without.Has(mechanism.Moves)
 	return &Home{
-		service: service, engine: engine, without: without, part: roster.ParseGroup(service).Of > 0, upstreams: map[string]*roster.Upstream{},
-		entries: map[string]string{}, evacuations: map[string]*evacuation{}, full: map[string]time.Time{},
-		unreachable: map[string]time.Time{}, own: map[string]time.Time{}, probedAt: map[string]time.Time{}, failures: map[string]*health.Record{},
+		service: service, engine: engine, without: without, isGroup: roster.ParseGroup(service).Of > 0, upstreams: map[string]*roster.Upstream{},
+		entries: map[string]string{}, evacuations: map[string]*evacuation{}, fullUntil: map[string]time.Time{},
+		unreachable: map[string]time.Time{}, ownNotices: map[string]time.Time{}, probedAt: map[string]time.Time{}, failures: map[string]*health.Record{},
 		placement: placement.NewHome(placement.Settings{
 			Weights: config.Weights{Stall: 1, Preemptions: 1, Tail: 1}, Engine: true, Service: service,
-			PromptRate: firstPromptRate, Predict: true, Without: without, Ways: ways,
+			PromptRate: initialPrefillRate, Predict: true, Without: without, Ways: ways,
 		}),
 	}
 }
@@ -126,7 +133,7 @@
 	return out
 }
 
-// Probes returns and clears the upstreams to ask for their state.
+// Probes returns and clears the upstreams to be probed.
 func (h *Home) Probes() []Probe {
 	probes := h.probes
 	h.probes = nil
@@ -146,13 +153,13 @@
 	h.notes = append(h.notes, Note{Event: event, Pairs: append(pairs, "pool", h.service)})
 }
 
-// Entry is the sender of a message.
+// Entry is the entry that sent a message.
 type Entry struct {
 	Name       string
 	DataCentre string
 }
 
-// nearTo returns the preferred data centre for an entry's generations.
+// nearTo returns the preferred data centre for an entry's generations, or "" if none is preferred.
 func (h *Home) nearTo(from Entry) string {
 	if h.without.Has(mechanism.Near) {
 		return ""
@@ -160,19 +167,20 @@
 	return from.DataCentre
 }
 
-// Ask places a generation.
+// Ask processes an entry's request to place a generation.
 func (h *Home) Ask(now time.Time, from Entry, m msg.GrantAsk) {
 	h.entries[m.Ask.Attempt] = from.Name
 	m.Ask.DataCentre = h.nearTo(from)
 	h.decide(now, h.placement.Ask(now, m.Ask))
 }
 
+// decide sends decisions to the entries that requested them.
 func (h *Home) decide(now time.Time, ds []placement.Decision) {
 	for _, d := range ds {
 		m := msg.GrantAnswer{Pool: h.service, Decision: d, TTL: grantTTL}
 		if u := h.upstreams[d.Upstream]; u != nil {
 			m.Address = u.Address
-			if h.part || now.Sub(u.Seen) < propagationTime {
+			if h.isGroup || now.Sub(u.Seen) < propagationTime {
 				m.Entry = &u.Entry
 			}
 		}
@@ -187,17 +195,17 @@
 	}
 }
 
-// End releases an attempt.
+// End processes the end of an attempt and releases its grant.
 func (h *Home) End(now time.Time, m msg.GrantEnd) {
 	delete(h.entries, m.Attempt)
-	h.ran(now, m)
+	h.recordOutcome(now, m)
 	h.decide(now, h.placement.End(now, m.Attempt, m.Tokens, !m.Failed && !m.Cut))
 	h.evacuate(now)
 }
 
-// ran records an attempt's outcome at its upstream. Streams cut by a leaving upstream say
-// nothing about its health.
-func (h *Home) ran(now time.Time, m msg.GrantEnd) {
+// recordOutcome records whether an upstream failed an attempt. Streams that a leaving upstream cut
+// do not count, as they say nothing about its health.
+func (h *Home) recordOutcome(now time.Time, m msg.GrantEnd) {
 	u := h.upstreams[m.Upstream]
 	if m.Unreachable {
 		h.Unreachable(now, m.Upstream)
@@ -217,7 +225,7 @@
 	}
 }
 
-// failureRate is the share of recent attempts that an upstream failed.
+// failureRate returns the fraction of its recent attempts that an upstream failed.
 func (h *Home) failureRate(now time.Time, id string) float64 {
 	if r := h.failures[id]; r != nil && !h.without.Has(mechanism.Failures) {
 		return r.Rate(now)
@@ -225,7 +233,7 @@
 	return 0
 }
 
-// Announce processes an entry's running generations.
+// Announce processes an entry's announcement of its running generations.
 func (h *Home) Announce(now time.Time, from Entry, m msg.Announce) {
 	for _, a := range m.Running {
 		h.entries[a.Ask.Attempt] = from.Name
@@ -234,15 +242,16 @@
 	}
 }
 
-// Begun processes the first token of an attempt: from then on it can be moved.
+// Begun processes the first token of an attempt. From then on its generation can be moved.
 func (h *Home) Begun(now time.Time, m msg.Begun) {
 	h.decide(now, h.placement.Began(now, m.Attempt))
 	h.evacuate(now)
 }
 
-// Tick grants waiting requests and drops orphaned grants.
+// Tick grants or refuses queued requests, drops orphaned grants and continues evacuations. It is
+// called periodically.
 func (h *Home) Tick(now time.Time) {
-	h.lapseCopies(now)
+	h.expireCopies(now)
 	h.decide(now, h.placement.Tick(now))
 	for _, o := range h.placement.Orphans(now, orphanTimeout) {
 		delete(h.entries, o.Attempt)
--- a/internal/core/pool/pool_test.go
+++ b/internal/core/pool/pool_test.go
@@ -16,43 +16,43 @@
 
 var start = time.Unix(1000, 0)
 
-// engine is a pool of small workers like those of the users: memory for eight
-// drafts each, and copies of 3,200 tokens take 0.18 s.
+// engine describes a pool of small engines like those of the users: each has memory for eight
+// generations, and a copy of 3,200 tokens takes 0.18 s.
 var engine = route.Engine{
 	Slots: 24, MemoryToken: 34_000, TokenBytes: 18_432, LinkMbps: 2_700,
 	Moves: true, Backups: true, CopyLife: 5 * time.Second, EventTokens: 4,
 }
 
-// entry is the entry of all requests unless a test says otherwise; where it
-// stands does not matter.
+// entry is the entry of all requests unless a test states another one. It has no data centre.
 var entry = Entry{Name: "entry"}
 
-// sim drives a home with virtual time.
+// sim simulates the upstreams and an entry of a home with virtual time.
 type sim struct {
 	t    *testing.T
 	now  time.Time
 	home *Home
+	// list holds the upstreams that are listed.
 	list []*roster.Upstream
-	// granted maps attempts to upstreams, orders holds the orders that were
-	// given and not answered.
+	// granted maps running attempts to upstreams, refused maps refused ones to their Retry-After,
+	// orders lists all move orders received.
 	granted map[string]string
 	refused map[string]time.Duration
 	orders  []msg.MoveOrder
 	asks    map[string]placement.Ask
-	// began is when an attempt's prompt has been read, told whether the home heard
-	// of that, busy until when each upstream reads prompts.
-	began map[string]time.Time
-	told  map[string]bool
-	busy  map[string]time.Time
-	// away is for how long the store has not answered.
-	away time.Duration
-	// cordons and coldRate are what the home is told of them.
+	// prefilledAt is when the prefill of an attempt ends, announcedFirst is set once the home was
+	// notified of the first token. prefillUntil is when the last prefill of each upstream ends.
+	prefilledAt    map[string]time.Time
+	announcedFirst map[string]bool
+	prefillUntil   map[string]time.Time
+	// storeAge is the age of the store's last reply.
+	storeAge time.Duration
+	// cordons and coldRate are passed to the home in each listing.
 	cordons  cordon.Set
 	coldRate float64
 }
 
 func newSim(t *testing.T, upstreams int) *sim {
-	s := &sim{t: t, now: start, home: NewHome("pool", engine, 0, 0), granted: map[string]string{}, refused: map[string]time.Duration{}, asks: map[string]placement.Ask{}, began: map[string]time.Time{}, told: map[string]bool{}, busy: map[string]time.Time{}}
+	s := &sim{t: t, now: start, home: NewHome("pool", engine, 0, 0), granted: map[string]string{}, refused: map[string]time.Duration{}, asks: map[string]placement.Ask{}, prefilledAt: map[string]time.Time{}, announcedFirst: map[string]bool{}, prefillUntil: map[string]time.Time{}}
 	for k := range upstreams {
 		s.join(fmt.Sprintf("u%02d", k))
 	}
@@ -75,19 +75,20 @@
 	return nil
 }
 
-// confirmed is the moment for which the list holds; away sets it back.
-func (s *sim) confirmed() time.Time { return s.now.Add(-s.away) }
+// confirmed returns when the last query that the store answered was sent.
+func (s *sim) confirmed() time.Time { return s.now.Add(-s.storeAge) }
 
 func (s *sim) sync() {
 	s.home.Sync(s.now, Listing{Answered: s.confirmed(), Upstreams: s.list, Cordons: s.cordons, ColdRate: s.coldRate})
 	s.drain()
 }
 
-// pass lets time pass in steps in which the home compares its ledger.
-func (s *sim) pass(d time.Duration) {
+// advance advances the time in steps. In each, entries announce progress, the home ticks and gets a
+// listing.
+func (s *sim) advance(d time.Duration) {
 	for end := s.now.Add(d); s.now.Before(end); {
 		s.now = s.now.Add(100 * time.Millisecond)
-		s.tellBegun()
+		s.sendFirstTokens()
 		s.announce()
 		s.home.Tick(s.now)
 		s.sync()
@@ -95,38 +96,39 @@
 }
 
 const (
-	// tokenTime is how long a worker takes for a token.
+	// tokenTime is the time that an upstream takes for an output token.
 	tokenTime = 8 * time.Millisecond
-	// readRate is how many prompt tokens a second it reads, one prompt after another.
-	readRate = 7200
+	// simPrefillRate is the prefill throughput of an upstream in tokens a second. It computes one
+	// prompt after another.
+	simPrefillRate = 7200
 )
 
-// read makes an upstream read an attempt's prompt.
-func (s *sim) read(attempt, upstream string) {
+// prefill schedules the prefill of an attempt's prompt on an upstream.
+func (s *sim) prefill(attempt, upstream string) {
 	begin := s.now
-	if s.busy[upstream].After(begin) {
-		begin = s.busy[upstream]
+	if s.prefillUntil[upstream].After(begin) {
+		begin = s.prefillUntil[upstream]
 	}
-	end := begin.Add(time.Duration(float64(s.asks[attempt].Prompt) / readRate * float64(time.Second)))
-	s.busy[upstream], s.began[attempt] = end, end
+	end := begin.Add(time.Duration(float64(s.asks[attempt].Prompt) / simPrefillRate * float64(time.Second)))
+	s.prefillUntil[upstream], s.prefilledAt[attempt] = end, end
 }
 
-// tellBegun tells the home of the first tokens that have come.
-func (s *sim) tellBegun() {
+// sendFirstTokens notifies the home of the first tokens that have been produced.
+func (s *sim) sendFirstTokens() {
 	for _, attempt := range slices.Sorted(maps.Keys(s.granted)) {
-		if !s.told[attempt] && !s.now.Before(s.began[attempt]) {
-			s.told[attempt] = true
+		if !s.announcedFirst[attempt] && !s.now.Before(s.prefilledAt[attempt]) {
+			s.announcedFirst[attempt] = true
 			s.home.Begun(s.now, msg.Begun{Pool: "pool", Attempt: attempt})
 		}
 	}
 	s.drain()
 }
 
-// announce tells the home what runs, as the entries do, and ends what is whole.
+// announce sends the entry's announcement of running generations and ends those that are complete.
 func (s *sim) announce() {
 	var running []msg.RunningAttempt
 	for _, attempt := range slices.Sorted(maps.Keys(s.granted)) {
-		ask, tokens := s.asks[attempt], max(int(s.now.Sub(s.began[attempt])/tokenTime), 0)
+		ask, tokens := s.asks[attempt], max(int(s.now.Sub(s.prefilledAt[attempt])/tokenTime), 0)
 		if tokens >= ask.MaxOutput {
 			s.home.End(s.now, msg.GrantEnd{Pool: "pool", Attempt: attempt, Tokens: ask.MaxOutput})
 			delete(s.granted, attempt)
@@ -137,6 +139,7 @@
 	s.home.Announce(s.now, entry, msg.Announce{Pool: "pool", Running: running})
 }
 
+// drain applies the home's outgoing messages to the simulation.
 func (s *sim) drain() {
 	for _, o := range s.home.Take() {
 		switch m := o.Msg.(type) {
@@ -144,7 +147,7 @@
 			switch m.Decision.Kind {
 			case placement.Granted:
 				s.granted[m.Decision.Attempt] = m.Decision.Upstream
-				s.read(m.Decision.Attempt, m.Decision.Upstream)
+				s.prefill(m.Decision.Attempt, m.Decision.Upstream)
 			case placement.Refused:
 				s.refused[m.Decision.Attempt] = m.Decision.RetryAfter
 			}
@@ -154,12 +157,12 @@
 	}
 }
 
-// fill asks for drafts one after the other, named d-00 and on: prompts of 3,000
-// tokens with 900 to come.
-func (s *sim) fill(drafts int, every time.Duration) {
-	for k := range drafts {
+// fill requests n generations at an interval, with the attempts d-00, d-01 and so on. Each has a
+// prompt of 3,000 tokens and 900 output tokens.
+func (s *sim) fill(n int, interval time.Duration) {
+	for k := range n {
 		s.ask(fmt.Sprintf("d-%02d", k), 3000, 900)
-		s.pass(every)
+		s.advance(interval)
 	}
 }
 
@@ -173,7 +176,8 @@
 	s.drain()
 }
 
-func (s *sim) on(id string) (n int) {
+// countOn returns the number of attempts granted on an upstream.
+func (s *sim) countOn(id string) (n int) {
 	for _, u := range s.granted {
 		if u == id {
 			n++
@@ -182,18 +186,19 @@
 	return n
 }
 
-// fullest returns the upstream that runs most.
+// fullest returns the upstream that runs the most attempts.
 func (s *sim) fullest() string {
 	best := ""
 	for _, u := range s.list {
-		if best == "" || s.on(u.ID) > s.on(best) {
+		if best == "" || s.countOn(u.ID) > s.countOn(best) {
 			best = u.ID
 		}
 	}
 	return best
 }
 
-func (s *sim) answer(o msg.MoveOrder, outcome msg.MoveOutcome) {
+// answerOrder reports the outcome of a move order to the home.
+func (s *sim) answerOrder(o msg.MoveOrder, outcome msg.MoveOutcome) {
 	s.home.Moved(s.now, msg.Moved{Pool: "pool", Attempt: o.Attempt, Number: o.Number, Outcome: outcome})
 	if outcome == msg.MoveDone {
 		s.granted[o.Attempt] = o.To
@@ -201,161 +206,157 @@
 	s.drain()
 }
 
-// Pattern: two of twelve workers are replaced every three seconds, and prompts
-// of 3,000 tokens come eleven a second. The newcomer has its whole memory free.
-// A first token is due after 1.5 s and a worker computes 7,200 prompt tokens a
-// second beside its batch, so that no more than three prompts may wait at one
-// worker. With the memory alone as the measure, the newcomer got 13 of 36.
-func TestANewcomerIsNotFloodedWithPrompts(t *testing.T) {
+// Two of twelve upstreams are replaced every three seconds, while eleven prompts of 3,000 tokens
+// arrive each second. All memory of a new upstream is free. The first token is due after 1.5 s, and
+// an upstream computes 7,200 prompt tokens a second while it decodes, so that at most three prompts
+// may wait at one. When upstreams were selected by free memory alone, a new one got 13 of 36.
+func TestANewUpstreamIsNotOverloadedWithPrompts(t *testing.T) {
 	s := newSim(t, 8)
 	for k := range 48 {
 		s.ask(fmt.Sprintf("old-%d", k), 3000, 900)
-		s.pass(100 * time.Millisecond)
+		s.advance(100 * time.Millisecond)
 	}
 	s.join("new")
 	s.sync()
 	for k := range 11 {
 		s.ask(fmt.Sprintf("a-%d", k), 3000, 900)
-		s.pass(100 * time.Millisecond)
+		s.advance(100 * time.Millisecond)
 	}
-	if n := s.on("new"); n < 2 || n > 3 {
-		t.Errorf("the newcomer got %d of 11 prompts in a second, want 2 or 3", n)
+	if n := s.countOn("new"); n < 2 || n > 3 {
+		t.Errorf("prompts on the new upstream = %d of 11 in about a second, want 2 or 3", n)
 	}
 }
 
-// Pattern: an upstream with five drafts announces that it leaves; it lives 1.5 s
-// on. Copies share its link, so one at a time is ordered, next to it where the
-// copy takes half the time, and the others to upstreams that take no other copy.
+// An upstream with about five generations is leaving and serves for another 1.5 s. Copies share its
+// link, so that moves must be ordered one at a time, if possible to an upstream in the same data
+// centre, to which a copy takes half the time. All must complete within the notice.
 func TestEvacuationIsOrderedOneAtATime(t *testing.T) {
 	s := newSim(t, 12)
 	s.fill(60, 200*time.Millisecond)
-	s.pass(time.Second)
+	s.advance(time.Second)
 	leaving := s.fullest()
-	before := s.on(leaving)
+	before := s.countOn(leaving)
 	s.find(leaving).LeavingSince = s.now
 	s.sync()
 	s.sync()
 	if before < 3 || len(s.orders) != 1 {
-		t.Fatalf("%d drafts, %d orders at once, want one", before, len(s.orders))
+		t.Fatalf("generations on the leaving upstream = %d, orders = %d, want at least 3 and exactly one order", before, len(s.orders))
 	}
 	for k := 0; k < len(s.orders) && k < 20; k++ {
 		o := s.orders[k]
 		if o.From != leaving || o.To == leaving {
-			t.Fatalf("order %+v", o)
+			t.Fatalf("move order = %+v, want from the leaving upstream to another one", o)
 		}
 		s.now = s.now.Add(150 * time.Millisecond)
-		s.answer(o, msg.MoveDone)
+		s.answerOrder(o, msg.MoveDone)
 	}
 	if took := s.now.Sub(s.find(leaving).LeavingSince); took > 1200*time.Millisecond {
-		t.Errorf("the orders took %v", took)
+		t.Errorf("duration of all moves = %v, want at most 1.2 s", took)
 	}
-	s.pass(300 * time.Millisecond) // what was about to end by itself may stay
-	if left := s.on(leaving); left != 0 {
-		t.Errorf("%d of %d drafts are left behind", left, before)
+	s.advance(300 * time.Millisecond) // generations that are about to end are not moved
+	if left := s.countOn(leaving); left != 0 {
+		t.Errorf("generations left on the leaving upstream = %d of %d, want 0", left, before)
 	}
 }
 
-// Two upstreams leave at once. Their links are their own, but a destination's
-// link is shared: both must not copy to the same one.
+// Two upstreams leave at once. Each has its own link, but copies to the same destination would
+// share that one's link: the moves must have different destinations.
 func TestTwoEvacuationsHaveTwoDestinations(t *testing.T) {
 	s := newSim(t, 6)
 	s.fill(24, 200*time.Millisecond)
 	s.find("u01").LeavingSince, s.find("u02").LeavingSince = s.now, s.now
 	s.sync()
 	if len(s.orders) != 2 || s.orders[0].To == s.orders[1].To {
-		t.Fatalf("orders %+v, want two with two destinations", s.orders)
+		t.Fatalf("orders = %+v, want two with different destinations", s.orders)
 	}
 	for _, o := range s.orders {
 		if slices.Contains([]string{"u01", "u02"}, o.To) {
-			t.Errorf("a destination that leaves itself: %+v", o)
+			t.Errorf("move order = %+v, want a destination that is not leaving", o)
 		}
 	}
 }
 
-// Two of three upstreams leave at once. The third takes one copy at a time: the last
-// piece of one run, for which its reader waits, must not queue behind another's copy.
+// Two of three upstreams leave at once. The third must get one copy at a time: the final part of a
+// copy, during which the generation's stream pauses, must not queue behind another copy.
 func TestOneDestinationTakesOneCopyAtATime(t *testing.T) {
 	s := newSim(t, 3)
 	s.fill(9, 200*time.Millisecond)
-	s.pass(time.Second)
+	s.advance(time.Second)
 	s.find("u01").LeavingSince, s.find("u02").LeavingSince = s.now, s.now
 	s.sync()
 	if len(s.orders) != 1 || s.orders[0].To != "u00" {
-		t.Fatalf("orders %+v, want one to u00", s.orders)
+		t.Fatalf("orders = %+v, want one to u00", s.orders)
 	}
-	s.answer(s.orders[0], msg.MoveDone)
+	s.answerOrder(s.orders[0], msg.MoveDone)
 	if len(s.orders) != 2 {
-		t.Errorf("%d orders once the first has arrived, want two", len(s.orders))
+		t.Errorf("orders after the first move completed = %d, want 2", len(s.orders))
 	}
 }
 
-// An upstream's entry vanishes without an announcement, as those of some workers
-// do; it serves on for a while. Its work is moved like that of any other.
-func TestAVanishedUpstreamIsEvacuated(t *testing.T) {
+// An upstream disappears from the list without a notice, as some do, but continues to serve for a
+// while. Its generations must be moved like those of a leaving upstream.
+func TestAnUnlistedUpstreamIsEvacuated(t *testing.T) {
 	s := newSim(t, 4)
 	s.fill(12, 200*time.Millisecond)
 	s.list = s.list[1:]
 	s.sync()
 	if len(s.orders) != 1 || s.orders[0].From != "u00" {
-		t.Errorf("orders %+v, want one from u00", s.orders)
+		t.Errorf("orders = %+v, want one from u00", s.orders)
 	}
 }
 
-// An entry dies with an order in hand, or its answer is lost. The home goes on
-// with the next generation; it must not wait for the dead until the upstream
-// has gone as well.
+// An entry fails while it carries out a move order, or its report of the outcome is lost. The home
+// must give up the order in time and continue with the next generation before the upstream stops.
 func TestALostOrderIsGivenUp(t *testing.T) {
 	s := newSim(t, 4)
 	s.fill(12, 200*time.Millisecond)
 	s.find("u01").LeavingSince = s.now
 	s.sync()
-	s.pass(1200 * time.Millisecond)
+	s.advance(1200 * time.Millisecond)
 	if len(s.orders) < 2 {
-		t.Errorf("%d orders, want another after the first was lost", len(s.orders))
+		t.Errorf("orders after the first was lost = %d, want at least 2", len(s.orders))
 	}
 }
 
-// A generation whose prompt is still read can't be moved: an order for it would hold
-// the turn of its source for nothing. The order is given with the word of its first
-// token.
-func TestAnUnreadPromptIsNotOrderedToMove(t *testing.T) {
+// A generation can't be moved during prefill: an order for it would only delay the other moves off
+// its upstream. The order must be sent once the first token is announced.
+func TestNoMoveIsOrderedDuringPrefill(t *testing.T) {
 	s := newSim(t, 3)
 	s.ask("d", 3000, 900)
 	s.find(s.granted["d"]).LeavingSince = s.now
 	s.sync()
-	s.pass(300 * time.Millisecond)
+	s.advance(300 * time.Millisecond)
 	if len(s.orders) != 0 {
-		t.Fatalf("ordered before the prompt was read: %+v", s.orders)
+		t.Fatalf("orders during prefill = %+v, want none", s.orders)
 	}
-	s.pass(200 * time.Millisecond)
+	s.advance(200 * time.Millisecond)
 	if len(s.orders) != 1 {
-		t.Errorf("%d orders after the first token, want one", len(s.orders))
+		t.Errorf("orders after the first token = %d, want 1", len(s.orders))
 	}
 }
 
-// A generation was preempted by its engine and is read anew, so that its entry finds
-// no run to move. It is tried again a moment later, behind the others, and not given up.
-func TestAMoveThatFoundNoRunIsTriedAgain(t *testing.T) {
+// An engine preempted a generation and computes its prompt again, so that its entry finds no
+// running generation to move. The move must be retried after a short delay and not be given up.
+func TestAMoveWithoutARunningGenerationIsRetried(t *testing.T) {
 	s := newSim(t, 3)
 	s.ask("d", 3000, 900)
-	s.pass(500 * time.Millisecond)
+	s.advance(500 * time.Millisecond)
 	s.find(s.granted["d"]).LeavingSince = s.now
 	s.sync()
 	for range 4 {
 		last := s.orders[len(s.orders)-1]
-		s.answer(last, msg.MoveNoRun)
+		s.answerOrder(last, msg.MoveNoRun)
 		n := len(s.orders)
-		s.pass(200 * time.Millisecond)
+		s.advance(200 * time.Millisecond)
 		if len(s.orders) == n {
-			t.Fatalf("given up after %d orders", n)
+			t.Fatalf("no further move order after %d, want a retry", n)
 		}
 	}
 }
 
-// The home's instance dies, and another takes over with an empty ledger. It
-// learns from the entries what runs, so that an upstream that leaves then is
-// evacuated all the same.
-func TestANewHomeLearnsWhatRuns(t *testing.T) {
+// The home's instance fails, and another takes over with an empty ledger. It must rebuild the
+// ledger from the entries' announcements, so that it can evacuate an upstream that leaves then.
+func TestANewHomeEvacuatesAnnouncedGenerations(t *testing.T) {
 	s := newSim(t, 3)
 	s.home.Announce(s.now, entry, msg.Announce{Pool: "pool", Running: []msg.RunningAttempt{{
 		Ask: placement.Ask{Attempt: "d", Org: "org", Prompt: 3000, MaxOutput: 900, Expected: 900}, Upstream: "u01", Tokens: 100,
@@ -363,13 +364,12 @@
 	s.find("u01").LeavingSince = s.now
 	s.sync()
 	if len(s.orders) != 1 || s.orders[0].Attempt != "d" {
-		t.Errorf("orders %+v, want one for d", s.orders)
+		t.Errorf("orders = %+v, want one for attempt d", s.orders)
 	}
 }
 
-// Pattern: half the pool is lost at once under full load. What runs on stays;
-// new work waits its turn or is refused at once with a time to come back: none
-// is left without an answer.
+// Half of the pool is lost at once under full load. Generations on the other half continue. Each
+// new request must be granted, or refused with a Retry-After; none may be left undecided.
 func TestHalfThePoolIsLost(t *testing.T) {
 	s := newSim(t, 8)
 	s.fill(60, 100*time.Millisecond)
@@ -377,80 +377,80 @@
 	s.sync()
 	for k := range 40 {
 		s.ask(fmt.Sprintf("n-%02d", k), 3000, 900)
-		s.pass(100 * time.Millisecond)
+		s.advance(100 * time.Millisecond)
 	}
-	s.pass(4 * time.Second)
+	s.advance(4 * time.Second)
 	for k := range 40 {
 		id := fmt.Sprintf("n-%02d", k)
 		after, refused := s.refused[id]
-		if s.began[id].IsZero() && !refused {
-			t.Errorf("%s has no answer", id)
+		if s.prefilledAt[id].IsZero() && !refused {
+			t.Errorf("%s: neither granted nor refused", id)
 		}
 		if refused && after <= 0 {
-			t.Errorf("%s was refused without a time to come back", id)
+			t.Errorf("%s: refused without a Retry-After", id)
 		}
 	}
 }
 
-// The store is away, so that no announcement of leaving arrives. The home asks
-// the upstreams themselves, and moves what runs on those that leave. It asks each once a
-// second before the store is known to be away, too: a notice of 1.5 s may begin at the
-// moment at which the store falls silent.
-func TestLeavingIsNoticedWithoutTheStore(t *testing.T) {
+// While the store is unavailable, no notices of leaving upstreams arrive through it. The home must
+// probe the upstreams and evacuate those that report that they are leaving. It must also probe
+// each once a second while the store replies, as a notice of 1.5 s may begin just when the store
+// becomes unavailable.
+func TestLeavingIsDetectedWithoutTheStore(t *testing.T) {
 	s := newSim(t, 4)
 	s.fill(8, 200*time.Millisecond)
-	s.pass(time.Second)
+	s.advance(time.Second)
 	s.home.Probes()
-	s.pass(3 * time.Second)
-	asked := map[string]int{}
+	s.advance(3 * time.Second)
+	probed := map[string]int{}
 	for _, p := range s.home.Probes() {
-		asked[p.ID]++
+		probed[p.ID]++
 	}
 	for _, u := range s.list {
-		if n := asked[u.ID]; s.home.placement.Runs(u.ID) && n != 3 {
-			t.Errorf("%s was asked %d times in three seconds while the store answers", u.ID, n)
+		if n := probed[u.ID]; s.home.placement.Runs(u.ID) && n != 3 {
+			t.Errorf("%s: %d probes in three seconds while the store replies, want 3", u.ID, n)
 		}
 	}
-	s.away = 2 * storeFresh
-	s.pass(time.Second)
+	s.storeAge = 2 * maxStoreAge
+	s.advance(time.Second)
 	if probes := len(s.home.Probes()); probes < 8 || probes > 16 {
-		t.Errorf("%d questions to 4 upstreams in a second", probes)
+		t.Errorf("probes of 4 upstreams in a second without the store = %d, want 8 to 16", probes)
 	}
 	s.home.Leaves(s.now, "u02", 1500*time.Millisecond, true)
 	s.drain()
 	if len(s.orders) != 1 || s.orders[0].From != "u02" {
-		t.Fatalf("orders %+v, want one from u02", s.orders)
+		t.Fatalf("orders = %+v, want one from u02", s.orders)
 	}
 	s.ask("new", 3000, 900)
-	s.sync() // the list still calls it ready
+	s.sync() // the listing does not show u02 as leaving
 	if s.granted["new"] == "u02" || len(s.orders) != 1 {
-		t.Error("the list's old word must not undo the upstream's own")
+		t.Error("u02 got work or was ordered again after an outdated listing, want its own notice to prevail")
 	}
 }
 
-// An upstream has died and is still listed. Each request that is placed there
-// costs a dial; after the first, others get the work.
+// An upstream has failed but is still listed. Each request that is placed there costs a failed
+// connection attempt, so that after the first one, other upstreams must get the work for a while.
 func TestAnUnreachableUpstreamGetsNoWork(t *testing.T) {
 	s := newSim(t, 2)
 	s.home.Unreachable(s.now, "u00")
 	for k := range 4 {
 		s.ask(fmt.Sprintf("d-%d", k), 3000, 900)
 	}
-	if n := s.on("u00"); n != 0 {
-		t.Errorf("%d placed on a dead upstream", n)
+	if n := s.countOn("u00"); n != 0 {
+		t.Errorf("requests on the unreachable upstream = %d, want 0", n)
 	}
-	s.pass(unreachableBackoff + 100*time.Millisecond)
+	s.advance(unreachableBackoff + 100*time.Millisecond)
 	for k := range 6 {
 		s.ask(fmt.Sprintf("e-%d", k), 3000, 900)
 	}
-	if s.on("u00") == 0 {
-		t.Error("it must be tried again after a while")
+	if s.countOn("u00") == 0 {
+		t.Error("requests on the upstream after unreachableBackoff = 0, want some")
 	}
 }
 
-// A leaving upstream ends with a copy half made. Nothing goes on from that, and nobody can
-// free it: it takes memory at its destination until it lapses. The home reckons with it;
-// otherwise new prompts would wait inside that upstream for seconds, unread.
+// A leaving upstream stops during a copy. No generation continues from the incomplete copy, and it
+// can't be freed, so that it holds memory at its destination until it expires. The home must count
+// this memory as used; otherwise new prompts would wait inside that upstream for seconds.
 func TestAbandonedCopiesTakeMemory(t *testing.T) {
 	s := newSim(t, 2)
 	for k := range 5 {
@@ -464,10 +464,10 @@
 	s.find("u00").LeavingSince = s.now
 	s.sync()
 	if len(s.orders) != 1 || s.orders[0].To != "u01" {
-		t.Fatalf("orders %+v, want one to u01", s.orders)
+		t.Fatalf("orders = %+v, want one to u01", s.orders)
 	}
 	for k := 0; k < len(s.orders); k++ {
-		s.answer(s.orders[k], msg.MoveFailed)
+		s.answerOrder(s.orders[k], msg.MoveFailed)
 	}
 	s.find("u00").Gone = true
 	s.list = s.list[1:]
@@ -475,7 +475,7 @@
 	s.sync()
 	s.ask("new", 3000, 900)
 	if s.granted["new"] != "" {
-		t.Error("a prompt is placed where a copy takes the memory")
+		t.Error("request granted while an abandoned copy holds the memory, want it queued")
 	}
 	for range 12 {
 		s.now = s.now.Add(500 * time.Millisecond)
@@ -484,50 +484,51 @@
 	}
 	s.ask("later", 3000, 900)
 	if s.granted["later"] == "" {
-		t.Error("nothing is placed there after the copy has lapsed")
+		t.Error("request not granted after the copy expired, want granted")
 	}
 }
 
-// The forecast sees room at a destination that has none: copies that nobody picked up
-// hold its memory. Asked again at once it refuses again, and after two refusals the
-// draft would be left behind with most of the notice to go. Other destinations are
-// asked at once, and the same one a moment later.
-func TestADestinationWithoutRoomIsPassedOver(t *testing.T) {
+// The forecast shows room at a destination that has none, as unused copies hold its memory. If the
+// move was retried there at once, it would be refused again, and after two refusals the generation
+// would be given up with most of the notice left. Other destinations must be tried at once, and
+// the same one after a short delay.
+func TestADestinationWithoutRoomIsSkipped(t *testing.T) {
 	s := newSim(t, 4)
 	s.ask("d", 3000, 900)
 	from := s.granted["d"]
-	s.pass(time.Second)
+	s.advance(time.Second)
 	s.find(from).LeavingSince = s.now
 	s.sync()
-	asked := map[string]bool{}
+	tried := map[string]bool{}
 	for k := 0; k < len(s.orders) && k < 10; k++ {
 		o := s.orders[k]
-		if asked[o.To] {
-			t.Fatalf("%s is asked again at once", o.To)
+		if tried[o.To] {
+			t.Fatalf("%s: second order at once after it had no room, want another destination", o.To)
 		}
-		asked[o.To] = true
-		s.answer(o, msg.MoveNoRoom)
+		tried[o.To] = true
+		s.answerOrder(o, msg.MoveNoRoom)
 	}
-	if len(asked) != 3 {
-		t.Fatalf("%d of 3 destinations were asked", len(asked))
+	if len(tried) != 3 {
+		t.Fatalf("destinations tried = %d, want 3", len(tried))
 	}
 	n := len(s.orders)
-	s.pass(fullBackoff + 200*time.Millisecond)
+	s.advance(fullBackoff + 200*time.Millisecond)
 	if len(s.orders) == n {
-		t.Error("nothing is asked again later: the draft is left behind")
+		t.Error("no further order after fullBackoff, want a retry")
 	}
 }
 
-// An entry that runs hundreds of generations tells its homes less often, or its list
-// would be most of what it sends; never so rarely that it is taken for dead.
+// An entry with hundreds of running generations must announce them less often, or announcements
+// would be most of its traffic. The interval must stay below orphanTimeout, after which homes drop
+// its grants.
 func TestManyGenerationsAreAnnouncedLessOften(t *testing.T) {
 	for running, want := range map[int]time.Duration{0: 500 * time.Millisecond, 10: 500 * time.Millisecond, 175: 1400 * time.Millisecond, 5000: 1500 * time.Millisecond} {
 		if got := AnnouncePause(running); got != want {
-			t.Errorf("%d generations: a pause of %v, want %v", running, got, want)
+			t.Errorf("interval for %d generations = %v, want %v", running, got, want)
 		}
 	}
-	const bytes = 89 // of a generation in an announcement
+	const bytes = 89 // size of one generation in an announcement
 	if rate := 175 * bytes / AnnouncePause(175).Seconds(); rate > 12_000 {
-		t.Errorf("%.0f bytes a second at 175 generations", rate)
+		t.Errorf("traffic for 175 generations = %.0f bytes a second, want at most 12000", rate)
 	}
 }
--- a/internal/core/pool/upstreams.go
+++ b/internal/core/pool/upstreams.go
@@ -11,13 +11,13 @@
 	"mulberrylug.example/mulberrylug/internal/core/roster"
 )
 
-// coldShare is the part of a cold upstream's rate that one home uses: two instances may both
-// act as home, and entries that reach neither choose on their own.
+// coldShare is the fraction of a cold upstream's request rate that one home uses. Two instances may
+// both act as home, and entries that reach neither select upstreams themselves.
 const coldShare = 0.4
 
-// Listing is what the home's instance knows of the pool.
+// Listing is the state of the pool according to the store.
 type Listing struct {
-	// Answered is when the last question was asked that the store answered.
+	// Answered is when the last query that the store answered was sent.
 	Answered  time.Time
 	Upstreams []*roster.Upstream
 	Cordons   cordon.Set
@@ -25,26 +25,26 @@
 	ColdRate float64
 }
 
-// Sync updates the pool from the list.
+// Sync updates the pool from a listing and continues evacuations.
 func (h *Home) Sync(now time.Time, l Listing) {
 	h.coldRate = l.ColdRate
 	h.decide(now, h.placement.SetCordons(now, l.Cordons))
 	seen := map[string]bool{}
 	for _, u := range l.Upstreams {
 		seen[u.ID] = true
-		if at, ok := h.own[u.ID]; ok && u.LeavingSince.IsZero() {
-			u.LeavingSince = at // its own notice precedes the list
+		if at, ok := h.ownNotices[u.ID]; ok && u.LeavingSince.IsZero() {
+			u.LeavingSince = at // the listing does not yet include the upstream's own notice
 		}
 		h.upstreams[u.ID] = u
 		h.report(now, u)
 	}
 	for _, id := range slices.Sorted(maps.Keys(h.upstreams)) {
 		if !seen[id] {
-			h.gone(now, id)
+			h.dropUnlisted(now, id)
 		}
 	}
 	interval := probeInterval
-	if now.Sub(l.Answered) > storeFresh {
+	if now.Sub(l.Answered) > maxStoreAge {
 		interval = outageProbeInterval
 	}
 	if !h.without.Has(mechanism.LeaveProbes) {
@@ -53,8 +53,8 @@
 	h.evacuate(now)
 }
 
-// probe asks upstreams with running generations whether they are leaving: during an outage of
-// the store notices do not arrive through the list.
+// probe requests probes of the upstreams that run generations and are not known to be leaving.
+// During an outage of the store the listing shows no new notices.
 func (h *Home) probe(now time.Time, interval time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(h.upstreams)) {
 		if u := h.upstreams[id]; h.placement.Runs(id) && u.LeavingSince.IsZero() && now.Sub(h.probedAt[id]) >= interval {
@@ -64,7 +64,8 @@
 	}
 }
 
-// Leaves processes an upstream's own notice that it is leaving, and when if known.
+// Leaves processes an upstream's own notice that it is leaving. in is the time until it stops,
+// if known is set.
 func (h *Home) Leaves(now time.Time, id string, in time.Duration, known bool) {
 	u := h.upstreams[id]
 	if u == nil {
@@ -72,17 +73,17 @@
 	}
 	if u.LeavingSince.IsZero() {
 		u.LeavingSince = now
-		h.own[id] = now
+		h.ownNotices[id] = now
 	}
 	h.report(now, u)
 	if e := h.evacuations[id]; e != nil && known {
-		e.ends = now.Add(in)
+		e.stopsAt = now.Add(in)
 		h.note("upstream_leaves", "upstream", id, "in", in)
 	}
 	h.evacuate(now)
 }
 
-// Unreachable records a failed connection to an upstream.
+// Unreachable records that a connection to an upstream failed.
 func (h *Home) Unreachable(now time.Time, id string) {
 	if u := h.upstreams[id]; u != nil {
 		h.unreachable[id] = now
@@ -90,8 +91,8 @@
 	}
 }
 
-// report passes an upstream's state to the placement and starts its evacuation if it is
-// leaving.
+// report passes an upstream's state to the placement and starts the evacuation of an upstream that
+// takes no more work.
 func (h *Home) report(now time.Time, u *roster.Upstream) {
 	slots := u.Slots
 	if slots == 0 {
@@ -108,8 +109,9 @@
 	}
 }
 
-// maxStarts bounds the requests sent to an upstream in a second. The bound also applies to
-// upstreams that are not known to be cold: they may have become so a moment ago.
+// maxStarts returns the maximum number of requests sent to an upstream in a second; 0 means no
+// limit. It also limits upstreams that are not known to be cold, as they may have become cold a
+// moment ago.
 func (h *Home) maxStarts(now time.Time, u *roster.Upstream) int {
 	if h.coldRate <= 0 {
 		return 0
@@ -121,9 +123,10 @@
 	return max(int(rate), 1)
 }
 
-// gone drops an upstream that is no longer listed once it is idle. It may still serve for a
-// while, so that its generations are moved as from a leaving one.
-func (h *Home) gone(now time.Time, id string) {
+// dropUnlisted drops an upstream that is no longer listed once it is idle or evacuationTimeout has
+// passed. Until then the upstream may still serve, so that its generations are moved as if it were
+// leaving.
+func (h *Home) dropUnlisted(now time.Time, id string) {
 	u := h.upstreams[id]
 	u.Gone = true
 	if u.LeavingSince.IsZero() {
@@ -143,7 +146,7 @@
 	delete(h.evacuations, id)
 	delete(h.unreachable, id)
 	delete(h.failures, id)
-	delete(h.full, id)
+	delete(h.fullUntil, id)
 	delete(h.probedAt, id)
-	delete(h.own, id)
+	delete(h.ownNotices, id)
 }
