--- a/internal/core/placement/bench_test.go
+++ b/internal/core/placement/bench_test.go
@@ -71,7 +71,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				if h.choose(start, &a) == nil {
-					b.Fatal("no upstream has room")
+					b.Fatal("choose found no upstream, want one with room")
 				}
 			}
 		})
--- a/internal/core/placement/choose.go
+++ b/internal/core/placement/choose.go
@@ -102,11 +102,11 @@
 	if h.settings.Predict {
 		p = h.predictNew(ask)
 	}
-	keep := h.movesReserve
+	keepFree := h.movesReserve
 	if p.output < longRemaining {
-		keep = 0 // ends before a leaving upstream's notice expires
+		keepFree = 0 // ends before a leaving upstream's notice expires
 	}
-	only := h.confinedTo(ask.Fingerprint)
+	confined := h.confinedTo(ask.Fingerprint)
 	at := now.UnixNano()
 	best, bestScore := -1, 0.0
 	for i := range h.summaries {
@@ -124,7 +124,7 @@
 		if best >= 0 && score <= bestScore {
 			continue
 		}
-		if u := h.upstreams[i]; u.allowed(ask, only) && h.hasRoom(u, &need, keep) {
+		if u := h.upstreams[i]; u.allowed(ask, confined) && h.hasRoom(u, &need, keepFree) {
 			best, bestScore = i, score
 		}
 	}
@@ -134,13 +134,13 @@
 	return h.upstreams[best]
 }
 
-// allowed reports whether a request may run on an upstream according to its exclusions, its data
-// centres and, if the list only is not empty, the upstreams of those grants.
-func (u *upstream) allowed(ask *Ask, only []*grant) bool {
+// allowed reports whether a request may run on an upstream. Exclusions and data centres of the
+// request may forbid it. If confined is not empty, only the upstreams of these grants are allowed.
+func (u *upstream) allowed(ask *Ask, confined []*grant) bool {
 	if slices.Contains(ask.Exclude, u.name) || !ask.mayRunIn(u.report.DataCentre) {
 		return false
 	}
-	return len(only) == 0 || slices.ContainsFunc(only, func(g *grant) bool { return g.upstream == u })
+	return len(confined) == 0 || slices.ContainsFunc(confined, func(g *grant) bool { return g.upstream == u })
 }
 
 // mayRunIn reports whether a request may run in a data centre.
--- a/internal/core/placement/ledger.go
+++ b/internal/core/placement/ledger.go
@@ -241,19 +241,19 @@
 // that are neither in the ledger nor ended recently belong to another home or started before a
 // takeover; their memory counts as used.
 func (h *Home) reconcile(now time.Time, u *upstream) {
-	known, unknown := 0, 0
+	knownTokens, unknownGens := 0, 0
 	for _, l := range u.report.Gens {
 		g := h.granted[l.Attempt]
 		switch {
 		case g != nil:
-			known += g.ask.Prompt + l.Tokens
+			knownTokens += g.ask.Prompt + l.Tokens
 		case !h.ended.has(l.Attempt):
-			unknown++
+			unknownGens++
 		}
 	}
 	u.foreignMemory = 0
-	if unknown > 0 {
-		u.foreignMemory = float64(max(u.report.Used-known, 0))
+	if unknownGens > 0 {
+		u.foreignMemory = float64(max(u.report.Used-knownTokens, 0))
 	}
 }
 
--- a/internal/core/placement/policy_test.go
+++ b/internal/core/placement/policy_test.go
@@ -149,7 +149,7 @@
 	}
 }
 
-// lowest returns the lowest value of a measure among the baselines that with selects.
+// lowest returns the lowest value of a measure among the baselines for which with returns true.
 func (m *results) lowest(load float64, with func(trial.Result) bool, of func(trial.Result) float64) float64 {
 	best := math.Inf(1)
 	for _, b := range m.baselines[load] {
@@ -265,8 +265,8 @@
 var targetBounds = ratios{stall: 0.25, preemptions: 0.2, longest: 0.1, longestMark: 1, stallMark: 0.5}
 
 // fixedSeedBounds are the bounds by load for the fixed seeds: the targets, or a regression bound
-// where a target is missed. At 0.9 of the draining load, so few generations stall under any policy
-// that a few long answers on the same engine determine the stall time. See docs/PLACEMENT.md.
+// where a target is missed. At 0.9 of the draining load there is so little stall time under any
+// policy that a few long answers on the same engine determine it. See docs/PLACEMENT.md.
 var fixedSeedBounds = map[float64]ratios{
 	0.9: {stall: 0.45, preemptions: targetBounds.preemptions, longest: targetBounds.longest, longestMark: targetBounds.longestMark, stallMark: 0.75},
 	1:   targetBounds,
--- a/internal/core/placement/predict_test.go
+++ b/internal/core/placement/predict_test.go
@@ -455,6 +455,6 @@
 	d := w.home.refuse(w.now, w.now, &ask, 0)
 	all := seconds((w.home.queue.cost + w.home.promises.cost) / w.home.drainRate(w.now))
 	if all < retryMin || d.RetryAfter < 2*all {
-		t.Errorf("Retry-After = %v, want at least twice the %v in which all work drains, and that at least retryMin", d.RetryAfter, all)
+		t.Errorf("Retry-After = %v, want at least twice the %v in which all work drains (at least retryMin)", d.RetryAfter, all)
 	}
 }
--- a/internal/core/placement/property_test.go
+++ b/internal/core/placement/property_test.go
@@ -125,9 +125,9 @@
 	if id == "" {
 		return
 	}
-	was, at := w.state[id], w.placedOn[id]
+	kind, upstream := w.state[id], w.placedOn[id]
 	ds := w.home.Ask(w.now, w.asks[id])
-	if was == Granted && !w.takesWork(at) {
+	if kind == Granted && !w.takesWork(upstream) {
 		delete(w.state, id)
 		delete(w.placedOn, id)
 		w.checkDecisions(ds)
@@ -136,8 +136,8 @@
 		}
 		return
 	}
-	if len(ds) != 1 || ds[0].Kind != was || ds[0].Upstream != at {
-		w.fail("%s: repeated request = %+v, want %s on %q as before", id, ds, was, at)
+	if len(ds) != 1 || ds[0].Kind != kind || ds[0].Upstream != upstream {
+		w.fail("%s: repeated request = %+v, want %s on %q as before", id, ds, kind, upstream)
 	}
 }
 
@@ -227,7 +227,7 @@
 // model.
 func (w *homeSim) checkLedger() {
 	total := 0
-	prints := map[uint64]map[string]bool{}
+	byFingerprint := map[uint64]map[string]bool{}
 	for _, u := range w.home.upstreams {
 		var need footprint
 		suspects := 0
@@ -238,13 +238,13 @@
 				suspects++
 			}
 			if g.index != i || g.upstream != u || w.home.granted[g.ask.Attempt] != g {
-				w.fail("%s: the ledger's indexes do not lead to its grant", g.ask.Attempt)
+				w.fail("%s: the grant's index, upstream or map entry in the ledger is wrong", g.ask.Attempt)
 			}
 			p := g.ask.Fingerprint
-			if prints[p] == nil {
-				prints[p] = map[string]bool{}
+			if byFingerprint[p] == nil {
+				byFingerprint[p] = map[string]bool{}
 			}
-			prints[p][u.name] = true
+			byFingerprint[p][u.name] = true
 		}
 		if suspects != u.suspects || suspects > 1 {
 			w.fail("%s: runs %d suspects, the ledger counts %d, want the same and at most 1", u.name, suspects, u.suspects)
@@ -255,9 +255,9 @@
 			}
 		}
 	}
-	for p, at := range prints {
-		if len(at) > maxFingerprintSpread {
-			w.fail("fingerprint %d: runs on %d upstreams, want at most maxFingerprintSpread", p, len(at))
+	for p, upstreams := range byFingerprint {
+		if len(upstreams) > maxFingerprintSpread {
+			w.fail("fingerprint %d: runs on %d upstreams, want at most maxFingerprintSpread", p, len(upstreams))
 		}
 	}
 	granted, waiting := 0, 0
