--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -7,32 +7,33 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Verdict says what a comparison shows.
+// Verdict is the result of a comparison.
 type Verdict string
 
-// Verdicts.
+// Values of Verdict.
 const (
 	Better Verdict = "better"
 	Worse  Verdict = "worse"
-	// NoDifference: zero lies within the confidence interval.
+	// NoDifference means that the confidence interval of the difference includes zero.
 	NoDifference Verdict = "no difference shown"
 )
 
-// confidence is the chance that the interval of a difference holds the true one.
+// confidence is the confidence level of the interval of a difference.
 const confidence = 0.95
 
-// Paired is a figure of one variant, compared with another's on the same seeds.
+// Paired compares a figure of one variant with that of another on the same seeds.
 type Paired struct {
+	// Mean is the mean of the second variant's figures.
 	Mean float64
-	// Diff is the mean difference, Margin half the width of its confidence
-	// interval; it is infinite for a single pair.
+	// Diff is the mean of second minus first, Margin half the width of the confidence interval
+	// of Diff. Margin is infinite for a single pair.
 	Diff    float64
 	Margin  float64
 	Verdict Verdict
 }
 
-// Compare compares two variants' figures of the same seeds. moreIsBetter says which
-// way is good.
+// Compare compares the figures of two variants, which have one figure for each seed in the
+// same order, by a paired t-test. moreIsBetter is set if a higher figure is better.
 func Compare(first, second []float64, moreIsBetter bool) Paired {
 	p := Paired{Mean: mean(second), Margin: math.Inf(1), Verdict: NoDifference}
 	diffs := make([]float64, len(first))
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,5 +1,5 @@
-// Package experiment plays placement policies side by side in virtual time, on a
-// workload that a YAML file describes, and sets their figures in a table.
+// Package experiment compares placement policies in virtual time on a workload that a YAML
+// file describes, and writes their figures as tables and plots.
 package experiment
 
 import (
@@ -17,21 +17,22 @@
 	"mulberrylug.example/mulberrylug/internal/trial"
 )
 
-// File is an experiment as it is written down.
+// File is the content of an experiment file.
 type File struct {
 	Name string `yaml:"name" validate:"required"`
-	// Variants are played side by side, each against the first.
+	// Variants run on the same workload; each is compared with the first.
 	Variants []Variant `yaml:"variants" validate:"required,min=1,dive"`
-	// Length is how long requests arrive, Rate how many a second.
+	// Length is how long requests arrive, Rate their number per second.
 	Length time.Duration `yaml:"length" validate:"gt=0"`
 	Rate   float64       `yaml:"rate" validate:"gt=0"`
-	// Entries is the number of instances that callers come to.
+	// Entries is the number of instances that callers are connected to.
 	Entries int `yaml:"entries" validate:"gt=0"`
-	// Organisations is how many organisations send requests of all kinds, some of
-	// them much; 0 makes each kind an organisation of its own.
+	// Organisations is the number of organisations that send requests of all kinds; a few of
+	// them send most. With 0 each kind of request is an organisation.
 	Organisations int `yaml:"organisations" validate:"gte=0"`
-	// MaxWait is the longest that a request may queue; MaxOutput bounds each
-	// answer in tokens; HintSigma spreads the callers' estimates.
+	// MaxWait is the longest time that a request may queue. MaxOutput limits each answer in
+	// tokens. HintSigma is the sigma of the log-normal error of the callers' estimates of
+	// their outputs; 0 means that they give none.
 	MaxWait   time.Duration `yaml:"max_wait" validate:"gt=0"`
 	MaxOutput int           `yaml:"max_output" validate:"gt=0"`
 	HintSigma float64       `yaml:"hint_sigma" validate:"gte=0"`
@@ -47,22 +48,22 @@
 	Cordoning Cordoning     `yaml:"cordoning"`
 }
 
-// Variant is a policy, with mechanisms left out if its home is the project's own.
+// Variant is a policy to compare. Without and Ways apply only to the policy homePolicy.
 type Variant struct {
-	// Name is the policy's by default.
+	// Name is the name of the policy by default.
 	Name   string `yaml:"name"`
 	Policy string `yaml:"policy" validate:"required"`
-	// Without lists the home's mechanisms to leave out. Default none.
+	// Without lists the mechanisms of the home to disable. Default none.
 	Without mechanisms `yaml:"without"`
-	// Ways lists decision=way for decisions that the home makes in another way than by
+	// Ways lists decision=way for decisions that the home makes in a way other than the
 	// default.
 	Ways ways `yaml:"ways"`
 }
 
-// mechanisms is a list of names in an experiment file.
+// mechanisms is a list of names of mechanisms in an experiment file.
 type mechanisms struct{ mechanism.Set }
 
-// UnmarshalYAML implements yaml.Unmarshaler. Unknown names are errors that tell the line.
+// UnmarshalYAML implements yaml.Unmarshaler. Errors for unknown names state the line.
 func (m *mechanisms) UnmarshalYAML(n *yaml.Node) (err error) {
 	var names []string
 	if err := n.Decode(&names); err != nil {
@@ -77,7 +78,8 @@
 // ways is a list of decision=way in an experiment file.
 type ways struct{ mechanism.Ways }
 
-// UnmarshalYAML implements yaml.Unmarshaler. Unknown ones are errors that tell the line.
+// UnmarshalYAML implements yaml.Unmarshaler. Errors for unknown entries state the
+// line.
 func (w *ways) UnmarshalYAML(n *yaml.Node) (err error) {
 	var list []string
 	if err := n.Decode(&list); err != nil {
@@ -89,42 +91,48 @@
 	return nil
 }
 
-// Engines describes the engines; times are those of an engine of speed 1.
+// Engines describes the engines. Durations are those of an engine with slowness 1.
 type Engines struct {
-	Count    int `yaml:"count" validate:"gt=0"`
+	Count int `yaml:"count" validate:"gt=0"`
+	// Capacity is the memory of an engine in tokens, Batch the maximum number of generations
+	// that run together, Chunk the maximum number of prompt tokens computed in one step.
 	Capacity int `yaml:"capacity" validate:"gt=0"`
 	Batch    int `yaml:"batch" validate:"gt=0"`
 	Chunk    int `yaml:"chunk" validate:"gt=0"`
-	// Step is the least time of a step, PerGeneration and PerPromptToken what
-	// each generation and each prompt token add to it.
+	// Step is the minimum duration of a step; each decoding generation adds PerGeneration and
+	// each prompt token PerPromptToken.
 	Step           time.Duration `yaml:"step" validate:"gt=0"`
 	PerGeneration  time.Duration `yaml:"per_generation"`
 	PerPromptToken time.Duration `yaml:"per_prompt_token"`
-	// Slowness multiplies the times of the engines in turn; none is 1.
+	// Slowness lists factors for the durations, which the engines get in rotation. An empty
+	// list means 1 for all.
 	Slowness []float64 `yaml:"slowness"`
 }
 
-// Requests describes one kind of request. Lengths are log-normal.
+// Requests describes one kind of request. Lengths, in tokens, are log-normally distributed.
 type Requests struct {
-	Name         string  `yaml:"name" validate:"required"`
+	Name string `yaml:"name" validate:"required"`
+	// Share is the kind's share of all requests, relative to the other shares.
 	Share        float64 `yaml:"share" validate:"gt=0"`
 	PromptMedian float64 `yaml:"prompt_median" validate:"gt=0"`
 	PromptSigma  float64 `yaml:"prompt_sigma"`
 	OutputMedian float64 `yaml:"output_median" validate:"gt=0"`
 	OutputSigma  float64 `yaml:"output_sigma"`
-	// PromptMost and OutputMost bound them in tokens; 0 takes 4,000 and max_output.
+	// PromptMost and OutputMost limit prompts and outputs in tokens; the defaults are 4,000
+	// and max_output.
 	PromptMost int `yaml:"prompt_most"`
 	OutputMost int `yaml:"output_most"`
-	// Worth is that of an answer of mean size, 1 by default; a late one keeps
-	// LateShare of it. The first token is due after FirstTarget, 1.8s by default.
+	// Worth is the value of an answer of mean size, 1 by default. A late answer keeps the
+	// fraction LateShare of its value. An answer is late if its first token takes longer than
+	// FirstTarget, 1.8 s by default.
 	Worth       float64       `yaml:"worth"`
 	LateShare   float64       `yaml:"late_share" validate:"gte=0,lte=1"`
 	FirstTarget time.Duration `yaml:"first_target"`
-	// Repeatable requests are sent once more if they are lost.
+	// Repeatable makes requests be sent once more if they are lost.
 	Repeatable bool `yaml:"repeatable"`
 }
 
-// Slowing makes engines slow for a while; Every 0 means that none does.
+// Slowing makes engines slow for a while, see trial.Slowing. Every 0 means never.
 type Slowing struct {
 	First  time.Duration `yaml:"first"`
 	Every  time.Duration `yaml:"every"`
@@ -133,28 +141,29 @@
 	Factor float64       `yaml:"factor"`
 }
 
-// Shutdown ends all instances at a moment, for Down; At 0 means never.
+// Shutdown ends all instances at the same time; they are back after Down. At 0 means never.
 type Shutdown struct {
 	At   time.Duration `yaml:"at"`
 	Down time.Duration `yaml:"down"`
 }
 
-// EntryLoss makes a share of the instances lose power for Down; At 0 means never.
+// EntryLoss makes a fraction of the instances lose power for Down. At 0 means never.
 type EntryLoss struct {
 	At    time.Duration `yaml:"at"`
 	Share float64       `yaml:"share" validate:"gte=0,lt=1"`
 	Down  time.Duration `yaml:"down"`
 }
 
-// Cordoning takes the first data centre out of service for a while; For 0 means never. With
-// Restart its engines start anew as it comes back, and what runs there is lost.
+// Cordoning cordons the first data centre for a while; For 0 means never. With Restart the
+// data centre's engines are replaced when the cordon is lifted, and generations that still run
+// on them are lost.
 type Cordoning struct {
 	First   time.Duration `yaml:"first"`
 	For     time.Duration `yaml:"for"`
 	Restart bool          `yaml:"restart"`
 }
 
-// Leaving makes engines leave at short notice; Every 0 means that none does.
+// Leaving makes engines leave at short notice, see trial.Leaving. Every 0 means never.
 type Leaving struct {
 	First   time.Duration `yaml:"first"`
 	Every   time.Duration `yaml:"every"`
@@ -164,8 +173,8 @@
 	NewsLag time.Duration `yaml:"news_lag"`
 }
 
-// Failing makes engines fail a part of their requests with good health; Every 0 means
-// that none does.
+// Failing makes engines fail a fraction of their requests while their health checks pass, see
+// trial.Failing. Every 0 means never.
 type Failing struct {
 	First time.Duration `yaml:"first"`
 	Every time.Duration `yaml:"every"`
@@ -175,7 +184,7 @@
 	After time.Duration `yaml:"after"`
 }
 
-// Crashes make engines end without notice; Every 0 means that none does.
+// Crashes makes engines end without notice, see trial.Crashes. Every 0 means never.
 type Crashes struct {
 	First   time.Duration `yaml:"first"`
 	Every   time.Duration `yaml:"every"`
@@ -183,7 +192,8 @@
 	Replace time.Duration `yaml:"replace"`
 }
 
-// Links carry copies of running generations between engines.
+// Links describes the network links that carry copies of running generations between engines,
+// see trial.Links.
 type Links struct {
 	TokenBytes  float64       `yaml:"token_bytes"`
 	Mbps        float64       `yaml:"mbps"`
@@ -191,7 +201,7 @@
 	DataCentres int           `yaml:"data_centres"`
 }
 
-// policies lists the policies by name, besides the home of a pool.
+// policies returns the policies that a variant can name besides homePolicy.
 func policies() []trial.Maker {
 	even := config.Weights{Stall: 1, Preemptions: 1, Tail: 1}
 	return []trial.Maker{
@@ -200,7 +210,7 @@
 	}
 }
 
-// homePolicy names the project's own home of a pool.
+// homePolicy is the name of the policy that is the project's own home of a pool.
 const homePolicy = "home"
 
 // maker returns the policy of a variant.
@@ -210,20 +220,20 @@
 		return trial.PoolHome(name, v.Without.Set, v.Ways.Ways), nil
 	}
 	if v.Without.Set != 0 || v.Ways.Ways != 0 {
-		return trial.Maker{}, fmt.Errorf("variant %q: only the policy %q can do without mechanisms or in other ways", name, homePolicy)
+		return trial.Maker{}, fmt.Errorf("variant %q: only the policy %q accepts without and ways", name, homePolicy)
 	}
-	known := homePolicy
+	names := homePolicy
 	for _, m := range policies() {
 		if m.Name == v.Policy {
 			m.Name = name
 			return m, nil
 		}
-		known += ", " + m.Name
+		names += ", " + m.Name
 	}
-	return trial.Maker{}, fmt.Errorf("policy %q is unknown; there are %s", v.Policy, known)
+	return trial.Maker{}, fmt.Errorf("policy %q is unknown; known policies are %s", v.Policy, names)
 }
 
-// Parse reads an experiment. Unknown fields are errors, which name the file.
+// Parse parses an experiment file. Unknown fields are errors. Errors state the file name.
 func Parse(name string, data []byte) (*File, error) {
 	dec := yaml.NewDecoder(bytes.NewReader(data))
 	dec.KnownFields(true)
@@ -235,7 +245,7 @@
 		return nil, fmt.Errorf("experiment %s: %w", name, err)
 	}
 	if f.Leaving.Every > 0 && (f.Links.Mbps <= 0 || f.Leaving.Count <= 0) {
-		return nil, fmt.Errorf("experiment %s: leaving needs a count, and links with mbps", name)
+		return nil, fmt.Errorf("experiment %s: leaving requires a count above 0, and links with mbps above 0", name)
 	}
 	if _, err := f.makers(); err != nil {
 		return nil, fmt.Errorf("experiment %s: %w", name, err)
@@ -243,7 +253,7 @@
 	return f, nil
 }
 
-// makers returns the variants' policies; their names must differ.
+// makers returns the policies of the variants. Two variants of the same name are an error.
 func (f *File) makers() ([]trial.Maker, error) {
 	var out []trial.Maker
 	for _, v := range f.Variants {
@@ -259,37 +269,38 @@
 	return out, nil
 }
 
-// placing lists the mechanisms of a pool's home that the emulator plays.
-var placing = []mechanism.Mechanism{
+// poolMechanisms lists the mechanisms of a pool's home that package trial simulates.
+var poolMechanisms = []mechanism.Mechanism{
 	mechanism.Moves, mechanism.MoveOrder, mechanism.MoveReserve, mechanism.CopyMemory, mechanism.Near, mechanism.Failures,
 	mechanism.WaitAtHome, mechanism.Delays, mechanism.Speeds, mechanism.Headroom, mechanism.Lengths, mechanism.Kinds,
 	mechanism.Hints, mechanism.DueOrder, mechanism.LateBehind, mechanism.Fairness, mechanism.EarlyRefusal,
 }
 
-// Ablate replaces the variants by the project's own home, and by it without each of its
-// mechanisms.
+// Ablate replaces the variants by the project's own home and, for each of its mechanisms, the
+// home without that mechanism.
 func (f *File) Ablate() {
 	f.Variants = []Variant{{Policy: homePolicy}}
-	for _, m := range placing {
+	for _, m := range poolMechanisms {
 		f.Variants = append(f.Variants, Variant{Name: "no " + m.String(), Policy: homePolicy, Without: mechanisms{mechanism.Of(m)}})
 	}
 }
 
-// placingWays lists the ways of deciding of a pool's home that the emulator plays.
-var placingWays = []mechanism.Way{
+// poolWays lists the ways of deciding of a pool's home, other than the defaults, that package
+// trial simulates.
+var poolWays = []mechanism.Way{
 	mechanism.ChoiceMemory,
 }
 
-// OtherWays replaces the variants by the project's own home, and by it in each other way of
-// its decisions.
+// OtherWays replaces the variants by the project's own home and, for each way in poolWays, the
+// home with that way.
 func (f *File) OtherWays() {
 	f.Variants = []Variant{{Policy: homePolicy}}
-	for _, w := range placingWays {
+	for _, w := range poolWays {
 		f.Variants = append(f.Variants, Variant{Name: w.String(), Policy: homePolicy, Ways: ways{mechanism.WaysOf(w)}})
 	}
 }
 
-// Workload returns what is played.
+// Workload returns the workload that the variants run.
 func (f *File) Workload() trial.Workload {
 	w := trial.Workload{
 		Name: f.Name, Entries: f.Entries, Accounts: f.Organisations, Rate: f.Rate, Length: f.Length, MaxOutput: f.MaxOutput,
@@ -321,5 +332,5 @@
 	return w
 }
 
-// reportLag is the age of the load in an engine's report, as the users state it.
+// reportLag is the age of the load in an engine's report, as stated by the users.
 const reportLag = 500 * time.Millisecond
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -10,7 +10,7 @@
 
 const example = "../../examples/experiments/leaving-workers.yaml"
 
-func load(t *testing.T) *File { return loadFile(t, example) }
+func loadExample(t *testing.T) *File { return loadFile(t, example) }
 
 func loadFile(t *testing.T, name string) *File {
 	t.Helper()
@@ -25,62 +25,62 @@
 	return f
 }
 
-// Pattern: two of twelve workers leave every 3.3 s with 1.7 s of notice, under
-// eleven requests a second. Without moves one answer in nine breaks off with its
-// worker. Moves that every entry makes at once queue behind each other on the
-// links, and streams pause for seconds. One home that orders them saves nearly
-// all, with pauses that no reader notices. Bounds leave room for the seeds.
-func TestOrderedMovesSaveWhatLeavingWorkersRun(t *testing.T) {
-	rows, err := load(t).Run(3, func(int, int) {})
+// Two of twelve engines leave every 3.3 s with 1.7 s of notice, under eleven requests per
+// second. Without moves one answer in nine breaks off. Moves that all entries make at the same
+// time queue on the links, and streams pause for seconds. One home that orders the moves must
+// save nearly all answers, with gaps that no reader notices. The limits leave room for the
+// variation between seeds.
+func TestOrderedMovesSaveGenerationsOfLeavingEngines(t *testing.T) {
+	rows, err := loadExample(t).Run(3, func(int, int) {})
 	if err != nil {
 		t.Fatal(err)
 	}
-	by := map[string]Row{}
+	byVariant := map[string]Row{}
 	for _, r := range rows {
-		by[r.Variant] = r
+		byVariant[r.Variant] = r
 		t.Logf("%-18s in time %.3f lost %.3f longest gap p99 %v", r.Variant, r.InTime, r.Lost, r.Result.LongestP99)
 	}
-	stay, atOnce, home, homeStay := by["alone_stay"], by["alone_all_at_once"], by["home"], by["home_stay"]
+	stay, atOnce, home, homeStay := byVariant["alone_stay"], byVariant["alone_all_at_once"], byVariant["home"], byVariant["home_stay"]
 	if stay.Lost < 0.08 || homeStay.Lost < 0.08 {
-		t.Errorf("without moves %.3f and %.3f break off: the workload shows nothing", stay.Lost, homeStay.Lost)
+		t.Errorf("fraction lost without moves = %.3f and %.3f, want at least 0.08: the workload does not test moves", stay.Lost, homeStay.Lost)
 	}
 	if home.Lost > 0.01 || home.InTime < 0.97 {
-		t.Errorf("home: %.3f lost, %.3f in time; want at most 0.01 and at least 0.97", home.Lost, home.InTime)
+		t.Errorf("home: fraction lost = %.3f, want at most 0.01; in time = %.3f, want at least 0.97", home.Lost, home.InTime)
 	}
 	if home.Result.LongestP99 > 100e6 {
-		t.Errorf("home: longest gap p99 %v, want at most 100 ms", home.Result.LongestP99)
+		t.Errorf("home: p99 of longest gaps = %v, want at most 100 ms", home.Result.LongestP99)
 	}
 	if atOnce.Result.LongestP99 < 5*home.Result.LongestP99 || atOnce.Lost > stay.Lost {
-		t.Errorf("all at once: longest gap p99 %v, %.3f lost", atOnce.Result.LongestP99, atOnce.Lost)
+		t.Errorf("all at once: p99 of longest gaps = %v, want at least 5 times that of home; fraction lost = %.3f, want at most that of alone_stay", atOnce.Result.LongestP99, atOnce.Lost)
 	}
-	if herd := by["herd_stay"]; herd.InTime > stay.InTime-0.1 {
-		t.Errorf("choosing by lagging reports: %.3f in time, by own counts %.3f", herd.InTime, stay.InTime)
+	if herd := byVariant["herd_stay"]; herd.InTime > stay.InTime-0.1 {
+		t.Errorf("fraction in time by delayed reports = %.3f, by own counts = %.3f; want the first lower by at least 0.1", herd.InTime, stay.InTime)
 	}
 }
 
-// Pattern: two of twelve engines at a time fail two in five requests half a second after
-// they took them, with good health; each failed request frees them, so that they look
-// idle. Who goes by what runs sends them more than their share, a sixth, and loses
-// about 0.06 of all; a home that counts what they fail loses half of that.
-func TestAHomeAvoidsEnginesThatFail(t *testing.T) {
+// Two of twelve engines at a time fail two in five requests half a second after receipt, while
+// their health checks pass. A failed request frees its engine, which then looks idle. Entries
+// that place by running requests send these engines more than their share of a sixth and lose
+// about 0.06 of all requests. The home counts failures and loses half of that.
+func TestHomeAvoidsFailingEngines(t *testing.T) {
 	rows, err := loadFile(t, "../../examples/experiments/failing-engines.yaml").Run(3, func(int, int) {})
 	if err != nil {
 		t.Fatal(err)
 	}
-	by := map[string]Row{}
+	byVariant := map[string]Row{}
 	for _, r := range rows {
-		by[r.Variant] = r
+		byVariant[r.Variant] = r
 		t.Logf("%-18s in time %.3f lost %.3f", r.Variant, r.InTime, r.Lost)
 	}
-	if alone := by["alone_stay"].Lost; alone < 0.05 || by["home"].Lost > 0.65*alone {
-		t.Errorf("entries alone lose %.3f, the home %.3f; want at least 0.05, and at most 0.65 of that", alone, by["home"].Lost)
+	if alone := byVariant["alone_stay"].Lost; alone < 0.05 || byVariant["home"].Lost > 0.65*alone {
+		t.Errorf("fraction lost by entries alone = %.3f, want at least 0.05; by the home = %.3f, want at most 0.65 of the former", alone, byVariant["home"].Lost)
 	}
 }
 
-// Pattern: an engine crashes every three seconds, without notice. What ran there is
-// lost under every policy, and none of the rest: each request has an end.
-func TestCrashesLoseWhatRan(t *testing.T) {
-	f := load(t)
+// An engine crashes every three seconds, without notice. Only the requests that run on it may
+// be lost, under either policy, and each request must have an outcome.
+func TestCrashesLoseOnlyRunningRequests(t *testing.T) {
+	f := loadExample(t)
 	f.Leaving, f.Variants = Leaving{}, []Variant{{Policy: "alone_stay"}, {Policy: "home"}}
 	f.Crashes = Crashes{First: 2 * time.Second, Every: 3 * time.Second, Count: 1, Replace: 4 * time.Second}
 	rows, err := f.Run(3, func(int, int) {})
@@ -90,12 +90,13 @@
 	for _, r := range rows {
 		t.Logf("%-18s in time %.3f lost %.3f", r.Variant, r.InTime, r.Lost)
 		if r.Lost < 0.01 || r.Lost > 0.15 || r.Result.Unanswered != 0 {
-			t.Errorf("%s: %.3f lost, %d without an end", r.Variant, r.Lost, r.Result.Unanswered)
+			t.Errorf("%s: fraction lost = %.3f, want 0.01 to 0.15; requests without an outcome = %d, want 0", r.Variant, r.Lost, r.Result.Unanswered)
 		}
 	}
 }
 
-func TestMistakesAreNamed(t *testing.T) {
+// An error about an experiment file must state the faulty field or value.
+func TestParseReportsMistakes(t *testing.T) {
 	data, err := os.ReadFile(example)
 	if err != nil {
 		t.Fatal(err)
@@ -112,13 +113,13 @@
 	} {
 		_, err := Parse("x.yaml", []byte(strings.Replace(string(data), c.old, c.new, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: %v, want %s", c.new, err, c.want)
+			t.Errorf("%s: error = %v, want it to contain %s", c.new, err, c.want)
 		}
 	}
 }
 
 func TestPlotsAndTable(t *testing.T) {
-	f := load(t)
+	f := loadExample(t)
 	f.Variants, f.Length = f.Variants[:2], f.Length/10
 	rows, err := f.Run(1, func(int, int) {})
 	if err != nil {
@@ -126,15 +127,15 @@
 	}
 	files, err := Plots(filepath.Join(t.TempDir(), "plots"), f.Name, rows)
 	if err != nil || len(files) != 5 {
-		t.Fatalf("%v, %v", files, err)
+		t.Fatalf("Plots = %v, %v; want 5 files", files, err)
 	}
 	for _, file := range files {
 		if info, err := os.Stat(file); err != nil || info.Size() < 1000 {
-			t.Errorf("%s: %v", file, err)
+			t.Errorf("%s: want a file of at least 1000 bytes, error %v", file, err)
 		}
 	}
 	var b strings.Builder
 	if err := Table(&b, rows); err != nil || strings.Count(b.String(), "\n") != 7 {
-		t.Errorf("table %q, %v", b.String(), err)
+		t.Errorf("table = %q, error %v; want 7 lines", b.String(), err)
 	}
 }
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -15,25 +15,25 @@
 	barWidth   = 70
 )
 
-// Plots writes one bar chart for each figure into a directory and returns the
-// files' names.
+// Plots writes one PNG bar chart for each figure into a directory, which it creates if needed,
+// and returns the paths of the files.
 func Plots(dir, name string, rows []Row) ([]string, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return nil, fmt.Errorf("plots: %w", err)
+		return nil, fmt.Errorf("create directory for plots: %w", err)
 	}
 	var files []string
 	for _, p := range []struct {
 		file, title string
 		value       func(Row) float64
 	}{
-		{"in-time", "answers whole and on time, %", func(r Row) float64 { return 100 * r.InTime }},
-		{"worth", "worth that callers got, %", func(r Row) float64 { return 100 * r.Earned }},
-		{"in-flight", "time in flight, weighted by worth, s", func(r Row) float64 { return r.Exposure.Mean }},
+		{"in-time", "complete answers on time, %", func(r Row) float64 { return 100 * r.InTime }},
+		{"worth", "value received by callers, %", func(r Row) float64 { return 100 * r.Earned }},
+		{"in-flight", "time in flight, weighted by value, s", func(r Row) float64 { return r.Exposure.Mean }},
 		{"lost", "answers that broke off, %", func(r Row) float64 { return 100 * r.Lost }},
-		{"longest-gap", "p99 of each answer's longest gap, ms", func(r Row) float64 { return float64(r.Result.LongestP99.Milliseconds()) }},
+		{"longest-gap", "p99 of the longest gap in each answer, ms", func(r Row) float64 { return float64(r.Result.LongestP99.Milliseconds()) }},
 	} {
 		file := filepath.Join(dir, name+"-"+p.file+".png")
-		if err := bars(file, name+": "+p.title, rows, p.value); err != nil {
+		if err := writeBarChart(file, name+": "+p.title, rows, p.value); err != nil {
 			return files, err
 		}
 		files = append(files, file)
@@ -41,7 +41,8 @@
 	return files, nil
 }
 
-func bars(file, title string, rows []Row, value func(Row) float64) error {
+// writeBarChart writes a bar chart with one bar for each row as a PNG file.
+func writeBarChart(file, title string, rows []Row, value func(Row) float64) error {
 	c := chart.BarChart{
 		Title: title, Width: plotWidth, Height: plotHeight, BarWidth: barWidth,
 		Background: chart.Style{Padding: chart.Box{Top: 40}},
@@ -54,11 +55,11 @@
 	}
 	out, err := os.Create(file)
 	if err != nil {
-		return fmt.Errorf("plot %s: %w", file, err)
+		return fmt.Errorf("create plot %s: %w", file, err)
 	}
 	defer out.Close()
 	if err := c.Render(chart.PNG, out); err != nil {
-		return fmt.Errorf("plot %s: %w", file, err)
+		return fmt.Errorf("write plot %s: %w", file, err)
 	}
 	return nil
 }
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -10,29 +10,29 @@
 	"mulberrylug.example/mulberrylug/internal/trial"
 )
 
-// Row holds the figures of one variant, each the median over the seeds unless it
-// says otherwise.
+// Row holds the figures of one variant. Figures are medians over the seeds unless stated
+// otherwise.
 type Row struct {
 	Variant string
-	// Sent is the number of requests, InTime the part of them that was
-	// answered whole and on time, Lost the part that broke off.
+	// Sent is the number of requests, InTime the fraction that was answered completely and on
+	// time, Lost the fraction that broke off.
 	Sent   int
 	InTime float64
 	Lost   float64
 	Result trial.Result
-	// Earned is the mean part of the worth that callers got, LostWorth the mean
-	// part that each fate cost.
+	// Earned is the mean fraction of the value that callers received, LostWorth the mean
+	// fraction lost by each fate.
 	Earned    float64
 	LostWorth map[trial.Fate]float64
-	// Gain and Exposure compare the worth earned and the time in flight with the
-	// first variant's, seed by seed.
+	// Gain and Exposure compare Earned and the time in flight in seconds with those of the
+	// first variant, seed by seed.
 	Gain     Paired
 	Exposure Paired
 }
 
-// Run plays the variants for seeds 1 to n, on all processors. told hears how many
-// runs of how many are done.
-func (f *File) Run(seeds int, told func(done, all int)) ([]Row, error) {
+// Run runs each variant with seeds 1 to seeds, on all processors. After each run it calls
+// progress with the numbers of completed and of all runs.
+func (f *File) Run(seeds int, progress func(done, all int)) ([]Row, error) {
 	makers, err := f.makers()
 	if err != nil {
 		return nil, err
@@ -50,22 +50,22 @@
 		mu.Lock()
 		defer mu.Unlock()
 		done++
-		told(done, all)
+		progress(done, all)
 	})
 	var rows []Row
 	for k, m := range makers {
-		rows = append(rows, row(m.Name, results[0], results[k]))
+		rows = append(rows, newRow(m.Name, results[0], results[k]))
 	}
 	return rows, nil
 }
 
-// row sums a variant's runs up and compares them with the first variant's.
-func row(name string, first, list []trial.Result) Row {
+// newRow summarises a variant's runs and compares them with those of the first variant.
+func newRow(name string, first, list []trial.Result) Row {
 	r := trial.Median(list)
 	out := Row{
-		Variant: name, Sent: sent(r), Result: r, LostWorth: map[trial.Fate]float64{},
-		InTime: share(list, func(r trial.Result) int { return r.InTime }),
-		Lost:   share(list, func(r trial.Result) int { return r.Partial }),
+		Variant: name, Sent: sentRequests(r), Result: r, LostWorth: map[trial.Fate]float64{},
+		InTime: medianShare(list, func(r trial.Result) int { return r.InTime }),
+		Lost:   medianShare(list, func(r trial.Result) int { return r.Partial }),
 	}
 	earned := func(r trial.Result) float64 { return r.Worth.Earned() }
 	exposure := func(r trial.Result) float64 { return r.Worth.Exposure().Seconds() }
@@ -78,6 +78,7 @@
 	return out
 }
 
+// values returns one figure of each result.
 func values(list []trial.Result, of func(trial.Result) float64) []float64 {
 	var out []float64
 	for _, r := range list {
@@ -86,16 +87,18 @@
 	return out
 }
 
-func sent(r trial.Result) int { return r.Done + r.Partial + r.Unanswered }
+// sentRequests returns the number of requests in a run, without those refused for good.
+func sentRequests(r trial.Result) int { return r.Done + r.Partial + r.Unanswered }
 
-// share returns the median over runs of a count's part of all requests.
-func share(results []trial.Result, count func(trial.Result) int) float64 {
-	parts := values(results, func(r trial.Result) float64 { return float64(count(r)) / float64(max(sent(r), 1)) })
+// medianShare returns the median over the runs of a count as a fraction of the requests sent.
+func medianShare(results []trial.Result, count func(trial.Result) int) float64 {
+	parts := values(results, func(r trial.Result) float64 { return float64(count(r)) / float64(max(sentRequests(r), 1)) })
 	slices.Sort(parts)
 	return parts[len(parts)/2]
 }
 
-// Table writes the rows: what callers got, then what the worth was lost by.
+// Table writes two tables with a line for each row: the figures, and the percentage of the
+// value lost by each fate.
 func Table(out io.Writer, rows []Row) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "variant\tsent\tworth %\tin flight s\tin time %\tlost %\tms a token\tmoved\tno run\tpreempted\tstall s\tfirst p50/p99 ms\tgap p99/longest p99 ms\trefused\t")
@@ -125,7 +128,7 @@
 	return nil
 }
 
-// Verdicts writes how each variant compares with the first.
+// Verdicts writes, for each variant but the first, how it compares with the first.
 func Verdicts(out io.Writer, rows []Row) error {
 	for _, r := range rows[1:] {
 		_, err := fmt.Fprintf(out, "%s against %s: worth %s (%+.2f points, 95 %% between %+.2f and %+.2f), time in flight %s (%+.2f s, %+.2f to %+.2f)\n",
--- a/internal/trial/baselines.go
+++ b/internal/trial/baselines.go
@@ -6,71 +6,79 @@
 	"mulberrylug.example/mulberrylug/internal/core/placement"
 )
 
-// view is what one entry knows of an engine.
-type view struct {
+// engineView is the state of one engine as one entry sees it.
+type engineView struct {
 	report placement.Report
-	fresh  time.Duration
-	// inFlight counts this entry's own attempts there.
+	// reportedAt is when the report was received.
+	reportedAt time.Duration
+	// inFlight counts this entry's own attempts on the engine.
 	inFlight int
-	// sent lists what it sent and the report can't show yet, since the sum of
-	// its prompt tokens.
-	sent  []sentPrompt
-	since int
+	// unreported lists the prompts that were sent to the engine and are too recent to be
+	// included in its report; unreportedTokens is the sum of their tokens.
+	unreported       []sentPrompt
+	unreportedTokens int
 }
 
+// sentPrompt is a prompt sent to an engine: the time and the length in tokens.
 type sentPrompt struct {
 	at     time.Duration
 	tokens int
 }
 
-func (v *view) add(now time.Duration, tokens int) {
-	v.sent = append(v.sent, sentPrompt{at: now, tokens: tokens})
-	v.since += tokens
+func (v *engineView) add(now time.Duration, tokens int) {
+	v.unreported = append(v.unreported, sentPrompt{at: now, tokens: tokens})
+	v.unreportedTokens += tokens
 }
 
-// update takes a report of the given age and forgets what it shows.
-func (v *view) update(now time.Duration, r placement.Report, age time.Duration) {
-	v.report, v.fresh = r, now
-	for len(v.sent) > 0 && v.sent[0].at+hop < now-age {
-		v.since -= v.sent[0].tokens
-		v.sent = v.sent[1:]
+// update stores a report whose data has the given age, and drops the unreported prompts
+// that the report already includes.
+func (v *engineView) update(now time.Duration, r placement.Report, age time.Duration) {
+	v.report, v.reportedAt = r, now
+	for len(v.unreported) > 0 && v.unreported[0].at+hop < now-age {
+		v.unreportedTokens -= v.unreported[0].tokens
+		v.unreported = v.unreported[1:]
 	}
 }
 
-func (v *view) takesWork(now time.Duration) bool {
-	return !v.report.Leaving && now-v.fresh < reportMaxAge
+// takesWork reports whether new attempts may be sent to the engine: it is not leaving, and
+// its report is recent enough.
+func (v *engineView) takesWork(now time.Duration) bool {
+	return !v.report.Leaving && now-v.reportedAt < reportMaxAge
 }
 
-// reportMaxAge is how old a report may be, as in package placement.
+// reportMaxAge is the age from which on a report is too old to place work by, as in
+// package placement.
 const reportMaxAge = 1200 * time.Millisecond
 
-// entries is a policy in which each entry alone picks an engine at once from
-// its own view.
-type entries struct {
+// entryPolicy is a policy without a home: each entry picks an engine immediately from its
+// own views.
+type entryPolicy struct {
 	run   *Run
-	views [][]view
-	pick  func(*entries, *Request, []view) int
-	turn  int
-	// where maps prompt blocks to the engine that last stored them.
-	where map[uint64]int
+	views [][]engineView
+	// pick returns the index of an engine, -1 if none takes work.
+	pick       func(*entryPolicy, *Request, []engineView) int
+	lastPicked int
+	// blockEngine maps each prompt block to the engine that last stored it.
+	blockEngine map[uint64]int
 }
 
-func alone(name string, pick func(*entries, *Request, []view) int) Maker {
+// entryMaker returns the Maker of an entryPolicy.
+func entryMaker(name string, pick func(*entryPolicy, *Request, []engineView) int) Maker {
 	return Maker{Name: name, Make: func(r *Run) Policy {
-		e := &entries{run: r, pick: pick, where: map[uint64]int{}, views: make([][]view, r.work.Entries)}
+		e := &entryPolicy{run: r, pick: pick, blockEngine: map[uint64]int{}, views: make([][]engineView, r.work.Entries)}
 		for i := range e.views {
-			e.views[i] = make([]view, len(r.engines))
+			e.views[i] = make([]engineView, len(r.engines))
 		}
 		return e
 	}}
 }
 
 // Arrive implements Policy.
-func (e *entries) Arrive(q *Request) {
+func (e *entryPolicy) Arrive(q *Request) {
 	views := e.views[q.Entry]
 	i := e.pick(e, q, views)
 	if i < 0 {
-		e.run.after(retryUnplaced, func() { e.Arrive(q) })
+		e.run.after(placementRetryInterval, func() { e.Arrive(q) })
 		return
 	}
 	views[i].inFlight++
@@ -79,26 +87,26 @@
 }
 
 // Report implements Policy.
-func (e *entries) Report(engine int, r placement.Report) {
+func (e *entryPolicy) Report(engine int, r placement.Report) {
 	for i := range e.views {
 		e.views[i][engine].update(e.run.now, r, e.run.work.ReportLag)
 	}
-	for _, ev := range e.run.engines[engine].cache.published(e.run.now) {
-		e.where[ev.block] = engine
+	for _, ev := range e.run.engines[engine].cache.takePublished(e.run.now) {
+		e.blockEngine[ev.block] = engine
 	}
 }
 
 // Ended implements Policy.
-func (e *entries) Ended(q *Request, _ string, engine, _ int, _ bool) {
+func (e *entryPolicy) Ended(q *Request, _ string, engine, _ int, _ bool) {
 	e.views[q.Entry][engine].inFlight--
 }
 
 // Tick implements Policy.
-func (e *entries) Tick() {}
+func (e *entryPolicy) Tick() {}
 
-// least returns the engine with the lowest cost among those that take work, or
-// -1. Ties go to a random one.
-func (e *entries) least(views []view, cost func(*view) float64) int {
+// lowestCost returns the engine with the lowest cost among those that take work, or -1.
+// Ties are broken at random.
+func (e *entryPolicy) lowestCost(views []engineView, cost func(*engineView) float64) int {
 	best, ties := -1, 0
 	for i := range views {
 		if !views[i].takesWork(e.run.now) {
@@ -117,21 +125,23 @@
 	return best
 }
 
-func pickRoundRobin(e *entries, _ *Request, views []view) int {
+func pickRoundRobin(e *entryPolicy, _ *Request, views []engineView) int {
 	for range views {
-		e.turn++
-		if i := e.turn % len(views); views[i].takesWork(e.run.now) {
+		e.lastPicked++
+		if i := e.lastPicked % len(views); views[i].takesWork(e.run.now) {
 			return i
 		}
 	}
 	return -1
 }
 
-func pickLeastInFlight(e *entries, _ *Request, views []view) int {
-	return e.least(views, func(v *view) float64 { return float64(v.inFlight) })
+func pickLeastInFlight(e *entryPolicy, _ *Request, views []engineView) int {
+	return e.lowestCost(views, func(v *engineView) float64 { return float64(v.inFlight) })
 }
 
-func pickTwoChoices(e *entries, _ *Request, views []view) int {
+// pickTwoChoices draws two engines at random and picks the one with fewer generations as
+// reported.
+func pickTwoChoices(e *entryPolicy, _ *Request, views []engineView) int {
 	load := func(i int) int { return views[i].report.Running + views[i].report.Waiting }
 	a, b := e.run.rng.IntN(len(views)), e.run.rng.IntN(len(views))
 	if !views[a].takesWork(e.run.now) || views[b].takesWork(e.run.now) && load(b) < load(a) {
@@ -143,32 +153,33 @@
 	return a
 }
 
-// memoryCost is the part of an engine's memory in use as reported, with what
-// waits inside it and what this entry sent since the report.
-func memoryCost(v *view) float64 {
+// memoryCost returns the fraction of an engine's memory in use: as reported, plus an
+// estimate for the generations that wait inside the engine, plus the prompts that this
+// entry sent since the report.
+func memoryCost(v *engineView) float64 {
 	waiting := float64(v.report.Waiting) * waitingMemory
-	return (float64(v.report.Used+v.since) + waiting) / float64(v.report.Capacity)
+	return (float64(v.report.Used+v.unreportedTokens) + waiting) / float64(v.report.Capacity)
 }
 
-// waitingMemory is the memory in tokens that a baseline expects of each
-// generation that waits inside an engine.
+// waitingMemory is the memory, in tokens, that a baseline assumes for each generation
+// that waits inside an engine.
 const waitingMemory = 300
 
-func pickLeastMemory(e *entries, _ *Request, views []view) int {
-	return e.least(views, memoryCost)
+func pickLeastMemory(e *entryPolicy, _ *Request, views []engineView) int {
+	return e.lowestCost(views, memoryCost)
 }
 
-// pickPrefix prefers the engine that holds the prompt's prefix unless its
-// memory is much fuller than the emptiest one's. The index is built from the
-// engines' cache events; the idea is that of the router described in the paper
-// on llm-d's cache-aware routing.
-func pickPrefix(e *entries, q *Request, views []view) int {
+// pickPrefix prefers the engine that has the prompt's prefix cached, unless its memory is
+// fuller than that of the emptiest engine by more than the tolerance. The index is built
+// from the engines' cache events, as in the router described in the paper on llm-d's
+// cache-aware routing.
+func pickPrefix(e *entryPolicy, q *Request, views []engineView) int {
 	const tolerance = 0.1
 	best := pickLeastMemory(e, q, views)
 	if best < 0 || len(q.Prefix) == 0 {
 		return best
 	}
-	i, ok := e.where[q.Prefix[len(q.Prefix)-1]]
+	i, ok := e.blockEngine[q.Prefix[len(q.Prefix)-1]]
 	if !ok || !views[i].takesWork(e.run.now) {
 		return best
 	}
@@ -178,14 +189,14 @@
 	return i
 }
 
-// Baselines are the policies that an operator would otherwise run.
+// Baselines returns the policies that an operator would otherwise run.
 func Baselines() []Maker {
 	return []Maker{
-		alone("round_robin", pickRoundRobin),
-		alone("least_in_flight", pickLeastInFlight),
-		alone("two_choices", pickTwoChoices),
-		alone("least_memory", pickLeastMemory),
-		alone("prefix", pickPrefix),
+		entryMaker("round_robin", pickRoundRobin),
+		entryMaker("least_in_flight", pickLeastInFlight),
+		entryMaker("two_choices", pickTwoChoices),
+		entryMaker("least_memory", pickLeastMemory),
+		entryMaker("prefix", pickPrefix),
 		Watermark(),
 	}
 }
--- a/internal/trial/cache.go
+++ b/internal/trial/cache.go
@@ -7,27 +7,29 @@
 )
 
 const (
-	// cacheShare is the part of an engine's memory that its prefix cache
-	// holds beside the generations, as one in cacheShare.
+	// cacheShare sizes an engine's prefix cache: 1/cacheShare of the engine's memory, in
+	// addition to the memory for generations.
 	cacheShare = 4
-	// eventsLate is how late cache events come out.
-	eventsLate = time.Second
-	// eventGap drops each such event.
-	eventGap = 17
+	// cacheEventDelay is the delay after which an engine publishes a cache event.
+	cacheEventDelay = time.Second
+	// eventDropInterval is the interval, in stored blocks, at which one block's event is
+	// lost.
+	eventDropInterval = 17
 )
 
-// cacheEvent tells that an engine stored a block.
+// cacheEvent records that an engine stored a block.
 type cacheEvent struct {
 	at    time.Duration
 	block uint64
 }
 
-// prefixCache is an engine's prompt cache with the late and gappy log of what it
-// stored.
+// prefixCache is an engine's prompt cache with a log of the stored blocks. The log is
+// delayed and incomplete.
 type prefixCache struct {
 	*prefixcache.Cache
 	events []cacheEvent
-	count  int
+	// stored counts the blocks stored since the start.
+	stored int
 }
 
 func newPrefixCache(tokens int) *prefixCache {
@@ -35,19 +37,19 @@
 }
 
 func (c *prefixCache) store(now time.Duration, blocks []uint64) {
-	stored, _ := c.Store(blocks)
-	for _, b := range stored {
-		c.count++
-		if c.count%eventGap != 0 {
+	added, _ := c.Store(blocks)
+	for _, b := range added {
+		c.stored++
+		if c.stored%eventDropInterval != 0 {
 			c.events = append(c.events, cacheEvent{at: now, block: b})
 		}
 	}
 }
 
-// published takes the events that have come out by now.
-func (c *prefixCache) published(now time.Duration) []cacheEvent {
+// takePublished removes and returns the events that are published by now.
+func (c *prefixCache) takePublished(now time.Duration) []cacheEvent {
 	n := 0
-	for n < len(c.events) && now-c.events[n].at >= eventsLate {
+	for n < len(c.events) && now-c.events[n].at >= cacheEventDelay {
 		n++
 	}
 	out := c.events[:n]
--- a/internal/trial/central.go
+++ b/internal/trial/central.go
@@ -4,51 +4,54 @@
 	"mulberrylug.example/mulberrylug/internal/core/placement"
 )
 
-// central is a policy with one queue for all engines and a ledger of what it
-// has sent. It is given a choice and an order; it knows no lengths ahead.
-type central struct {
+// centralQueue is a policy with one first-come-first-served queue for all engines and a
+// record of the attempts in flight. It does not know output lengths in advance.
+type centralQueue struct {
 	run   *Run
-	views []view
-	// sent holds, for each engine, what it sent and has not seen end.
-	sent  []map[string]*Request
-	queue []*Request
-	// fits tells whether an engine has room, cost which of those to take.
-	fits func(c *central, engine int, q *Request) bool
-	cost func(c *central, engine int) float64
+	views []engineView
+	// inFlight holds, for each engine, the attempts that were sent and have not ended, by
+	// attempt id.
+	inFlight []map[string]*Request
+	queue    []*Request
+	// fits reports whether an engine has room for a request. Among the engines with room
+	// the one with the lowest cost is chosen.
+	fits func(c *centralQueue, engine int, q *Request) bool
+	cost func(c *centralQueue, engine int) float64
 }
 
-func centralMaker(name string, fits func(*central, int, *Request) bool, cost func(*central, int) float64) Maker {
+func centralMaker(name string, fits func(*centralQueue, int, *Request) bool, cost func(*centralQueue, int) float64) Maker {
 	return Maker{Name: name, Make: func(r *Run) Policy {
-		c := &central{run: r, views: make([]view, len(r.engines)), fits: fits, cost: cost}
+		c := &centralQueue{run: r, views: make([]engineView, len(r.engines)), fits: fits, cost: cost}
 		for range r.engines {
-			c.sent = append(c.sent, map[string]*Request{})
+			c.inFlight = append(c.inFlight, map[string]*Request{})
 		}
 		return c
 	}}
 }
 
 // Arrive implements Policy.
-func (c *central) Arrive(q *Request) {
+func (c *centralQueue) Arrive(q *Request) {
 	c.queue = append(c.queue, q)
-	c.drain()
+	c.dispatchQueued()
 }
 
 // Report implements Policy.
-func (c *central) Report(engine int, r placement.Report) {
+func (c *centralQueue) Report(engine int, r placement.Report) {
 	c.views[engine].update(c.run.now, r, c.run.work.ReportLag)
-	c.drain()
+	c.dispatchQueued()
 }
 
 // Ended implements Policy.
-func (c *central) Ended(_ *Request, id string, engine, _ int, _ bool) {
-	delete(c.sent[engine], id)
-	c.drain()
+func (c *centralQueue) Ended(_ *Request, id string, engine, _ int, _ bool) {
+	delete(c.inFlight[engine], id)
+	c.dispatchQueued()
 }
 
 // Tick implements Policy.
-func (c *central) Tick() { c.drain() }
+func (c *centralQueue) Tick() { c.dispatchQueued() }
 
-func (c *central) drain() {
+// dispatchQueued sends requests from the head of the queue until one fits nowhere.
+func (c *centralQueue) dispatchQueued() {
 	for len(c.queue) > 0 {
 		i := c.choose(c.queue[0])
 		if i < 0 {
@@ -57,13 +60,14 @@
 		q := c.queue[0]
 		c.queue = c.queue[1:]
 		id := q.nextAttempt()
-		c.sent[i][id] = q
+		c.inFlight[i][id] = q
 		c.views[i].add(c.run.now, q.Prompt)
 		c.run.dispatch(q, id, i, 0)
 	}
 }
 
-func (c *central) choose(q *Request) int {
+// choose returns the engine with the lowest cost that has room for a request, or -1.
+func (c *centralQueue) choose(q *Request) int {
 	best := -1
 	for i := range c.views {
 		if !c.views[i].takesWork(c.run.now) || !c.fits(c, i, q) {
@@ -76,29 +80,31 @@
 	return best
 }
 
-// watermark is the part of memory above which the fixed watermark queues.
+// watermark is the fraction of an engine's memory above which Watermark sends it no
+// requests.
 const watermark = 0.85
 
-// Watermark queues, first come first served, while every engine's memory is
-// above a fixed mark. It has one queue and counts what it sent since the last
-// report, so that it does not herd.
+// Watermark queues requests, first come first served, while the memory of every engine is
+// above a fixed watermark. It has one queue and counts the prompts sent since the last
+// report; otherwise the requests between two reports would all go to one engine (herding).
 func Watermark() Maker {
-	fits := func(c *central, i int, q *Request) bool {
+	fits := func(c *centralQueue, i int, q *Request) bool {
 		return memoryCost(&c.views[i])+float64(q.Prompt)/float64(c.views[i].report.Capacity) <= watermark
 	}
-	return centralMaker("watermark", fits, func(c *central, i int) float64 { return memoryCost(&c.views[i]) })
+	return centralMaker("watermark", fits, func(c *centralQueue, i int) float64 { return memoryCost(&c.views[i]) })
 }
 
-// Thin is the first version of ours: first come first served, the engine with
-// the fewest grants that has room for half of each one's longest answer.
+// Thin is the first version of the project's own policy: first come first served, on the
+// engine with the fewest attempts in flight that has room for the prompt and half of the
+// maximum output of each attempt.
 func Thin() Maker {
-	fits := func(c *central, i int, q *Request) bool {
+	fits := func(c *centralQueue, i int, q *Request) bool {
 		used := q.Prompt + q.MaxOutput/2
-		for _, o := range c.sent[i] {
+		for _, o := range c.inFlight[i] {
 			used += o.Prompt + o.MaxOutput/2
 		}
 		r := c.views[i].report
-		return len(c.sent[i]) < r.MaxBatch && (len(c.sent[i]) == 0 || used <= r.Capacity)
+		return len(c.inFlight[i]) < r.MaxBatch && (len(c.inFlight[i]) == 0 || used <= r.Capacity)
 	}
-	return centralMaker("thin", fits, func(c *central, i int) float64 { return float64(len(c.sent[i])) })
+	return centralMaker("thin", fits, func(c *centralQueue, i int) float64 { return float64(len(c.inFlight[i])) })
 }
--- a/internal/trial/cold.go
+++ b/internal/trial/cold.go
@@ -14,47 +14,51 @@
 	"mulberrylug.example/mulberrylug/internal/core/route"
 )
 
-// ColdStart is a plain service some of whose upstreams come back cold under load, before
-// instances that each choose by themselves.
+// ColdStart describes a service under load, some of whose upstreams come back cold.
+// Each instance chooses an upstream by itself.
 type ColdStart struct {
 	Instances, Upstreams, DataCentres int
-	// Cold are the upstreams that come back at once; they stay cold for ColdFor and bear
-	// Rate requests a second each meanwhile.
+	// Cold is the number of upstreams that come back at the same time. They stay cold for
+	// ColdFor; until then each sustains Rate requests per second.
 	Cold    int
 	ColdFor time.Duration
 	Rate    float64
-	// PerSecond is the load on all instances together, Work the time for a request.
+	// PerSecond is the load of all instances together in requests per second, Work the
+	// time that an upstream takes for a request.
 	PerSecond float64
 	Work      time.Duration
-	// Unaware is the part of the instances that know only half of the others.
+	// Unaware is the fraction of the instances that have only about half of their peers in
+	// their view.
 	Unaware float64
 	Seed    uint64
 }
 
-// ColdResult is what came of a ColdStart.
+// ColdResult holds the figures of a ColdStart.
 type ColdResult struct {
-	// Peak is the most requests that reached a cold upstream in any second.
+	// Peak is the maximum number of requests that reached one cold upstream within any
+	// second.
 	Peak int
-	// Used is the mean number of requests a second that reached a cold upstream.
+	// Used is the mean number of requests per second that reached a cold upstream.
 	Used float64
-	// Served and Refused count the requests during the cold time.
+	// Served and Refused count the requests while the upstreams were cold.
 	Served, Refused int
-	// RetryAfter is the mean time that refused callers were told to wait.
+	// RetryAfter is the mean retry delay in the refusals.
 	RetryAfter time.Duration
 }
 
-// coldSend is a request that arrives at a cold upstream.
-type coldSend struct {
+// coldArrival is a request that arrives at a cold upstream.
+type coldArrival struct {
 	upstream string
 	at       time.Duration
 }
 
 const (
 	coldService = "service"
-	coldHop     = 60 * time.Millisecond
+	// coldMaxDelay is the maximum network delay between an instance and an upstream.
+	coldMaxDelay = 60 * time.Millisecond
 )
 
-// PlayColdStart plays a cold start in virtual time.
+// PlayColdStart simulates a cold start in virtual time.
 func PlayColdStart(c ColdStart) ColdResult {
 	rng := rand.New(rand.NewPCG(c.Seed, c.Seed))
 	begin := time.Unix(1000, 0)
@@ -65,9 +69,9 @@
 		call *forward.Call
 	}
 	var ends []end
-	var sends []coldSend
+	var sends []coldArrival
 	var out ColdResult
-	var after time.Duration
+	var retryAfter time.Duration // sum over the refused requests
 	for at := time.Duration(0); at < c.ColdFor; {
 		at += time.Duration(rng.ExpFloat64() / c.PerSecond * float64(time.Second))
 		now := begin.Add(at)
@@ -81,28 +85,28 @@
 		g := gates[rng.IntN(len(gates))]
 		call, refusal := g.Admit(now, forward.Request{ID: fmt.Sprint(at), Host: "h", Path: "/", Timeout: 3 * time.Second, Replayable: true})
 		if refusal != nil {
-			panic("refused at the door: " + string(refusal.Reason)) // the trial's own configuration
+			panic("gate refused a request before placement: " + string(refusal.Reason)) // the configuration in gates is wrong
 		}
 		s := g.Start(now, call)
 		if s.Send == nil {
 			out.Refused++
-			after += s.Refuse.RetryAfter
+			retryAfter += s.Refuse.RetryAfter
 			continue
 		}
 		out.Served++
 		ends = append(ends, end{at: at + c.Work, gate: g, call: call})
 		if u := s.Send.Upstream; !u.ColdUntil.IsZero() {
-			sends = append(sends, coldSend{upstream: u.ID, at: at + time.Duration(rng.Float64()*float64(coldHop))})
+			sends = append(sends, coldArrival{upstream: u.ID, at: at + time.Duration(rng.Float64()*float64(coldMaxDelay))})
 		}
 	}
-	out.Peak, out.Used = peak(sends), float64(len(sends))/float64(max(c.Cold, 1))/c.ColdFor.Seconds()
+	out.Peak, out.Used = maxArrivals(sends), float64(len(sends))/float64(max(c.Cold, 1))/c.ColdFor.Seconds()
 	if out.Refused > 0 {
-		out.RetryAfter = after / time.Duration(out.Refused)
+		out.RetryAfter = retryAfter / time.Duration(out.Refused)
 	}
 	return out
 }
 
-// gates returns the instances at the moment at which the upstreams come back.
+// gates returns one gate per instance, in the state at which the upstreams come back.
 func (c ColdStart) gates(now time.Time, rng *rand.Rand) []*forward.Gate {
 	table := route.NewTable(route.Config{
 		Version:  1,
@@ -139,17 +143,18 @@
 
 func (c ColdStart) dataCentre(k int) string { return fmt.Sprintf("dc-%d", k%max(c.DataCentres, 1)) }
 
-// peak is the most arrivals at one upstream in any sliding second.
-func peak(sends []coldSend) int {
-	slices.SortFunc(sends, func(a, b coldSend) int {
+// maxArrivals returns the maximum number of arrivals at one upstream in any sliding window
+// of pace.Window.
+func maxArrivals(sends []coldArrival) int {
+	slices.SortFunc(sends, func(a, b coldArrival) int {
 		return cmp.Or(cmp.Compare(a.upstream, b.upstream), cmp.Compare(a.at, b.at))
 	})
-	most, first := 0, 0
+	maximum, first := 0, 0
 	for k, s := range sends {
 		for sends[first].upstream != s.upstream || s.at-sends[first].at >= pace.Window {
 			first++
 		}
-		most = max(most, k-first+1)
+		maximum = max(maximum, k-first+1)
 	}
-	return most
+	return maximum
 }
--- a/internal/trial/cordon.go
+++ b/internal/trial/cordon.go
@@ -6,49 +6,52 @@
 	"mulberrylug.example/mulberrylug/internal/core/cordon"
 )
 
-// Cordoning takes a data centre out of service for a while.
+// Cordoning cordons a data centre once and lifts the cordon later.
 type Cordoning struct {
-	// First is when, For how long; For 0 means never.
+	// First is the time of the cordon from the start of the run, For its duration; with
+	// For 0 there is none.
 	First time.Duration
 	For   time.Duration
-	// Restart is set if its engines start anew as the cordon is lifted: what runs there
-	// is lost.
+	// Restart replaces the data centre's engines when the cordon is lifted; generations
+	// that still run on them are lost.
 	Restart bool
 }
 
-// cordoner is a policy that hears of cordons.
-type cordoner interface {
+// cordonObserver is a policy that receives the set of cordons.
+type cordonObserver interface {
 	Cordon(s cordon.Set)
 }
 
-// cordoned is the data centre that is taken out: that of the first engine.
-const cordoned = 0
+// cordonedDataCentre is the index of the data centre that is cordoned: that of the first
+// engine.
+const cordonedDataCentre = 0
 
-// cordon takes the data centre out of service, and gives it back later.
-func (r *Run) cordon() {
+// cordonDataCentre cordons the data centre and schedules the end of the cordon.
+func (r *Run) cordonDataCentre() {
 	c := r.work.Cordoning
-	p, ok := r.policy.(cordoner)
+	p, ok := r.policy.(cordonObserver)
 	if !ok {
 		return
 	}
-	p.Cordon(cordon.NewSet(1, []string{dataCentreName(cordoned)}))
+	p.Cordon(cordon.NewSet(1, []string{dataCentreName(cordonedDataCentre)}))
 	r.after(c.For, func() {
 		if c.Restart {
-			r.restart()
+			r.restartCordoned()
 		}
 		p.Cordon(cordon.NewSet(2, nil))
 	})
 }
 
-// restart ends the engines of the cordoned data centre, and others join in their place.
-func (r *Run) restart() {
+// restartCordoned kills the engines of the cordoned data centre; a new
+// engine joins for each of them.
+func (r *Run) restartCordoned() {
 	for _, e := range r.engines {
-		if e.dead || e.leaving || e.index%max(r.work.Links.DataCentres, 1) != cordoned {
+		if e.dead || e.leaving || e.index%max(r.work.Links.DataCentres, 1) != cordonedDataCentre {
 			continue
 		}
 		e.leaving = true
-		e.reclaim(LostCrash)
-		if p, ok := r.policy.(leaver); ok {
+		e.kill(LostCrash)
+		if p, ok := r.policy.(departureObserver); ok {
 			p.Leaves(e.index)
 		}
 		r.after(0, func() { r.join(e.spec) })
--- a/internal/trial/engine.go
+++ b/internal/trial/engine.go
@@ -7,52 +7,58 @@
 	"mulberrylug.example/mulberrylug/internal/core/placement"
 )
 
-// EngineSpec sizes one fake engine. Memory and prompts are in tokens.
+// EngineSpec sizes one simulated engine. Memory and prompts are in tokens.
 type EngineSpec struct {
+	// Capacity is the memory for generations.
 	Capacity int
+	// MaxBatch is the maximum number of generations in the batch.
 	MaxBatch int
-	// Chunk is the most prompt tokens computed in one step.
+	// Chunk is the maximum number of prompt tokens computed in one step.
 	Chunk int
-	// Base, PerDecode and PerPrompt make up the time of a step: a constant, a
-	// part for each generation that decodes, a part for each prompt token.
+	// The duration of a step is Base, plus PerDecode for each generation that decodes, plus
+	// PerPrompt for each prompt token.
 	Base      time.Duration
 	PerDecode time.Duration
 	PerPrompt time.Duration
 }
 
-// generation is one attempt inside a fake engine.
+// generation is one attempt on a simulated engine.
 type generation struct {
-	req     *Request
-	id      string
-	engine  int
-	arrival int
-	// priority orders the engine's queue; lower runs first.
+	req           *Request
+	id            string
+	engine        int
+	arrivalNumber int
+	// priority orders the engine's queue; lower values run first.
 	priority int
-	tokens   int
-	// prefill is how many tokens must still be computed before the next one
-	// is produced: the prompt, or all of it again after a preemption.
+	// tokens counts the tokens produced.
+	tokens int
+	// prefill is the number of tokens that are still to be computed before the next token
+	// is produced: the prompt, or the prompt and all tokens produced after a preemption.
 	prefill int
-	// last is when the latest token came out, 0 before the first.
-	last    time.Duration
-	longest time.Duration
-	// first is how long its caller waited for the first token, firstAt when it
-	// came out.
-	first   time.Duration
-	firstAt time.Duration
-	// pauses holds the latest times between tokens.
-	pauses []time.Duration
-	// abandoned is set once its instance has died: the engine goes on for nobody.
+	// lastTokenAt is when the latest token was produced, 0 before the first.
+	lastTokenAt time.Duration
+	longestGap  time.Duration
+	// firstTokenWait is how long the caller waited for the first token, firstTokenAt when
+	// that token was produced.
+	firstTokenWait time.Duration
+	firstTokenAt   time.Duration
+	// gaps holds the latest intervals between tokens, up to maxKeptGaps.
+	gaps []time.Duration
+	// abandoned is set once the generation's entry has died: the engine continues, but no
+	// caller receives the tokens.
 	abandoned bool
-	// copied is how many tokens of it lie at the engine copyAt.
-	copied int
-	copyAt int
+	// copiedTokens is how many of the generation's tokens have been copied to the engine
+	// with the index copyEngine.
+	copiedTokens int
+	copyEngine   int
 }
 
+// memory returns the memory that the generation takes, in tokens.
 func (g *generation) memory() int { return g.req.Prompt + g.tokens }
 
-// engine is a model engine in virtual time. It batches continuously, shares
-// steps between prompt chunks and decodes, caches prompt prefixes, and preempts
-// the youngest generation of the lowest priority when its memory is full.
+// engine simulates a model engine in virtual time. It uses continuous batching, mixes
+// prompt chunks and decodes in a step, caches prompt prefixes, and preempts the youngest
+// generation of the lowest priority when its memory is full.
 type engine struct {
 	run     *Run
 	index   int
@@ -60,16 +66,18 @@
 	spec    EngineSpec
 	running []*generation
 	waiting []*generation
-	used    int
+	// used is the memory in use, in tokens.
+	used int
+	// busy is set while a step runs.
 	busy    bool
 	leaving bool
-	// failing is set while the engine fails a part of its requests, slow is what
-	// its times are multiplied with, 0 for 1.
-	failing bool
-	slow    float64
-	dead    bool
-	// link is until when the engine's link is taken by copies.
-	link time.Duration
+	// failing is set while the engine fails a fraction of its requests. slowFactor
+	// multiplies the duration of its steps; 0 counts as 1.
+	failing    bool
+	slowFactor float64
+	dead       bool
+	// linkBusyUntil is when the copies on the engine's link are complete.
+	linkBusyUntil time.Duration
 
 	arrivals    int
 	preemptions int64
@@ -80,10 +88,10 @@
 	return &engine{run: r, index: index, name: name, spec: spec, cache: newPrefixCache(spec.Capacity / cacheShare)}
 }
 
-// submit takes an attempt in and starts the engine if it was idle.
+// submit queues an attempt and starts the engine if it was idle.
 func (e *engine) submit(g *generation) {
 	e.arrivals++
-	g.arrival = e.arrivals
+	g.arrivalNumber = e.arrivals
 	g.prefill = max(1, g.req.Prompt-e.cache.Hit(g.req.Prefix))
 	e.waiting = append(e.waiting, g)
 	if !e.busy {
@@ -105,16 +113,16 @@
 	start := e.run.now
 	decodes, prompt := e.compute()
 	step := e.spec.Base + time.Duration(decodes)*e.spec.PerDecode + time.Duration(prompt)*e.spec.PerPrompt
-	if e.slow > 0 {
-		step = time.Duration(float64(step) * e.slow)
+	if e.slowFactor > 0 {
+		step = time.Duration(float64(step) * e.slowFactor)
 	}
 	end := start + step
 	e.emit(start, end)
 	e.run.at(end, e.step)
 }
 
-// admit moves waiting generations into the batch: the lowest priority number
-// first, then by arrival.
+// admit moves waiting generations into the batch, in the order of before, while there is
+// room.
 func (e *engine) admit() {
 	for len(e.waiting) > 0 && len(e.running) < e.spec.MaxBatch {
 		next := 0
@@ -133,15 +141,19 @@
 	}
 }
 
+// before reports whether g comes before o in the engine's queue: by the lower priority
+// value, then by arrival.
 func (g *generation) before(o *generation) bool {
 	if g.priority != o.priority {
 		return g.priority < o.priority
 	}
-	return g.arrival < o.arrival
+	return g.arrivalNumber < o.arrivalNumber
 }
 
-// compute spends the step's prompt budget and makes room for one token of each
-// generation that decodes. It returns how much work the step holds.
+// compute distributes the step's prompt tokens over the generations in prefill and preempts
+// until there is memory for one token of each generation that decodes, or only one generation
+// is left in the batch. It returns the
+// number of decodes and prompt tokens in the step.
 func (e *engine) compute() (decodes, prompt int) {
 	budget := e.spec.Chunk
 	for _, g := range e.running {
@@ -162,8 +174,8 @@
 	return decodes, e.spec.Chunk - budget
 }
 
-// preempt puts the youngest generation of the lowest priority back into the
-// queue; all that it had computed is lost.
+// preempt returns the youngest generation of the lowest priority to the queue; its computed
+// state is lost. The result is a copy of the generation before the preemption.
 func (e *engine) preempt() *generation {
 	worst := 0
 	for i, g := range e.running {
@@ -175,32 +187,33 @@
 	e.running = append(e.running[:worst], e.running[worst+1:]...)
 	e.used -= g.memory()
 	e.preemptions++
-	was := *g
+	preempted := *g
 	g.prefill = g.memory()
 	e.waiting = append(e.waiting, g)
-	return &was
+	return &preempted
 }
 
-// emit gives each generation that is ready its token at the step's end.
+// emit produces, at the end of the step, one token for each generation that has completed
+// its prefill.
 func (e *engine) emit(start, end time.Duration) {
-	regular := int64(0)
+	stepGaps := int64(0) // gaps that are exactly as long as the step
 	keep := e.running[:0]
 	for _, g := range e.running {
 		if g.prefill > 0 {
 			keep = append(keep, g)
 			continue
 		}
-		if g.last == start {
-			regular++
-			g.longest = max(g.longest, end-start)
-			g.note(end - start)
+		if g.lastTokenAt == start {
+			stepGaps++
+			g.longestGap = max(g.longestGap, end-start)
+			g.recordGap(end - start)
 		} else {
-			if g.last == 0 {
-				e.run.began(g)
+			if g.lastTokenAt == 0 {
+				e.run.notifyFirstToken(g)
 			}
-			e.run.measure.token(g, end)
+			e.run.measure.recordToken(g, end)
 		}
-		g.last = end
+		g.lastTokenAt = end
 		g.tokens++
 		e.used++
 		if g.tokens < g.req.Output {
@@ -211,48 +224,50 @@
 	}
 	clear(e.running[len(keep):])
 	e.running = keep
-	e.run.measure.regular(end-start, regular)
+	e.run.measure.recordStepGaps(end-start, stepGaps)
 }
 
+// finish removes a complete generation and stores its prefix in the cache.
 func (e *engine) finish(g *generation, end time.Duration) {
 	e.used -= g.memory()
 	e.cache.store(e.run.now, g.req.Prefix)
 	e.run.at(end, func() { e.run.finished(g) })
 }
 
-// reclaim kills the engine: what it held is lost.
-func (e *engine) reclaim(f Fate) {
+// kill ends the engine at once; its running and waiting generations are lost with the given
+// fate.
+func (e *engine) kill(f Fate) {
 	e.dead = true
 	lost := append(e.running, e.waiting...)
 	e.running, e.waiting, e.used = nil, nil, 0
 	for _, g := range lost {
 		e.run.dropCopy(g)
-		e.run.lost(g, f)
+		e.run.endLost(g, f)
 	}
 }
 
-// pausesKept is how many of the latest pauses tell the pace.
-const pausesKept = 64
+// maxKeptGaps is the number of latest gaps from which pace is computed.
+const maxKeptGaps = 64
 
-func (g *generation) note(pause time.Duration) {
-	if len(g.pauses) == pausesKept {
-		g.pauses = g.pauses[1:]
+func (g *generation) recordGap(gap time.Duration) {
+	if len(g.gaps) == maxKeptGaps {
+		g.gaps = g.gaps[1:]
 	}
-	g.pauses = append(g.pauses, pause)
+	g.gaps = append(g.gaps, gap)
 }
 
-// pace is what an entry sees of the time between tokens while nothing disturbs: the
-// lower quartile of the latest, 0 before there are enough.
+// pace returns the undisturbed interval between tokens as the entry measures it: the lower
+// quartile of the latest gaps, 0 while there are fewer than half of maxKeptGaps.
 func (g *generation) pace() time.Duration {
-	if len(g.pauses) < pausesKept/2 {
+	if len(g.gaps) < maxKeptGaps/2 {
 		return 0
 	}
-	sorted := slices.Clone(g.pauses)
+	sorted := slices.Clone(g.gaps)
 	slices.Sort(sorted)
 	return sorted[len(sorted)/4]
 }
 
-// discard drops a generation whose connection has closed.
+// discard drops a generation whose connection is closed, running or waiting.
 func (e *engine) discard(g *generation) {
 	e.remove(g)
 	if i := slices.Index(e.waiting, g); i >= 0 {
@@ -260,7 +275,7 @@
 	}
 }
 
-// report is the engine's account of its load at this moment.
+// report returns the engine's load at this moment.
 func (e *engine) report() placement.Report {
 	r := placement.Report{
 		Upstream: e.name, Boot: e.name, Leaving: e.leaving, Capacity: e.spec.Capacity, Used: e.used,
--- a/internal/trial/evacuations.go
+++ b/internal/trial/evacuations.go
@@ -7,99 +7,102 @@
 	"mulberrylug.example/mulberrylug/internal/core/placement"
 )
 
-// Moving says what a policy without a home does with the generations of an
-// engine that leaves.
+// Moving selects how a policy without a home treats the generations of a leaving engine.
 type Moving string
 
-// Ways of moving.
+// Values of Moving.
 const (
-	// Stay: nothing; they are lost with it.
+	// Stay leaves the generations on the engine; they are lost when it ends.
 	Stay Moving = "stay"
-	// AllAtOnce: every entry copies all its own at once.
+	// AllAtOnce makes every entry copy all its generations at the same time.
 	AllAtOnce Moving = "all_at_once"
 )
 
-// aloneMover is a policy in which each entry places by its own tokens in flight,
-// or by what the engines report.
-type aloneMover struct {
+// entryMover is a policy without a home. Each entry places requests by its own tokens in
+// flight or by the engines' reports, and may move generations off a leaving engine.
+type entryMover struct {
 	run    *Run
 	moving Moving
-	// reported chooses by the engines' lagging reports instead.
-	reported bool
-	own      []map[int]int
-	reports  map[int]placement.Report
-	leaving  map[int]bool
+	// useReports places by the engines' delayed reports instead of ownTokens.
+	useReports bool
+	// ownTokens holds, for each entry, the weight of its requests in flight by engine.
+	ownTokens []map[int]int
+	reports   map[int]placement.Report
+	leaving   map[int]bool
 }
 
-// Alone places at each entry by its own tokens in flight.
+// Alone returns a policy in which each entry places by its own tokens in flight.
 func Alone(m Moving) Maker {
-	return Maker{Name: "alone_" + string(m), Make: func(r *Run) Policy { return newAlone(r, m, false) }}
+	return Maker{Name: "alone_" + string(m), Make: func(r *Run) Policy { return newEntryMover(r, m, false) }}
 }
 
-// Herd places at each entry by the load that the engines report.
+// Herd returns a policy in which each entry places by the load that the engines report. The
+// entries then tend to choose the same engine (herding).
 func Herd(m Moving) Maker {
-	return Maker{Name: "herd_" + string(m), Make: func(r *Run) Policy { return newAlone(r, m, true) }}
+	return Maker{Name: "herd_" + string(m), Make: func(r *Run) Policy { return newEntryMover(r, m, true) }}
 }
 
-func newAlone(r *Run, m Moving, reported bool) *aloneMover {
-	a := &aloneMover{run: r, moving: m, reported: reported, reports: map[int]placement.Report{}, leaving: map[int]bool{}}
+func newEntryMover(r *Run, m Moving, reported bool) *entryMover {
+	a := &entryMover{run: r, moving: m, useReports: reported, reports: map[int]placement.Report{}, leaving: map[int]bool{}}
 	for range r.work.Entries {
-		a.own = append(a.own, map[int]int{})
+		a.ownTokens = append(a.ownTokens, map[int]int{})
 	}
 	return a
 }
 
 // Arrive implements Policy.
-func (a *aloneMover) Arrive(q *Request) {
+func (a *entryMover) Arrive(q *Request) {
 	i := a.choose(q.Entry, -1)
 	if i < 0 {
-		a.run.after(retryUnplaced, func() { a.Arrive(q) })
+		a.run.after(placementRetryInterval, func() { a.Arrive(q) })
 		return
 	}
-	a.own[q.Entry][i] += weight(q)
+	a.ownTokens[q.Entry][i] += weight(q)
 	a.run.dispatch(q, q.nextAttempt(), i, 0)
 }
 
-// weight is what a request counts for, in prompt tokens.
+// weight returns the cost that a request adds to an engine, in prompt tokens.
 func weight(q *Request) int { return q.Prompt + 3*q.Expected }
 
-func (a *aloneMover) choose(entry, except int) int {
-	var living []int
+// choose returns the live engine with the lowest cost for an entry, or -1. The engine except
+// is left out.
+func (a *entryMover) choose(entry, except int) int {
+	var live []int
 	for i, e := range a.run.engines {
 		if !a.leaving[i] && !e.dead && i != except {
-			living = append(living, i)
+			live = append(live, i)
 		}
 	}
-	a.run.rng.Shuffle(len(living), func(x, y int) { living[x], living[y] = living[y], living[x] })
-	best, least := -1, 0
-	for _, i := range living {
-		cost := a.own[entry][i]
-		if a.reported {
+	a.run.rng.Shuffle(len(live), func(x, y int) { live[x], live[y] = live[y], live[x] })
+	best, lowest := -1, 0
+	for _, i := range live {
+		cost := a.ownTokens[entry][i]
+		if a.useReports {
 			cost = a.reports[i].Used + 4000*a.reports[i].Waiting
 		}
-		if best < 0 || cost < least {
-			best, least = i, cost
+		if best < 0 || cost < lowest {
+			best, lowest = i, cost
 		}
 	}
 	return best
 }
 
 // Report implements Policy.
-func (a *aloneMover) Report(engine int, r placement.Report) { a.reports[engine] = r }
+func (a *entryMover) Report(engine int, r placement.Report) { a.reports[engine] = r }
 
 // Ended implements Policy.
-func (a *aloneMover) Ended(q *Request, _ string, engine, _ int, _ bool) {
-	a.own[q.Entry][engine] -= weight(q)
+func (a *entryMover) Ended(q *Request, _ string, engine, _ int, _ bool) {
+	a.ownTokens[q.Entry][engine] -= weight(q)
 }
 
 // Tick implements Policy.
-func (a *aloneMover) Tick() {}
+func (a *entryMover) Tick() {}
 
-// Joined implements leaver.
-func (a *aloneMover) Joined(int) {}
+// Joined implements departureObserver.
+func (a *entryMover) Joined(int) {}
 
-// Leaves implements leaver.
-func (a *aloneMover) Leaves(engine int) {
+// Leaves implements departureObserver.
+func (a *entryMover) Leaves(engine int) {
 	a.leaving[engine] = true
 	if a.moving != AllAtOnce {
 		return
@@ -113,12 +116,12 @@
 		if to < 0 {
 			continue
 		}
-		a.run.copyRun(g, to, func(ok bool) {
+		a.run.copyGeneration(g, to, func(ok bool) {
 			if ok {
 				a.run.finishMove(g, func(ok bool) {
 					if ok {
-						a.own[g.req.Entry][engine] -= weight(g.req)
-						a.own[g.req.Entry][to] += weight(g.req)
+						a.ownTokens[g.req.Entry][engine] -= weight(g.req)
+						a.ownTokens[g.req.Entry][to] += weight(g.req)
 					}
 				})
 			}
--- a/internal/trial/faults.go
+++ b/internal/trial/faults.go
@@ -2,36 +2,36 @@
 
 import "time"
 
-// Failing makes engines fail a part of what they are given, with good health.
+// Failing makes engines fail a fraction of their requests while their health checks pass.
 type Failing struct {
-	// First is when the first ones begin, Every how often others do; Every 0
-	// means that none fails. For is how long each goes on.
+	// First is when the first engines begin to fail, Every the interval at which others
+	// begin; with Every 0 none fails. For is how long each engine keeps failing.
 	First time.Duration
 	Every time.Duration
 	For   time.Duration
-	// Count is how many fail together, Share the part of the requests that they
-	// fail, After how long they take to do so.
+	// Count is how many engines fail at the same time, Share the fraction of their requests
+	// that fail, After the delay from receipt of a request to its failure.
 	Count int
 	Share float64
 	After time.Duration
 }
 
-// Crashes make engines end without notice, and others join.
+// Crashes makes engines end without notice, and other engines join.
 type Crashes struct {
-	// First is when the first ones crash, Every how often others do; Every 0
-	// means that none does. Count is how many crash together.
+	// First is when the first engines crash, Every the interval at which others do; with
+	// Every 0 none crashes. Count is how many crash at the same time.
 	First time.Duration
 	Every time.Duration
 	Count int
-	// Replace is how long after the crash another engine joins.
+	// Replace is the delay from the crash until another engine joins.
 	Replace time.Duration
 }
 
-// turnFailing makes some engines fail for a while.
-func (r *Run) turnFailing() {
+// startFailing makes Failing.Count engines fail for a while and schedules the next ones.
+func (r *Run) startFailing() {
 	f := r.work.Failing
 	for range f.Count {
-		e := r.anyLiving()
+		e := r.randomLiveEngine()
 		if e == nil {
 			break
 		}
@@ -39,13 +39,13 @@
 		r.after(f.For, func() { e.failing = false })
 	}
 	if r.now+f.Every < r.work.Length {
-		r.after(f.Every, r.turnFailing)
+		r.after(f.Every, r.startFailing)
 	}
 }
 
-// fails reports whether a request fails at an engine, and ends it then. A draft may
-// not be run again, so that it is lost.
-func (r *Run) fails(g *generation) bool {
+// failIfChosen reports whether a generation fails on its engine, and if so schedules its
+// failure. A failed generation is not run again: the request is lost.
+func (r *Run) failIfChosen(g *generation) bool {
 	f := r.work.Failing
 	if !r.engines[g.engine].failing || r.rng.Float64() >= f.Share {
 		return false
@@ -62,22 +62,23 @@
 	return true
 }
 
-// crash ends some engines without notice; policies hear of it at once.
-func (r *Run) crash() {
+// crashEngines kills Crashes.Count engines without notice, notifies the policy immediately
+// and schedules the next crash.
+func (r *Run) crashEngines() {
 	c := r.work.Crashes
 	for range c.Count {
-		e := r.anyLiving()
+		e := r.randomLiveEngine()
 		if e == nil {
 			break
 		}
 		e.leaving = true
-		e.reclaim(LostCrash)
-		if p, ok := r.policy.(leaver); ok {
+		e.kill(LostCrash)
+		if p, ok := r.policy.(departureObserver); ok {
 			p.Leaves(e.index)
 		}
 		r.after(c.Replace, func() { r.join(e.spec) })
 	}
 	if r.now+c.Every < r.work.Length {
-		r.after(c.Every, r.crash)
+		r.after(c.Every, r.crashEngines)
 	}
 }
--- a/internal/trial/homes.go
+++ b/internal/trial/homes.go
@@ -9,32 +9,34 @@
 	"mulberrylug.example/mulberrylug/internal/core/placement"
 )
 
-// announceEvery is how often entries tell the home how far their attempts are.
-const announceEvery = time.Second
+// announceInterval is the interval at which entries announce their attempts' token counts
+// to the home.
+const announceInterval = time.Second
 
-// homes runs the real placement.Home as the one home of all engines, with the
-// messages' delay between it and the entries.
-type homes struct {
-	run       *Run
-	home      *placement.Home
-	waiting   map[string]*Request
-	announced time.Duration
+// soleHome runs the production placement.Home as the only home of all engines, with a
+// message delay between home and entries.
+type soleHome struct {
+	run  *Run
+	home *placement.Home
+	// waiting holds the requests without a decision, by attempt id.
+	waiting       map[string]*Request
+	lastAnnounced time.Duration
 }
 
-// Homes is the project's own policy under a deployment's weights.
+// Homes returns the project's own placement policy with a deployment's weights.
 func Homes(name string, weights config.Weights) Maker {
 	return Maker{Name: name, Make: func(r *Run) Policy {
-		return newHomes(r, placement.Settings{Weights: weights, Engine: true})
+		return newSoleHome(r, placement.Settings{Weights: weights, Engine: true})
 	}}
 }
 
-func newHomes(r *Run, s placement.Settings) *homes {
-	return &homes{run: r, waiting: map[string]*Request{}, home: placement.NewHome(s)}
+func newSoleHome(r *Run, s placement.Settings) *soleHome {
+	return &soleHome{run: r, waiting: map[string]*Request{}, home: placement.NewHome(s)}
 }
 
-func (h *homes) now() time.Time { return time.Unix(0, int64(h.run.now)) }
+func (h *soleHome) now() time.Time { return time.Unix(0, int64(h.run.now)) }
 
-func (h *homes) ask(q *Request, id string) placement.Ask {
+func (h *soleHome) ask(q *Request, id string) placement.Ask {
 	return placement.Ask{
 		Attempt: id, Org: q.Org, Fingerprint: q.Fingerprint, Prompt: q.Prompt, MaxOutput: q.MaxOutput,
 		Prefix: q.Prefix, MaxWait: h.run.work.MaxWait,
@@ -42,55 +44,56 @@
 }
 
 // Arrive implements Policy.
-func (h *homes) Arrive(q *Request) {
+func (h *soleHome) Arrive(q *Request) {
 	id := q.nextAttempt()
 	h.waiting[id] = q
-	h.run.after(hop, func() { h.act(h.home.Ask(h.now(), h.ask(q, id))) })
+	h.run.after(hop, func() { h.apply(h.home.Ask(h.now(), h.ask(q, id))) })
 }
 
 // Report implements Policy.
-func (h *homes) Report(_ int, r placement.Report) { h.act(h.home.Report(h.now(), h.now(), r)) }
+func (h *soleHome) Report(_ int, r placement.Report) { h.apply(h.home.Report(h.now(), h.now(), r)) }
 
 // Ended implements Policy.
-func (h *homes) Ended(_ *Request, id string, _, tokens int, whole bool) {
-	h.run.after(hop, func() { h.act(h.home.End(h.now(), id, tokens, whole)) })
+func (h *soleHome) Ended(_ *Request, id string, _, tokens int, complete bool) {
+	h.run.after(hop, func() { h.apply(h.home.End(h.now(), id, tokens, complete)) })
 }
 
 // Tick implements Policy.
-func (h *homes) Tick() {
-	h.act(h.home.Tick(h.now()))
-	h.announce(announceEvery, func(*Request) bool { return true })
+func (h *soleHome) Tick() {
+	h.apply(h.home.Tick(h.now()))
+	h.announce(announceInterval, func(*Request) bool { return true })
 }
 
-// announce tells the home how far the running attempts of some requests are.
-func (h *homes) announce(every time.Duration, which func(*Request) bool) {
-	if h.run.now-h.announced < every {
+// announce sends the home the token counts of the running attempts for which include is
+// true, unless the last announcement is more recent than interval.
+func (h *soleHome) announce(interval time.Duration, include func(*Request) bool) {
+	if h.run.now-h.lastAnnounced < interval {
 		return
 	}
-	if every > 0 {
-		h.announced = h.run.now
+	if interval > 0 {
+		h.lastAnnounced = h.run.now
 	}
 	for _, id := range slices.Sorted(maps.Keys(h.run.live)) {
 		g := h.run.live[id]
-		if which(g.req) && !h.run.engines[g.engine].dead {
+		if include(g.req) && !h.run.engines[g.engine].dead {
 			h.home.Running(h.now(), h.ask(g.req, id), h.run.engines[g.engine].name, placement.Sighting{Tokens: g.tokens})
 		}
 	}
 }
 
-// act carries decisions to the entries.
-func (h *homes) act(ds []placement.Decision) {
+// apply sends the home's final decisions to the entries.
+func (h *soleHome) apply(ds []placement.Decision) {
 	for _, d := range ds {
 		q := h.waiting[d.Attempt]
 		if q == nil || d.Kind == placement.Queued {
 			continue
 		}
 		delete(h.waiting, d.Attempt)
-		h.run.after(hop, func() { h.answer(q, d) })
+		h.run.after(hop, func() { h.applyOne(q, d) })
 	}
 }
 
-func (h *homes) answer(q *Request, d placement.Decision) {
+func (h *soleHome) applyOne(q *Request, d placement.Decision) {
 	if d.Kind == placement.Refused {
 		h.run.refuse(q, d.RetryAfter)
 		return
--- a/internal/trial/instances.go
+++ b/internal/trial/instances.go
@@ -6,75 +6,78 @@
 	"time"
 )
 
-// Slowing makes engines slow for a while, without any sign but their pace.
+// Slowing makes engines slow for a while; nothing but their pace shows it.
 type Slowing struct {
-	// First is when the first ones begin, Every how often others do; Every 0
-	// means that none does. For is how long each stays slow.
+	// First is when the first engines become slow, Every the interval at which others do;
+	// with Every 0 none does. For is how long each engine stays slow.
 	First time.Duration
 	Every time.Duration
 	For   time.Duration
-	// Count is how many become slow together, Factor multiplies their times.
+	// Count is how many engines become slow at the same time, Factor multiplies the
+	// duration of their steps.
 	Count  int
 	Factor float64
 }
 
-// Shutdown ends all instances at a moment: what runs then is lost.
+// Shutdown ends all instances at the same time; the requests that run then are lost.
 type Shutdown struct {
-	// At 0 means that there is none.
+	// At is the time from the start of the run; with At 0 there is no shutdown.
 	At time.Duration
-	// Down is how long no instance serves; callers wait for so long.
+	// Down is how long no instance serves. Requests that arrive meanwhile wait until then.
 	Down time.Duration
 }
 
-// EntryLoss makes some instances lose power at a moment. What they ran goes on at
-// the engines, for nobody, until they are back; their callers go elsewhere, all at
-// once.
+// EntryLoss makes some instances lose power at the same time. Their generations continue on
+// the engines, without a caller, until the instances are back. Callers whose requests may
+// be repeated switch to other instances, all at the same time.
 type EntryLoss struct {
-	// At 0 means that there is none. Share is the part of the instances.
+	// At is the time from the start of the run; with At 0 there is no loss. Share is the
+	// fraction of the instances that are lost.
 	At    time.Duration
 	Share float64
-	// Down is how long they are gone.
+	// Down is how long these instances are down.
 	Down time.Duration
 }
 
-// dialTimeout is how long a caller waits for an instance that is dark before it
-// tries another one, noticed how long callers go on to be sent there.
 const (
+	// dialTimeout is how long a caller waits for an instance without power before it tries
+	// another one.
 	dialTimeout = time.Second
-	noticed     = 2 * time.Second
+	// lossDetectTime is how long callers are still sent to an instance that has lost power.
+	lossDetectTime = 2 * time.Second
 )
 
-// restarter is a policy that can lose all that it knows. It returns the requests
-// that it held.
+// restarter is a policy whose state can be lost. Restart clears the state and returns the
+// requests that were waiting for a decision.
 type restarter interface{ Restart() []*Request }
 
-// turnSlow makes some engines slow for a while.
-func (r *Run) turnSlow() {
+// startSlowing makes Slowing.Count engines slow for a while and schedules the next ones.
+func (r *Run) startSlowing() {
 	s := r.work.Slowing
 	for range s.Count {
-		e := r.anyLiving()
+		e := r.randomLiveEngine()
 		if e == nil {
 			break
 		}
-		e.slow = s.Factor
-		r.after(s.For, func() { e.slow = 0 })
+		e.slowFactor = s.Factor
+		r.after(s.For, func() { e.slowFactor = 0 })
 	}
 	if r.now+s.Every < r.work.Length {
-		r.after(s.Every, r.turnSlow)
+		r.after(s.Every, r.startSlowing)
 	}
 }
 
-// arrive takes a request in, at another instance than its caller's own if that is
-// gone.
+// arrive passes a request to the policy. During a shutdown the request waits until the
+// instances serve again; if its entry is down, it goes to another instance.
 func (r *Run) arrive(q *Request) {
-	down := r.work.Shutdown
-	if down.At > 0 && r.now >= down.At && r.now < down.At+down.Down {
-		r.at(down.At+down.Down, func() { r.policy.Arrive(q) })
+	shutdown := r.work.Shutdown
+	if shutdown.At > 0 && r.now >= shutdown.At && r.now < shutdown.At+shutdown.Down {
+		r.at(shutdown.At+shutdown.Down, func() { r.policy.Arrive(q) })
 		return
 	}
-	if r.gone(q.Entry) {
-		q.Entry = r.rng.IntN(r.firstLost())
-		if r.now < r.work.EntryLoss.At+noticed {
+	if r.entryDown(q.Entry) {
+		q.Entry = r.rng.IntN(r.firstLostEntry())
+		if r.now < r.work.EntryLoss.At+lossDetectTime {
 			r.after(dialTimeout, func() { r.policy.Arrive(q) })
 			return
 		}
@@ -82,18 +85,19 @@
 	r.policy.Arrive(q)
 }
 
-// firstLost is the first of the instances that are lost.
-func (r *Run) firstLost() int {
+// firstLostEntry returns the index of the first instance that EntryLoss takes; all later
+// instances are lost with it.
+func (r *Run) firstLostEntry() int {
 	return max(r.work.Entries-int(r.work.EntryLoss.Share*float64(r.work.Entries)), 1)
 }
 
-// gone reports whether an instance has lost power.
-func (r *Run) gone(entry int) bool {
+// entryDown reports whether an instance is without power at present.
+func (r *Run) entryDown(entry int) bool {
 	l := r.work.EntryLoss
-	return l.At > 0 && r.now >= l.At && r.now < l.At+l.Down && entry >= r.firstLost()
+	return l.At > 0 && r.now >= l.At && r.now < l.At+l.Down && entry >= r.firstLostEntry()
 }
 
-// shutDown ends all instances.
+// shutDown ends all instances: all attempts and the policy's state are lost.
 func (r *Run) shutDown() {
 	for _, id := range slices.Sorted(maps.Keys(r.live)) {
 		g := r.live[id]
@@ -108,11 +112,12 @@
 	}
 }
 
-// loseEntries ends some instances.
+// loseEntries ends the instances that EntryLoss takes. The engines continue their
+// generations until the instances are back.
 func (r *Run) loseEntries() {
 	for _, id := range slices.Sorted(maps.Keys(r.live)) {
 		g := r.live[id]
-		if !r.gone(g.req.Entry) {
+		if !r.entryDown(g.req.Entry) {
 			continue
 		}
 		r.abandon(g, LostEntry)
@@ -123,7 +128,8 @@
 	}
 }
 
-// abandon ends an attempt for its caller, while its engine does not know.
+// abandon ends an attempt for its caller; the engine is not notified. A request of a lost
+// entry that may be repeated stays open.
 func (r *Run) abandon(g *generation, f Fate) {
 	g.abandoned = true
 	delete(r.live, g.id)
--- a/internal/trial/leave.go
+++ b/internal/trial/leave.go
@@ -7,122 +7,123 @@
 	"mulberrylug.example/mulberrylug/internal/core/placement"
 )
 
-// Leaving makes engines leave at short notice, again and again, and others join.
+// Leaving makes engines leave repeatedly, at short notice, and other engines join.
 type Leaving struct {
-	// First is when the first ones get notice, Every how often others do;
-	// Every 0 means that none leaves.
+	// First is when the first engines get notice, Every the interval at which others do;
+	// with Every 0 none leaves.
 	First time.Duration
 	Every time.Duration
-	// Count is how many leave together.
+	// Count is how many engines leave at the same time.
 	Count int
-	// Notice is the time between the notice and the end.
+	// Notice is the time between the notice and the end of the engine.
 	Notice time.Duration
-	// Replace is how long after the notice another engine joins.
+	// Replace is the delay from the notice until another engine joins.
 	Replace time.Duration
-	// NewsLag is how long the notice takes to reach the policy.
+	// NewsLag is the delay until the notice reaches the policy.
 	NewsLag time.Duration
 }
 
-// Links are the engines' links for copies of running generations. Each engine
-// has one, and copies on it follow each other.
+// Links describes the engines' network links, which carry copies of running generations.
+// Each engine has one link and sends or receives one copy at a time.
 type Links struct {
-	// TokenBytes is the memory of one token, Mbps the bandwidth, Setup the
-	// time that each copy takes besides.
+	// TokenBytes is the memory of one token in bytes, Mbps the bandwidth in megabits per
+	// second, Setup the time that each copy takes in addition.
 	TokenBytes float64
 	Mbps       float64
 	Setup      time.Duration
-	// DataCentres is the number of places that the engines are spread over;
-	// a copy from one to another takes twice as long.
+	// DataCentres is the number of data centres that the engines are spread over; a copy
+	// from one to another takes twice as long. 0 counts as 1.
 	DataCentres int
 }
 
-// leaver is a policy that hears of engines that leave and join.
-type leaver interface {
+// departureObserver is a policy that is notified of engines that leave and join.
+type departureObserver interface {
 	Leaves(engine int)
 	Joined(engine int)
 }
 
-// depart gives the next engines notice.
-func (r *Run) depart() {
+// giveNotice gives Leaving.Count engines notice, schedules their end and replacement, and
+// schedules the next notice.
+func (r *Run) giveNotice() {
 	l := r.work.Leaving
 	for range l.Count {
-		e := r.anyLiving()
+		e := r.randomLiveEngine()
 		if e == nil {
 			break
 		}
 		e.leaving = true
 		r.after(l.NewsLag, func() {
-			if p, ok := r.policy.(leaver); ok {
+			if p, ok := r.policy.(departureObserver); ok {
 				p.Leaves(e.index)
 			}
 		})
-		r.after(l.Notice, func() { e.reclaim(LostLeaving) })
+		r.after(l.Notice, func() { e.kill(LostLeaving) })
 		r.after(l.Replace, func() { r.join(e.spec) })
 	}
 	if r.now+l.Every < r.work.Length {
-		r.after(l.Every, r.depart)
+		r.after(l.Every, r.giveNotice)
 	}
 }
 
-// anyLiving draws an engine that has no notice yet.
-func (r *Run) anyLiving() *engine {
-	var living []*engine
+// randomLiveEngine draws a live engine that is not leaving; nil if there is none.
+func (r *Run) randomLiveEngine() *engine {
+	var live []*engine
 	for _, e := range r.engines {
 		if !e.leaving && !e.dead {
-			living = append(living, e)
+			live = append(live, e)
 		}
 	}
-	if len(living) == 0 {
+	if len(live) == 0 {
 		return nil
 	}
-	return living[r.rng.IntN(len(living))]
+	return live[r.rng.IntN(len(live))]
 }
 
-// join adds an engine.
+// join adds an engine and notifies the policy.
 func (r *Run) join(spec EngineSpec) {
 	i := len(r.engines)
 	e := newEngine(r, i, fmt.Sprintf("engine-%02d", i), spec)
 	r.engines = append(r.engines, e)
 	r.byName[e.name] = i
-	r.lagged = append(r.lagged, []placement.Report(nil))
-	if p, ok := r.policy.(leaver); ok {
+	r.delayedReports = append(r.delayedReports, []placement.Report(nil))
+	if p, ok := r.policy.(departureObserver); ok {
 		p.Joined(i)
 	}
 	r.poll(i)
 }
 
-// near reports whether two engines are in one data centre.
-func (r *Run) near(a, b int) bool {
+// sameDataCentre reports whether two engines are in the same data centre.
+func (r *Run) sameDataCentre(a, b int) bool {
 	n := max(r.work.Links.DataCentres, 1)
 	return a%n == b%n
 }
 
-// transfer takes the links of two engines for so many tokens and returns when
-// the last of them has arrived.
+// transfer occupies the links of two engines with a copy of the given number of tokens and
+// returns when the copy is complete.
 func (r *Run) transfer(from, to *engine, tokens int) time.Duration {
 	l := r.work.Links
-	took := l.Setup + time.Duration(float64(tokens)*l.TokenBytes*8/(l.Mbps*1e6)*float64(time.Second))
-	if !r.near(from.index, to.index) {
-		took *= 2
+	duration := l.Setup + time.Duration(float64(tokens)*l.TokenBytes*8/(l.Mbps*1e6)*float64(time.Second))
+	if !r.sameDataCentre(from.index, to.index) {
+		duration *= 2
 	}
-	end := max(r.now, from.link, to.link) + took
-	from.link, to.link = end, end
+	end := max(r.now, from.linkBusyUntil, to.linkBusyUntil) + duration
+	from.linkBusyUntil, to.linkBusyUntil = end, end
 	return end
 }
 
-// copyRun copies a running generation's memory to another engine while it goes
-// on. done hears whether the copy is complete.
-func (r *Run) copyRun(g *generation, to int, done func(ok bool)) {
+// copyGeneration copies a running generation's memory to another engine while the
+// generation continues. done is called with whether the copy succeeded.
+func (r *Run) copyGeneration(g *generation, to int, done func(ok bool)) {
 	src, dst := r.engines[g.engine], r.engines[to]
 	size := g.memory()
-	if g.prefill > 0 || !src.runs(g) || dst.dead || dst.used+size > dst.spec.Capacity {
+	if g.prefill > 0 || !src.isRunning(g) || dst.dead || dst.used+size > dst.spec.Capacity {
 		r.after(2*hop, func() { done(false) })
 		return
 	}
 	dst.used += size
-	g.copied, g.copyAt = size, to
+	g.copiedTokens, g.copyEngine = size, to
 	r.at(r.transfer(src, dst, size), func() {
-		ok := !src.dead && !dst.dead && src.runs(g) && !g.abandoned
+		ok := !src.dead && !dst.dead && src.isRunning(g) && !g.abandoned
 		if !ok {
 			r.dropCopy(g)
 		}
@@ -130,39 +131,41 @@
 	})
 }
 
-// copyLife is how long a copy takes memory at its destination whose source has died.
-const copyLife = 5 * time.Second
+// copyTTL is how long a copy keeps its memory at the destination after the source engine
+// has died.
+const copyTTL = 5 * time.Second
 
-// dropCopy frees the memory that a copy took, at once if its source can still be told.
+// dropCopy frees the memory of a copy at its destination: immediately if the source engine
+// is alive, otherwise after copyTTL.
 func (r *Run) dropCopy(g *generation) {
-	if g.copied == 0 {
+	if g.copiedTokens == 0 {
 		return
 	}
-	at, size := r.engines[g.copyAt], g.copied
-	g.copied = 0
+	at, size := r.engines[g.copyEngine], g.copiedTokens
+	g.copiedTokens = 0
 	if !r.engines[g.engine].dead {
 		at.used -= size
 		return
 	}
-	r.after(copyLife, func() { at.used -= size })
+	r.after(copyTTL, func() { at.used -= size })
 }
 
-// finishMove stops a generation that was copied, sends what is new and lets it go
-// on at the copy's place.
+// finishMove stops a copied generation, transfers the tokens produced since the copy and
+// resumes the generation at the destination. done is called with whether the move succeeded.
 func (r *Run) finishMove(g *generation, done func(ok bool)) {
-	src, dst := r.engines[g.engine], r.engines[g.copyAt]
-	if !src.runs(g) || src.dead || dst.dead || g.abandoned {
+	src, dst := r.engines[g.engine], r.engines[g.copyEngine]
+	if !src.isRunning(g) || src.dead || dst.dead || g.abandoned {
 		r.dropCopy(g)
 		done(false)
 		return
 	}
 	src.remove(g)
-	rest := max(g.memory()-g.copied, 0)
-	r.at(r.transfer(src, dst, rest)+2*hop, func() {
-		dst.used -= g.copied
-		g.copied = 0
+	newTokens := max(g.memory()-g.copiedTokens, 0)
+	r.at(r.transfer(src, dst, newTokens)+2*hop, func() {
+		dst.used -= g.copiedTokens
+		g.copiedTokens = 0
 		if dst.dead {
-			r.lost(g, LostLeaving)
+			r.endLost(g, LostLeaving)
 			done(false)
 			return
 		}
@@ -173,8 +176,8 @@
 	})
 }
 
-// runs reports whether a generation is in the engine's batch.
-func (e *engine) runs(g *generation) bool {
+// isRunning reports whether a generation is in the engine's batch.
+func (e *engine) isRunning(g *generation) bool {
 	for _, o := range e.running {
 		if o == g {
 			return true
@@ -194,11 +197,12 @@
 	}
 }
 
-// resume takes a generation in that goes on from its copy.
+// resume continues a moved generation in the engine's batch. The gaps before the move are
+// dropped.
 func (e *engine) resume(g *generation) {
 	e.running = append(e.running, g)
 	e.used += g.memory()
-	g.pauses = nil
+	g.gaps = nil
 	if !e.busy {
 		e.step()
 	}
--- a/internal/trial/measure.go
+++ b/internal/trial/measure.go
@@ -9,21 +9,22 @@
 )
 
 const (
-	// FirstTokenTarget is the wait for the first token that is no stall.
+	// FirstTokenTarget is the longest wait for the first token that does not count as a
+	// stall.
 	FirstTokenTarget = 1800 * time.Millisecond
-	// GapThreshold is the gap between tokens that is no stall: a reader does
-	// not notice it, and a preempted answer's gap is many times as long.
+	// GapThreshold is the longest gap between tokens that does not count as a stall: a
+	// reader does not notice it, and a preempted answer's gap is many times as long.
 	GapThreshold = 200 * time.Millisecond
 
-	// SteadyGap is the longest gap of an answer that is on time: what the
-	// users' sheets allow between two events.
+	// SteadyGap is the longest gap in an answer that counts as on time: the users'
+	// requirements allow that much time between two events.
 	SteadyGap = 180 * time.Millisecond
 
-	// gapLowest, gapHighest and gapDigits shape the histogram of gaps, in
-	// microseconds.
-	gapLowest  = 1
-	gapHighest = int64(time.Hour / time.Microsecond)
-	gapDigits  = 3
+	// minGapMicros and maxGapMicros are the range of the histograms of gaps and waits in
+	// microseconds, gapDigits the number of significant digits.
+	minGapMicros = 1
+	maxGapMicros = int64(time.Hour / time.Microsecond)
+	gapDigits    = 3
 )
 
 // Result holds the figures of one run.
@@ -32,107 +33,112 @@
 	// Stall sums, over all requests, the wait for the first token beyond
 	// FirstTokenTarget and the part of each later gap beyond GapThreshold.
 	Stall time.Duration
-	// GapStall is the part of Stall that later gaps make up.
-	GapStall    time.Duration
+	// GapStall is the part of Stall that is caused by gaps after the first token.
+	GapStall time.Duration
+	// Preemptions counts the preemptions on all engines.
 	Preemptions int64
-	// P95, P99 and P999 are over all gaps between tokens; LongestP99 is over
-	// each answer's longest gap.
+	// P95, P99 and P999 are percentiles of all gaps between tokens. LongestP99 is the 99th
+	// percentile of the longest gap in each answer.
 	P95, P99, P999 time.Duration
 	LongestP99     time.Duration
-	// FirstP95 is over the waits for the first token.
+	// FirstP95 is the 95th percentile of the waits for the first token.
 	FirstP95 time.Duration
-	// Done counts whole answers, Partial those cut by a reclaimed engine,
-	// Refused refusals (a caller that comes back may be refused again).
+	// Done counts complete answers, Partial requests that were lost by a fault, Refused
+	// refusals (a caller that comes back may be refused again).
 	Done, Partial, Refused int
-	// InTime counts whole answers whose first token and whose every gap were
-	// on time, Moved the moves of generations to another engine.
+	// InTime counts complete answers whose first token and gaps were all on time, Moved the
+	// moves of generations to another engine.
 	InTime, Moved int
-	// Late counts refusals that did not come at once.
+	// Late counts refusals that came more than four hops after the request was sent.
 	Late int
-	// Returned counts callers that came back when told, Served those of them
-	// that got a whole answer.
+	// Returned counts callers that came back after a refusal, Served those of them that got
+	// a complete answer.
 	Returned, Served int
 	// Unanswered counts requests that had no outcome when the run ended.
 	Unanswered int
-	// Goodput is whole answers a second whose first token met its target.
+	// Goodput is the number of requests per second whose first token met FirstTokenTarget.
 	Goodput float64
-	// Backlog is how many requests had no first token when the last arrived.
+	// Backlog is how many open requests had no first token at Workload.Length, when arrivals
+	// end.
 	Backlog int
-	// Drained is how long after the last arrival the last request got its
-	// first token.
+	// Drained is the time from the end of the arrivals until the last first token.
 	Drained time.Duration
-	// ByOrg sums the stall of each organisation.
+	// ByOrg is the stall of each organisation.
 	ByOrg map[string]time.Duration
-	// Worth is what callers were owed and lost.
+	// Worth is the value of the requests for their callers and its losses.
 	Worth Worth
-	// FirstP50 and FirstP99 are over the waits for the first token.
+	// FirstP50 and FirstP99 are percentiles of the waits for the first token.
 	FirstP50, FirstP99 time.Duration
-	// TokenTime is the mean time between the tokens of long answers.
+	// TokenTime is the mean interval between the tokens of answers with at least
+	// longAnswerTokens tokens.
 	TokenTime time.Duration
-	// NoRun counts orders to move a generation that could not be moved yet, or
-	// no longer.
+	// NoRun counts move orders for generations that were still in prefill or no longer ran
+	// on the source engine.
 	NoRun int
 }
 
-// longAnswer is the number of tokens from which on an answer's pace counts in
-// TokenTime.
-const longAnswer = 100
+// longAnswerTokens is the minimum number of tokens of an answer that counts in TokenTime.
+const longAnswerTokens = 100
 
 // measure collects a run's figures.
 type measure struct {
-	result  Result
-	gaps    *hdrhistogram.Histogram
-	firsts  *hdrhistogram.Histogram
-	longest []time.Duration
-	good    int
-	// lastFirst is when the latest first token came out.
-	lastFirst time.Duration
-	// decoding is the time between the first and last tokens of long answers,
-	// decoded how many tokens followed the first.
-	decoding time.Duration
-	decoded  int
+	result      Result
+	gaps        *hdrhistogram.Histogram
+	firsts      *hdrhistogram.Histogram
+	longestGaps []time.Duration
+	// firstOnTime counts the first tokens that met FirstTokenTarget.
+	firstOnTime int
+	// lastFirstToken is when the latest first token was produced.
+	lastFirstToken time.Duration
+	// decodeTime sums the time between the first and last tokens of long answers,
+	// decodedTokens their tokens after the first.
+	decodeTime    time.Duration
+	decodedTokens int
 }
 
 func newMeasure(policy string) *measure {
 	return &measure{
 		result: Result{Policy: policy, ByOrg: map[string]time.Duration{}, Worth: Worth{Lost: map[Fate]float64{}}},
-		gaps:   hdrhistogram.New(gapLowest, gapHighest, gapDigits),
-		firsts: hdrhistogram.New(gapLowest, gapHighest, gapDigits),
+		gaps:   hdrhistogram.New(minGapMicros, maxGapMicros, gapDigits),
+		firsts: hdrhistogram.New(minGapMicros, maxGapMicros, gapDigits),
 	}
 }
 
-// regular records n gaps of one step's length.
-func (m *measure) regular(step time.Duration, n int64) {
+// recordStepGaps records n gaps that are as long as one step.
+func (m *measure) recordStepGaps(step time.Duration, n int64) {
 	if n > 0 {
 		_ = m.gaps.RecordValues(step.Microseconds(), n)
 	}
 }
 
-// token records a token that did not follow its predecessor by one step.
-func (m *measure) token(g *generation, end time.Duration) {
-	if g.last == 0 {
-		m.first(g, end)
+// recordToken records a token that is the first or did not follow its predecessor by one
+// step.
+func (m *measure) recordToken(g *generation, end time.Duration) {
+	if g.lastTokenAt == 0 {
+		m.recordFirstToken(g, end)
 		return
 	}
-	gap := end - g.last
-	g.longest = max(g.longest, gap)
+	gap := end - g.lastTokenAt
+	g.longestGap = max(g.longestGap, gap)
 	_ = m.gaps.RecordValue(gap.Microseconds())
-	m.stall(g.req, gap-GapThreshold)
+	m.addStall(g.req, gap-GapThreshold)
 	m.result.GapStall += max(gap-GapThreshold, 0)
 }
 
-func (m *measure) first(g *generation, end time.Duration) {
-	wait := end - g.req.asked
-	g.first, g.firstAt = wait, end
+func (m *measure) recordFirstToken(g *generation, end time.Duration) {
+	wait := end - g.req.lastSent
+	g.firstTokenWait, g.firstTokenAt = wait, end
 	_ = m.firsts.RecordValue(wait.Microseconds())
-	m.stall(g.req, wait-FirstTokenTarget)
-	m.lastFirst = max(m.lastFirst, end)
+	m.addStall(g.req, wait-FirstTokenTarget)
+	m.lastFirstToken = max(m.lastFirstToken, end)
 	if wait <= FirstTokenTarget {
-		m.good++
+		m.firstOnTime++
 	}
 }
 
-func (m *measure) stall(r *Request, over time.Duration) {
+// addStall adds the time beyond a threshold, if positive, to the stall of a request's
+// organisation.
+func (m *measure) addStall(r *Request, over time.Duration) {
 	if over <= 0 {
 		return
 	}
@@ -140,24 +146,24 @@
 	m.result.ByOrg[r.Org] += over
 }
 
+// done records a complete generation.
 func (m *measure) done(now time.Duration, g *generation) {
 	m.result.Done++
-	m.result.Worth.end(now, g.req, g.fate())
-	if g.tokens >= longAnswer {
-		m.decoding += g.last - g.firstAt
-		m.decoded += g.tokens - 1
+	m.result.Worth.add(now, g.req, g.fate())
+	if g.tokens >= longAnswerTokens {
+		m.decodeTime += g.lastTokenAt - g.firstTokenAt
+		m.decodedTokens += g.tokens - 1
 	}
-	m.longest = append(m.longest, g.longest)
-	if g.first <= FirstTokenTarget && g.longest <= SteadyGap {
+	m.longestGaps = append(m.longestGaps, g.longestGap)
+	if g.firstTokenWait <= FirstTokenTarget && g.longestGap <= SteadyGap {
 		m.result.InTime++
 	}
-	if g.req.returns > 0 {
+	if g.req.returnCount > 0 {
 		m.result.Served++
 	}
 }
 
-// finish works the figures out at the end of a run in which requests arrived
-// for the given time.
+// finish returns the figures of a run in which requests arrived for the given time.
 func (m *measure) finish(length time.Duration) Result {
 	r := m.result
 	at := func(h *hdrhistogram.Histogram, q float64) time.Duration {
@@ -165,17 +171,17 @@
 	}
 	r.P95, r.P99, r.P999 = at(m.gaps, 95), at(m.gaps, 99), at(m.gaps, 99.9)
 	r.FirstP50, r.FirstP95, r.FirstP99 = at(m.firsts, 50), at(m.firsts, 95), at(m.firsts, 99)
-	r.TokenTime = m.decoding / time.Duration(max(m.decoded, 1))
-	slices.Sort(m.longest)
-	if n := len(m.longest); n > 0 {
-		r.LongestP99 = m.longest[min(n-1, n*99/100)]
+	r.TokenTime = m.decodeTime / time.Duration(max(m.decodedTokens, 1))
+	slices.Sort(m.longestGaps)
+	if n := len(m.longestGaps); n > 0 {
+		r.LongestP99 = m.longestGaps[min(n-1, n*99/100)]
 	}
-	r.Goodput = float64(m.good) / max(length, m.lastFirst).Seconds()
-	r.Drained = max(m.lastFirst-length, 0)
+	r.Goodput = float64(m.firstOnTime) / max(length, m.lastFirstToken).Seconds()
+	r.Drained = max(m.lastFirstToken-length, 0)
 	return r
 }
 
-// Line formats a result as one line of key=value pairs.
+// Line formats a result as one line of key=value pairs. weights and load describe the run.
 func (r Result) Line(weights string, load float64) string {
 	ms := func(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 	return fmt.Sprintf("policy=%s weights=%s stall_s=%.0f preemptions=%d itl_p95_ms=%.1f itl_p99_ms=%.1f "+
--- a/internal/trial/oracle.go
+++ b/internal/trial/oracle.go
@@ -6,33 +6,37 @@
 	"mulberrylug.example/mulberrylug/internal/core/placement"
 )
 
-// oracle knows each answer's length ahead. It has one queue, serves the
-// cheapest first, and sends a request only where no memory will ever overflow.
-// Nothing real reaches it; it is the bound for what knowing lengths can give.
+// oracle is a policy that knows the length of every answer in advance. It has one queue,
+// serves the request with the least work first, and sends a request only to an engine whose
+// memory will never overflow. No real policy can do as well: the oracle is the upper bound
+// for the gain from estimates of output length.
 type oracle struct {
-	run   *Run
+	run *Run
+	// queue is ordered by Request.work.
 	queue []*Request
-	sent  []map[string]*Request
+	// inFlight holds, for each engine, the attempts that have not ended, by attempt id.
+	inFlight []map[string]*Request
 }
 
-// Oracle is the policy that knows every length.
+// Oracle returns the policy that knows every answer's length in advance.
 func Oracle() Maker {
 	return Maker{Name: "oracle", Make: func(r *Run) Policy {
 		o := &oracle{run: r}
 		for range r.engines {
-			o.sent = append(o.sent, map[string]*Request{})
+			o.inFlight = append(o.inFlight, map[string]*Request{})
 		}
 		return o
 	}}
 }
 
+// work returns the request's memory use over its run, in tokens times steps.
 func (q *Request) work() int { return q.Output * (q.Prompt + q.Output/2) }
 
 // Arrive implements Policy.
 func (o *oracle) Arrive(q *Request) {
 	i, _ := slices.BinarySearchFunc(o.queue, q, func(a, b *Request) int { return a.work() - b.work() })
 	o.queue = slices.Insert(o.queue, i, q)
-	o.drain()
+	o.dispatchQueued()
 }
 
 // Report implements Policy.
@@ -40,14 +44,15 @@
 
 // Ended implements Policy.
 func (o *oracle) Ended(_ *Request, id string, engine, _ int, _ bool) {
-	delete(o.sent[engine], id)
-	o.drain()
+	delete(o.inFlight[engine], id)
+	o.dispatchQueued()
 }
 
 // Tick implements Policy.
-func (o *oracle) Tick() { o.drain() }
+func (o *oracle) Tick() { o.dispatchQueued() }
 
-func (o *oracle) drain() {
+// dispatchQueued sends requests from the head of the queue until one fits nowhere.
+func (o *oracle) dispatchQueued() {
 	for len(o.queue) > 0 {
 		i := o.choose(o.queue[0])
 		if i < 0 {
@@ -56,20 +61,21 @@
 		q := o.queue[0]
 		o.queue = o.queue[1:]
 		id := q.nextAttempt()
-		o.sent[i][id] = q
+		o.inFlight[i][id] = q
 		o.run.dispatch(q, id, i, 0)
 	}
 }
 
-// choose returns the engine with the lowest peak that never overflows, or -1.
+// choose returns the engine with the lowest peak memory among those that will not overflow,
+// or -1. An empty engine accepts a request of any size.
 func (o *oracle) choose(q *Request) int {
 	best, bestPeak := -1, 0
 	for i, e := range o.run.engines {
-		if e.leaving || e.dead || len(o.sent[i]) >= e.spec.MaxBatch {
+		if e.leaving || e.dead || len(o.inFlight[i]) >= e.spec.MaxBatch {
 			continue
 		}
 		peak := o.peak(i, q)
-		if peak > e.spec.Capacity && len(o.sent[i]) > 0 {
+		if peak > e.spec.Capacity && len(o.inFlight[i]) > 0 {
 			continue
 		}
 		if best < 0 || peak < bestPeak {
@@ -79,25 +85,26 @@
 	return best
 }
 
-// life is what is left of a generation.
-type life struct{ left, memory int }
+// remaining is the number of tokens that a generation is still to produce, and its memory
+// at present in tokens.
+type remaining struct{ tokens, memory int }
 
-// peak is the most memory that an engine will hold with another generation.
-// All generations grow by a token a step, so the peaks lie where one ends.
+// peak returns the maximum memory that an engine will need if it also takes q. All
+// generations grow by one token per step, so each local maximum is where one of them ends.
 func (o *oracle) peak(engine int, q *Request) int {
-	lives := []life{{q.Output, q.Prompt}}
-	for id, r := range o.sent[engine] {
+	gens := []remaining{{q.Output, q.Prompt}}
+	for id, r := range o.inFlight[engine] {
 		tokens := 0
 		if g := o.run.live[id]; g != nil {
 			tokens = g.tokens
 		}
-		lives = append(lives, life{r.Output - tokens, r.Prompt + tokens})
+		gens = append(gens, remaining{r.Output - tokens, r.Prompt + tokens})
 	}
-	slices.SortFunc(lives, func(a, b life) int { return b.left - a.left })
-	most, memory := 0, 0
-	for i, l := range lives {
+	slices.SortFunc(gens, func(a, b remaining) int { return b.tokens - a.tokens })
+	maximum, memory := 0, 0
+	for i, l := range gens {
 		memory += l.memory
-		most = max(most, memory+l.left*(i+1))
+		maximum = max(maximum, memory+l.tokens*(i+1))
 	}
-	return most
+	return maximum
 }
--- a/internal/trial/poolhome.go
+++ b/internal/trial/poolhome.go
@@ -15,29 +15,30 @@
 	"mulberrylug.example/mulberrylug/internal/core/route"
 )
 
-// poolHome runs the real home of a pool, with the delay of messages between it
-// and the entries.
+// poolHome runs the production pool.Home, with a message delay between home and entries.
 type poolHome struct {
 	run     *Run
 	without mechanism.Set
 	ways    mechanism.Ways
 	home    *pool.Home
 	cordons cordon.Set
-	listed  map[int]*roster.Upstream
+	// listed holds the upstream of each engine by the engine's index.
+	listed map[int]*roster.Upstream
+	// waiting holds the requests without a decision, by attempt id.
 	waiting map[string]*Request
-	// announced is when each entry last told what it runs.
-	announced []time.Duration
+	// lastAnnounced is when each entry last announced its running attempts.
+	lastAnnounced []time.Duration
 }
 
-// poolName names the pool of a trial.
+// poolName is the name of the only pool, and of its service.
 const poolName = "pool"
 
-// PoolHome is the project's own home of a pool, without some mechanisms, which decides in
-// some ways.
+// PoolHome returns the project's own home of a pool as a policy, without the given mechanisms
+// and with the given ways of deciding.
 func PoolHome(name string, without mechanism.Set, ways mechanism.Ways) Maker {
 	return Maker{Name: name, Make: func(r *Run) Policy {
-		p := &poolHome{run: r, without: without, ways: ways, listed: map[int]*roster.Upstream{}, announced: make([]time.Duration, r.work.Entries)}
-		p.begin()
+		p := &poolHome{run: r, without: without, ways: ways, listed: map[int]*roster.Upstream{}, lastAnnounced: make([]time.Duration, r.work.Entries)}
+		p.resetHome()
 		for i := range r.engines {
 			p.Joined(i)
 		}
@@ -45,30 +46,30 @@
 	}}
 }
 
-// begin starts a home that knows nothing.
-func (p *poolHome) begin() {
+// resetHome starts a home without any state.
+func (p *poolHome) resetHome() {
 	l, spec := p.run.work.Links, p.run.work.Engines[0]
 	p.waiting = map[string]*Request{}
 	p.home = pool.NewHome(poolName, route.Engine{
 		Slots: spec.MaxBatch, MemoryToken: spec.Capacity,
-		TokenBytes: l.TokenBytes, LinkMbps: l.Mbps, Moves: true, EventTokens: 1, CopyLife: copyLife,
+		TokenBytes: l.TokenBytes, LinkMbps: l.Mbps, Moves: true, EventTokens: 1, CopyLife: copyTTL,
 	}, p.without, p.ways)
 }
 
 // Restart implements restarter.
 func (p *poolHome) Restart() []*Request {
-	var held []*Request
+	var lost []*Request
 	for _, id := range slices.Sorted(maps.Keys(p.waiting)) {
-		held = append(held, p.waiting[id])
+		lost = append(lost, p.waiting[id])
 	}
-	p.begin()
+	p.resetHome()
 	p.sync()
-	return held
+	return lost
 }
 
 func (p *poolHome) now() time.Time { return time.Unix(0, int64(p.run.now)) }
 
-// sync gives the home the list of engines.
+// sync sends the home the list of live engines and the cordons.
 func (p *poolHome) sync() {
 	var list []*roster.Upstream
 	for _, i := range slices.Sorted(maps.Keys(p.listed)) {
@@ -77,23 +78,23 @@
 		}
 	}
 	p.home.Sync(p.now(), pool.Listing{Answered: p.now(), Upstreams: list, Cordons: p.cordons})
-	p.act()
+	p.sendMessages()
 }
 
-// Cordon implements cordoner.
+// Cordon implements cordonObserver.
 func (p *poolHome) Cordon(s cordon.Set) {
 	p.cordons = s
 	p.sync()
 }
 
-// dataCentre names the place of an engine or entry.
+// dataCentre returns the name of the data centre of an engine or entry.
 func (p *poolHome) dataCentre(i int) string {
 	return dataCentreName(i % max(p.run.work.Links.DataCentres, 1))
 }
 
 func dataCentreName(n int) string { return fmt.Sprintf("dc-%d", n) }
 
-// Joined implements leaver.
+// Joined implements departureObserver.
 func (p *poolHome) Joined(i int) {
 	e := p.run.engines[i]
 	p.listed[i] = &roster.Upstream{Entry: roster.Entry{
@@ -102,13 +103,13 @@
 	p.sync()
 }
 
-// Leaves implements leaver.
+// Leaves implements departureObserver.
 func (p *poolHome) Leaves(i int) {
 	p.listed[i].LeavingSince = p.now()
 	p.sync()
 }
 
-// entry is the instance that has a request.
+// entry returns the entry of a request.
 func (p *poolHome) entry(q *Request) pool.Entry {
 	return pool.Entry{Name: fmt.Sprintf("entry-%03d", q.Entry), DataCentre: p.dataCentre(q.Entry)}
 }
@@ -119,7 +120,7 @@
 	p.waiting[id] = q
 	p.run.after(hop, func() {
 		p.home.Ask(p.now(), p.entry(q), msg.GrantAsk{Pool: poolName, Ask: p.ask(q, id)})
-		p.act()
+		p.sendMessages()
 	})
 }
 
@@ -129,23 +130,24 @@
 	}
 }
 
-// Report implements Policy: the home goes by the list and the entries' words.
+// Report implements Policy. It does nothing: the home uses the list of upstreams and the
+// entries' announcements instead of the engines' reports.
 func (p *poolHome) Report(int, placement.Report) {}
 
 // Ended implements Policy.
-func (p *poolHome) Ended(_ *Request, id string, engine, tokens int, whole bool) {
+func (p *poolHome) Ended(_ *Request, id string, engine, tokens int, complete bool) {
 	upstream := p.run.engines[engine].name
 	p.run.after(hop, func() {
-		p.home.End(p.now(), msg.GrantEnd{Pool: poolName, Attempt: id, Upstream: upstream, Tokens: tokens, Failed: !whole})
-		p.act()
+		p.home.End(p.now(), msg.GrantEnd{Pool: poolName, Attempt: id, Upstream: upstream, Tokens: tokens, Failed: !complete})
+		p.sendMessages()
 	})
 }
 
-// Began implements beginner.
+// Began implements firstTokenObserver.
 func (p *poolHome) Began(g *generation) {
 	p.run.after(hop, func() {
 		p.home.Begun(p.now(), msg.Begun{Pool: poolName, Attempt: g.id})
-		p.act()
+		p.sendMessages()
 	})
 }
 
@@ -156,7 +158,8 @@
 	p.announce()
 }
 
-// announce lets the entries that are due tell the home what they run.
+// announce sends the home the running attempts of each entry whose announcement interval has
+// passed.
 func (p *poolHome) announce() {
 	running := map[int][]*generation{}
 	for _, id := range slices.Sorted(maps.Keys(p.run.live)) {
@@ -165,10 +168,10 @@
 	}
 	for _, entry := range slices.Sorted(maps.Keys(running)) {
 		list := running[entry]
-		if p.run.now-p.announced[entry] < pool.AnnouncePause(len(list)) {
+		if p.run.now-p.lastAnnounced[entry] < pool.AnnouncePause(len(list)) {
 			continue
 		}
-		p.announced[entry] = p.run.now
+		p.lastAnnounced[entry] = p.run.now
 		m := msg.Announce{Pool: poolName}
 		for _, g := range list {
 			m.Running = append(m.Running, msg.RunningAttempt{Ask: p.ask(g.req, g.id), Upstream: p.run.engines[g.engine].name, Tokens: g.tokens, Pace: g.pace()})
@@ -178,8 +181,8 @@
 	}
 }
 
-// act carries the home's messages to the entries.
-func (p *poolHome) act() {
+// sendMessages delivers the home's messages to the entries, after a delay.
+func (p *poolHome) sendMessages() {
 	for _, o := range p.home.Take() {
 		p.run.after(hop, func() { p.deliver(o.Msg) })
 	}
@@ -188,14 +191,15 @@
 func (p *poolHome) deliver(m msg.Message) {
 	switch m := m.(type) {
 	case msg.GrantAnswer:
-		p.answer(m.Decision)
+		p.applyDecision(m.Decision)
 	case msg.MoveOrder:
 		p.move(m)
 	}
 }
 
-// answer takes the home's decision to the entry that asked.
-func (p *poolHome) answer(d placement.Decision) {
+// applyDecision handles the home's decision at the entry that requested it. Queued is not
+// final and is ignored.
+func (p *poolHome) applyDecision(d placement.Decision) {
 	q := p.waiting[d.Attempt]
 	if q == nil || d.Kind == placement.Queued {
 		return
@@ -208,11 +212,13 @@
 	p.run.dispatch(q, d.Attempt, p.run.byName[d.Upstream], d.Priority)
 }
 
+// move handles an order to move a generation to another engine, and reports its outcome to
+// the home.
 func (p *poolHome) move(m msg.MoveOrder) {
 	reply := func(o msg.MoveOutcome) {
 		p.run.after(hop, func() {
 			p.home.Moved(p.now(), msg.Moved{Pool: poolName, Attempt: m.Attempt, Number: m.Number, Outcome: o})
-			p.act()
+			p.sendMessages()
 		})
 	}
 	g := p.run.live[m.Attempt]
@@ -225,7 +231,7 @@
 		reply(msg.MoveNoRun)
 		return
 	}
-	p.run.copyRun(g, p.run.byName[m.To], func(ok bool) {
+	p.run.copyGeneration(g, p.run.byName[m.To], func(ok bool) {
 		if !ok {
 			reply(msg.MoveNoRoom)
 			return
--- a/internal/trial/run.go
+++ b/internal/trial/run.go
@@ -1,7 +1,7 @@
-// Package trial measures placement policies in virtual time: fake engines,
-// seeded workloads, the policies that an operator would otherwise run, and a
-// runner that gives the same figures for the same seed. It is a load tool for
-// decisions; it has no sockets and no clock.
+// Package trial simulates placement policies in virtual time and measures them. It contains
+// simulated engines, seeded workloads, the policies that an operator would otherwise run, and
+// a runner that gives the same figures for the same seed. It tests decisions under load and
+// uses neither sockets nor the wall clock.
 package trial
 
 import (
@@ -18,25 +18,26 @@
 const (
 	// hop is the time that a message takes between two processes.
 	hop = 1500 * time.Microsecond
-	// pollEvery is how often each engine's load is read.
-	pollEvery = 250 * time.Millisecond
-	// tickEvery is how often a policy may act of its own accord.
-	tickEvery = 50 * time.Millisecond
-	// runMost ends a run that does not come to an end.
-	runMost = 30 * time.Minute
-	// retryUnplaced is how long a request waits that no engine could take.
-	retryUnplaced = 250 * time.Millisecond
+	// pollInterval is the interval at which each engine's load is read.
+	pollInterval = 250 * time.Millisecond
+	// tickInterval is the interval at which Policy.Tick is called.
+	tickInterval = 50 * time.Millisecond
+	// maxRunTime is the virtual time after which a run is stopped with requests still open.
+	maxRunTime = 30 * time.Minute
+	// placementRetryInterval is how long a request that no engine could take waits before
+	// the entry tries again.
+	placementRetryInterval = 250 * time.Millisecond
 )
 
 // Policy decides where requests run. Its methods are called in virtual time.
 type Policy interface {
-	// Arrive takes a request that has come to its entry.
+	// Arrive handles a request that has arrived at its entry.
 	Arrive(r *Request)
-	// Report takes an engine's lagging report.
+	// Report handles an engine's load report, which is delayed by Workload.ReportLag.
 	Report(engine int, r placement.Report)
-	// Ended tells that an attempt has ended; whole is false if it was lost.
-	Ended(r *Request, id string, engine, tokens int, whole bool)
-	// Tick tells that time has passed.
+	// Ended is called when an attempt has ended; complete is false if it was lost.
+	Ended(r *Request, id string, engine, tokens int, complete bool)
+	// Tick is called every tickInterval.
 	Tick()
 }
 
@@ -57,15 +58,18 @@
 	events  eventHeap
 	seq     int
 	measure *measure
-	open    int
-	// live holds the attempts that have been sent to an engine.
+	// openCount is the number of requests without an outcome.
+	openCount int
+	// live holds the attempts that were sent to an engine and have not ended, by attempt id.
 	live map[string]*generation
-	// lagged holds each engine's reports that are not out yet.
-	lagged [][]placement.Report
-	// unended holds the requests that have no outcome yet.
-	unended map[*Request]bool
+	// delayedReports holds, for each engine, the reports that are still being delayed,
+	// oldest first.
+	delayedReports [][]placement.Report
+	// openRequests holds the requests without an outcome.
+	openRequests map[*Request]bool
 }
 
+// event is a call at a point in virtual time; seq keeps the order of calls at the same time.
 type event struct {
 	at  time.Duration
 	seq int
@@ -88,20 +92,21 @@
 	return last
 }
 
-// at schedules a call.
+// at schedules a call at a point in virtual time.
 func (r *Run) at(when time.Duration, do func()) {
 	r.seq++
 	heap.Push(&r.events, event{at: when, seq: r.seq, do: do})
 }
 
+// after schedules a call after a delay.
 func (r *Run) after(d time.Duration, do func()) { r.at(r.now+d, do) }
 
 // Play runs a workload under a policy and returns its figures.
 func Play(w Workload, m Maker, seed uint64) Result {
 	r := &Run{
 		work: w, byName: map[string]int{}, rng: rand.New(rand.NewPCG(seed, 1)),
-		measure: newMeasure(m.Name), live: map[string]*generation{}, lagged: make([][]placement.Report, len(w.Engines)),
-		unended: map[*Request]bool{},
+		measure: newMeasure(m.Name), live: map[string]*generation{}, delayedReports: make([][]placement.Report, len(w.Engines)),
+		openRequests: map[*Request]bool{},
 	}
 	for i, spec := range w.Engines {
 		name := fmt.Sprintf("engine-%02d", i)
@@ -110,7 +115,7 @@
 	}
 	r.policy = m.Make(r)
 	r.schedule(w.Requests(seed))
-	for len(r.events) > 0 && r.open > 0 && r.now < runMost {
+	for len(r.events) > 0 && r.openCount > 0 && r.now < maxRunTime {
 		e := heap.Pop(&r.events).(event)
 		r.now = e.at
 		e.do()
@@ -118,36 +123,37 @@
 	for _, e := range r.engines {
 		r.measure.result.Preemptions += e.preemptions
 	}
-	r.measure.result.Unanswered = r.open
-	r.endRest()
+	r.measure.result.Unanswered = r.openCount
+	r.endOpenRequests()
 	return r.measure.finish(w.Length)
 }
 
+// schedule schedules the polls, the ticks, the requests and the workload's faults.
 func (r *Run) schedule(requests []*Request) {
-	r.open = len(requests)
+	r.openCount = len(requests)
 	for i := range r.engines {
 		r.poll(i)
 	}
-	r.at(tickEvery, r.tick)
+	r.at(tickInterval, r.tick)
 	for _, q := range requests {
-		r.unended[q] = true
+		r.openRequests[q] = true
 		r.at(q.At+hop, func() { r.arrive(q) })
 	}
 	r.at(r.work.Length, r.countBacklog)
 	if r.work.Leaving.Every > 0 {
-		r.at(r.work.Leaving.First, r.depart)
+		r.at(r.work.Leaving.First, r.giveNotice)
 	}
 	if r.work.Failing.Every > 0 {
-		r.at(r.work.Failing.First, r.turnFailing)
+		r.at(r.work.Failing.First, r.startFailing)
 	}
 	if r.work.Cordoning.For > 0 {
-		r.at(r.work.Cordoning.First, r.cordon)
+		r.at(r.work.Cordoning.First, r.cordonDataCentre)
 	}
 	if r.work.Crashes.Every > 0 {
-		r.at(r.work.Crashes.First, r.crash)
+		r.at(r.work.Crashes.First, r.crashEngines)
 	}
 	if r.work.Slowing.Every > 0 {
-		r.at(r.work.Slowing.First, r.turnSlow)
+		r.at(r.work.Slowing.First, r.startSlowing)
 	}
 	if r.work.Shutdown.At > 0 {
 		r.at(r.work.Shutdown.At, r.shutDown)
@@ -157,58 +163,60 @@
 	}
 	if r.work.ReclaimAt > 0 {
 		r.at(r.work.ReclaimAt, func() { r.engines[0].leaving = true })
-		r.at(r.work.ReclaimAt+reclaimNotice, func() { r.engines[0].reclaim(LostLeaving) })
+		r.at(r.work.ReclaimAt+reclaimNotice, func() { r.engines[0].kill(LostLeaving) })
 	}
 }
 
-// endRest ends the requests that have no outcome when the run is over.
-func (r *Run) endRest() {
+// endOpenRequests records the fate Unended for requests without an outcome at the end of
+// the run.
+func (r *Run) endOpenRequests() {
 	byNumber := func(a, b *Request) int { return a.Number - b.Number }
-	for _, q := range slices.SortedFunc(maps.Keys(r.unended), byNumber) {
-		r.measure.result.Worth.end(r.now, q, Unended)
+	for _, q := range slices.SortedFunc(maps.Keys(r.openRequests), byNumber) {
+		r.measure.result.Worth.add(r.now, q, Unended)
 	}
 }
 
-// end enters a request's fate; it has an outcome now.
+// end records the fate of an open request and closes it.
 func (r *Run) end(q *Request, f Fate) {
-	if !r.unended[q] {
+	if !r.openRequests[q] {
 		return
 	}
-	delete(r.unended, q)
-	r.open--
-	r.measure.result.Worth.end(r.now, q, f)
+	delete(r.openRequests, q)
+	r.openCount--
+	r.measure.result.Worth.add(r.now, q, f)
 }
 
+// countBacklog records how many open requests have no first token.
 func (r *Run) countBacklog() {
 	started := 0
 	for _, g := range r.live {
-		if g.last > 0 {
+		if g.lastTokenAt > 0 {
 			started++
 		}
 	}
-	r.measure.result.Backlog = r.open - started
+	r.measure.result.Backlog = r.openCount - started
 }
 
 func (r *Run) tick() {
 	r.policy.Tick()
-	r.after(tickEvery, r.tick)
+	r.after(tickInterval, r.tick)
 }
 
-// poll reads an engine's load; what comes out is ReportLag old, but whether
-// the engine leaves is known at once.
+// poll reads an engine's load and passes the policy a report that is ReportLag old. Only
+// the report's Leaving is current.
 func (r *Run) poll(i int) {
 	e := r.engines[i]
 	if e.dead {
 		return
 	}
-	r.lagged[i] = append(r.lagged[i], e.report())
-	if behind := int(r.work.ReportLag / pollEvery); len(r.lagged[i]) > behind+1 {
-		r.lagged[i] = r.lagged[i][1:]
+	r.delayedReports[i] = append(r.delayedReports[i], e.report())
+	if behind := int(r.work.ReportLag / pollInterval); len(r.delayedReports[i]) > behind+1 {
+		r.delayedReports[i] = r.delayedReports[i][1:]
 	}
-	report := r.lagged[i][0]
+	report := r.delayedReports[i][0]
 	report.Leaving = e.leaving
 	r.policy.Report(i, report)
-	r.after(pollEvery, func() { r.poll(i) })
+	r.after(pollInterval, func() { r.poll(i) })
 }
 
 // dispatch sends a new attempt of a request to an engine.
@@ -217,35 +225,36 @@
 	r.live[id] = g
 	r.after(hop, func() {
 		switch e := r.engines[engine]; {
-		case r.live[id] != g: // its instance has died meanwhile
+		case r.live[id] != g: // the attempt has ended meanwhile, e.g. its entry has died
 		case e.dead:
-			r.lost(g, LostLeaving)
-		case !r.fails(g):
+			r.endLost(g, LostLeaving)
+		case !r.failIfChosen(g):
 			e.submit(g)
 		}
 	})
 }
 
-// nextAttempt names a new attempt of a request.
+// nextAttempt returns the id of a new attempt of a request.
 func (q *Request) nextAttempt() string {
-	q.tries++
-	return fmt.Sprintf("%s/%d", q.ID, q.tries)
+	q.attempts++
+	return fmt.Sprintf("%s/%d", q.ID, q.attempts)
 }
 
+// finished handles a complete generation.
 func (r *Run) finished(g *generation) {
 	if g.abandoned {
 		return
 	}
 	delete(r.live, g.id)
-	r.open--
-	delete(r.unended, g.req)
+	r.openCount--
+	delete(r.openRequests, g.req)
 	r.measure.done(r.now, g)
 	r.policy.Ended(g.req, g.id, g.engine, g.tokens, true)
 }
 
-// lost ends an attempt whose engine died. Without a token out, or if it may run
-// again, the request is placed again; else its answer stays partial.
-func (r *Run) lost(g *generation, f Fate) {
+// endLost ends an attempt whose engine died. If no token was produced or the request may be
+// repeated, the request is placed again; otherwise its answer stays partial.
+func (r *Run) endLost(g *generation, f Fate) {
 	if g.abandoned {
 		return
 	}
@@ -259,35 +268,37 @@
 	r.after(hop, func() { r.policy.Arrive(g.req) })
 }
 
-// mayRepeat reports whether a request that was lost is sent again.
-func (r *Run) mayRepeat(q *Request) bool { return q.Repeatable && q.tries <= 1 }
+// mayRepeat reports whether a lost request is sent again: it is repeatable and has had at
+// most one attempt.
+func (r *Run) mayRepeat(q *Request) bool { return q.Repeatable && q.attempts <= 1 }
 
-// refuse tells a caller that its request was not run and when to come back.
+// refuse refuses a request. If Workload.Return is set and a retry delay is given, the caller
+// sends the request again after it.
 func (r *Run) refuse(q *Request, retryAfter time.Duration) {
 	r.measure.result.Refused++
-	if r.now-q.asked > 4*hop {
+	if r.now-q.lastSent > 4*hop {
 		r.measure.result.Late++
 	}
 	if !r.work.Return || retryAfter <= 0 {
 		r.end(q, TurnedAway)
 		return
 	}
-	if q.returns == 0 {
+	if q.returnCount == 0 {
 		r.measure.result.Returned++
 	}
-	q.returns++
+	q.returnCount++
 	r.after(retryAfter, func() {
-		q.asked = r.now
+		q.lastSent = r.now
 		r.after(hop, func() { r.policy.Arrive(q) })
 	})
 }
 
-// beginner is a policy that hears of first tokens.
-type beginner interface{ Began(g *generation) }
+// firstTokenObserver is a policy that is notified of the first token of each attempt.
+type firstTokenObserver interface{ Began(g *generation) }
 
-// began tells the policy that a first token has come.
-func (r *Run) began(g *generation) {
-	if p, ok := r.policy.(beginner); ok && !g.abandoned {
+// notifyFirstToken notifies the policy that a generation has produced its first token.
+func (r *Run) notifyFirstToken(g *generation) {
+	if p, ok := r.policy.(firstTokenObserver); ok && !g.abandoned {
 		p.Began(g)
 	}
 }
--- a/internal/trial/shared.go
+++ b/internal/trial/shared.go
@@ -7,68 +7,70 @@
 	"mulberrylug.example/mulberrylug/internal/core/placement"
 )
 
-// separate runs a placement.Home at each entry for its own requests alone, the
-// way that was weighed against one home for a pool. Entries may tell each
-// other what they run.
-type separate struct {
-	run     *Run
-	entries []*homes
-	// tell is how often entries tell all others what they run, 0 for never.
-	tell time.Duration
-	told time.Duration
+// homePerEntry runs a placement.Home at each entry for the requests of that entry: the
+// alternative design to one home for a pool. Entries may announce their running attempts to
+// each other.
+type homePerEntry struct {
+	run   *Run
+	homes []*soleHome
+	// interval is the interval at which entries announce their running attempts to all
+	// others; with 0 they never do.
+	interval   time.Duration
+	lastGossip time.Duration
 }
 
-// EntriesAlone gives each entry a home of its own that learns of the others'
-// work from the engines' lagging reports only.
-func EntriesAlone(weights config.Weights) Maker { return separateMaker("entries", weights, 0) }
+// EntriesAlone returns a policy with one home per entry. A home sees the work of other
+// entries only in the engines' delayed reports.
+func EntriesAlone(weights config.Weights) Maker { return perEntryMaker("entries", weights, 0) }
 
-// gossipEvery is how often entries tell each other what they run.
-const gossipEvery = 250 * time.Millisecond
+// gossipInterval is the interval at which Gossip's entries announce their running attempts
+// to each other.
+const gossipInterval = 250 * time.Millisecond
 
-// Gossip gives each entry a home of its own and lets them tell each other,
-// every quarter second, what they run.
-func Gossip(weights config.Weights) Maker { return separateMaker("gossip", weights, gossipEvery) }
+// Gossip returns a policy with one home per entry. Entries announce their running attempts
+// to each other every quarter of a second.
+func Gossip(weights config.Weights) Maker { return perEntryMaker("gossip", weights, gossipInterval) }
 
-func separateMaker(name string, weights config.Weights, tell time.Duration) Maker {
+func perEntryMaker(name string, weights config.Weights, interval time.Duration) Maker {
 	return Maker{Name: name, Make: func(r *Run) Policy {
-		s := &separate{run: r, tell: tell}
+		s := &homePerEntry{run: r, interval: interval}
 		for range r.work.Entries {
-			s.entries = append(s.entries, newHomes(r, placement.Settings{Weights: weights, Engine: true}))
+			s.homes = append(s.homes, newSoleHome(r, placement.Settings{Weights: weights, Engine: true}))
 		}
 		return s
 	}}
 }
 
 // Arrive implements Policy.
-func (s *separate) Arrive(q *Request) { s.entries[q.Entry].Arrive(q) }
+func (s *homePerEntry) Arrive(q *Request) { s.homes[q.Entry].Arrive(q) }
 
 // Report implements Policy.
-func (s *separate) Report(engine int, r placement.Report) {
-	for _, e := range s.entries {
+func (s *homePerEntry) Report(engine int, r placement.Report) {
+	for _, e := range s.homes {
 		e.Report(engine, r)
 	}
 }
 
 // Ended implements Policy.
-func (s *separate) Ended(q *Request, id string, engine, tokens int, whole bool) {
-	for i, e := range s.entries {
-		if i == q.Entry || s.tell > 0 {
-			e.Ended(q, id, engine, tokens, whole)
+func (s *homePerEntry) Ended(q *Request, id string, engine, tokens int, complete bool) {
+	for i, e := range s.homes {
+		if i == q.Entry || s.interval > 0 {
+			e.Ended(q, id, engine, tokens, complete)
 		}
 	}
 }
 
 // Tick implements Policy.
-func (s *separate) Tick() {
-	for i, e := range s.entries {
-		e.act(e.home.Tick(e.now()))
-		e.announce(announceEvery, func(q *Request) bool { return q.Entry == i })
+func (s *homePerEntry) Tick() {
+	for i, e := range s.homes {
+		e.apply(e.home.Tick(e.now()))
+		e.announce(announceInterval, func(q *Request) bool { return q.Entry == i })
 	}
-	if s.tell == 0 || s.run.now-s.told < s.tell {
+	if s.interval == 0 || s.run.now-s.lastGossip < s.interval {
 		return
 	}
-	s.told = s.run.now
-	for i, e := range s.entries {
+	s.lastGossip = s.run.now
+	for i, e := range s.homes {
 		e.announce(0, func(q *Request) bool { return q.Entry != i })
 	}
 }
--- a/internal/trial/sweep.go
+++ b/internal/trial/sweep.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// drainedWithin is how long after the last arrival the last request must have
-// its first token for the queues to count as emptied: the configuration's
-// default for the longest that a request may queue.
-const drainedWithin = 20 * time.Second
+// maxDrainTime is the maximum time from the end of the arrivals until the last first token
+// for the queues to count as emptied. It equals the configuration's default for the longest
+// time that a request may queue.
+const maxDrainTime = 20 * time.Second
 
-// Emptied tells whether the queues emptied: the policy kept up with arrivals.
+// Emptied reports whether the queues emptied, that is, the policy sustained the arrival rate.
 func (r Result) Emptied() bool {
-	return r.Unanswered == 0 && r.Drained <= drainedWithin
+	return r.Unanswered == 0 && r.Drained <= maxDrainTime
 }
 
-// Parallel calls f for 0 to n-1, one call for each processor at a time.
+// Parallel calls f for 0 to n-1, with at most GOMAXPROCS calls at a time.
 func Parallel(n int, f func(i int)) {
 	var wg sync.WaitGroup
 	next := make(chan int)
@@ -35,15 +35,16 @@
 	wg.Wait()
 }
 
-// Seeds plays a workload once for each seed, in parallel.
+// Seeds runs a workload once for each seed, in parallel.
 func Seeds(w Workload, m Maker, seeds []uint64) []Result {
 	out := make([]Result, len(seeds))
 	Parallel(len(seeds), func(i int) { out[i] = Play(w, m, seeds[i]) })
 	return out
 }
 
-// DrainingRate returns the highest rate in requests a second, to within a 64th
-// of the range, at which the policy empties its queues for most seeds.
+// DrainingRate searches the range from low to high for the highest rate, in requests per
+// second and to within a 64th of the range, at which the policy empties its queues for more
+// than half of the seeds.
 func DrainingRate(w Workload, m Maker, seeds []uint64, low, high float64) float64 {
 	for range 6 {
 		w.Rate = (low + high) / 2
@@ -62,7 +63,8 @@
 	return low
 }
 
-// Median returns the result with each figure the median over the given ones.
+// Median returns a result in which these figures are the medians over the given results; all
+// other fields are those of the first result.
 func Median(list []Result) Result {
 	m := list[0]
 	m.Stall = median(list, func(r Result) time.Duration { return r.Stall })
--- a/internal/trial/trial_test.go
+++ b/internal/trial/trial_test.go
@@ -6,23 +6,24 @@
 	"time"
 )
 
-func small() Workload {
+// smallWorkload returns a short run of Heavy at a fixed rate.
+func smallWorkload() Workload {
 	w := Heavy()
 	w.Length, w.Rate = 30*time.Second, 12
 	return w
 }
 
-func TestPlayIsRepeatable(t *testing.T) {
+func TestPlayIsDeterministic(t *testing.T) {
 	for _, m := range Baselines() {
-		a, b := Play(small(), m, 7), Play(small(), m, 7)
+		a, b := Play(smallWorkload(), m, 7), Play(smallWorkload(), m, 7)
 		if !reflect.DeepEqual(a, b) {
-			t.Errorf("%s: two runs of one seed differ:\n%s\n%s", m.Name, a.Line("-", 1), b.Line("-", 1))
+			t.Errorf("%s: two runs with the same seed differ:\n%s\n%s", m.Name, a.Line("-", 1), b.Line("-", 1))
 		}
 	}
 }
 
-// Every policy must give every request of every workload an outcome, also
-// those that ran on an engine that was reclaimed.
+// Every request of every workload must get an outcome under every policy, also if it ran on an
+// engine that ended at short notice.
 func TestEveryRequestEnds(t *testing.T) {
 	for _, w := range []Workload{Heavy(), Steady(), Bursty(), Shift(), Prefixes(), Greedy(), Unequal(), Reclaimed()} {
 		w.Length, w.Rate = 30*time.Second, 12
@@ -31,7 +32,7 @@
 		for _, m := range Baselines() {
 			r := Play(w, m, 3)
 			if r.Unanswered != 0 || r.Done+r.Partial != sent {
-				t.Errorf("%s %s: sent %d: %s", w.Name, m.Name, sent, r.Line("-", 1))
+				t.Errorf("%s under %s: not all of %d requests are done or partial: %s", w.Name, m.Name, sent, r.Line("-", 1))
 			}
 		}
 	}
@@ -43,6 +44,6 @@
 	w.Length, w.Rate = 20*time.Second, 10
 	r := Play(w, Baselines()[0], 1)
 	if r.Preemptions == 0 || r.LongestP99 < GapThreshold {
-		t.Errorf("an overfull engine must preempt and the gaps show it: %s", r.Line("-", 1))
+		t.Errorf("want preemptions on an overloaded engine, and a p99 of the longest gaps of at least GapThreshold: %s", r.Line("-", 1))
 	}
 }
--- a/internal/trial/workload.go
+++ b/internal/trial/workload.go
@@ -12,118 +12,129 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Request is one caller's request with what only the engine may know: Output.
+// Request is one caller's request. Output is known only to the engine and the oracle.
 type Request struct {
 	Number int
 	ID     string
 	Org    string
-	// Account is the organisation that the system sees, if that is not Org: each
-	// sends requests of all kinds then.
+	// Account is the organisation that the system sees. It differs from Org if
+	// Workload.Accounts is set: each account then sends requests of all kinds.
 	Account string
-	Entry   int
-	// At is when the caller sent it, counted from the start of the run.
+	// Entry is the index of the entry that the caller is connected to.
+	Entry int
+	// At is when the caller first sent the request, from the start of the run.
 	At time.Duration
-	// Prompt, Output and MaxOutput are in tokens.
+	// Prompt, Output and MaxOutput are the lengths of the prompt and the answer and the limit
+	// of the answer, in tokens.
 	Prompt    int
 	Output    int
 	MaxOutput int
 	// Expected is the caller's own estimate of Output, 0 if it gives none.
 	Expected int
-	Prefix   []uint64
-	// Fingerprint names the body, also when the caller comes back with it.
+	// Prefix lists the hashes of the prompt's blocks that other requests share.
+	Prefix []uint64
+	// Fingerprint identifies the body; it is the same when the caller sends it again.
 	Fingerprint uint64
-	// Worth is what its caller has of a whole answer that is on time, LateShare
-	// the part of that if it is late, FirstTarget when the first token is due.
+	// Worth is the value for the caller of a complete answer that is on time, LateShare the
+	// fraction of it that a late answer keeps, FirstTarget the longest wait for the first
+	// token of an answer that is on time.
 	Worth       float64
 	LateShare   float64
 	FirstTarget time.Duration
-	// Repeatable requests are sent again if they are lost.
+	// Repeatable is set if the request is sent again, once, when its attempt is lost.
 	Repeatable bool
 
-	// asked is when the caller last asked, returns how often it came back.
-	asked   time.Duration
-	returns int
-	tries   int
+	// lastSent is when the caller last sent the request, returnCount how often it came back
+	// after a refusal, attempts how many attempts were made.
+	lastSent    time.Duration
+	returnCount int
+	attempts    int
 }
 
-// Org describes the requests of one organisation. Lengths are log-normal.
+// Org describes the requests of one organisation. Lengths, in tokens, are log-normally
+// distributed.
 type Org struct {
 	Name string
-	// Share is this organisation's part of the requests, relative to the others'.
+	// Share is this organisation's share of the requests, relative to the other shares.
 	Share        float64
 	PromptMedian float64
 	PromptSigma  float64
-	Median       float64
-	Sigma        float64
-	// Shared is how many prompt tokens all its requests have in common.
+	// Median and Sigma describe the lengths of answers.
+	Median float64
+	Sigma  float64
+	// Shared is the number of prompt tokens that all its requests have in common.
 	Shared int
-	// MaxPrompt and MaxOutput bound its prompts and answers in tokens; 0 takes
-	// promptMost and the workload's.
+	// MaxPrompt and MaxOutput limit its prompts and answers in tokens; the defaults are
+	// defaultMaxPrompt and Workload.MaxOutput.
 	MaxPrompt int
 	MaxOutput int
-	// Worth is what an answer of mean size is worth; others are worth more or
-	// less as they are longer or shorter. 0 counts as 1.
+	// Worth is the value of an answer of mean size; the value of others is proportional to
+	// their size. Values below 1 count as 1.
 	Worth float64
-	// LateShare is the part of its worth that a late answer keeps, FirstTarget
-	// when the first token is due; 0 takes FirstTokenTarget.
+	// LateShare is the fraction of its value that a late answer keeps, FirstTarget the
+	// longest wait for the first token of an answer on time; FirstTokenTarget by default.
 	LateShare   float64
 	FirstTarget time.Duration
-	// Repeatable requests are sent again, once, if their attempt is lost.
+	// Repeatable makes requests be sent again, once, when their attempt is lost.
 	Repeatable bool
 }
 
-// outputWorth is how many prompt tokens an output token is worth: making it takes
-// an engine about ten times as long.
-const outputWorth = 10
+// outputTokenValue is the value of an output token in prompt tokens: decoding one takes an
+// engine about ten times as long as computing a prompt token.
+const outputTokenValue = 10
 
-// worthOf returns what an answer with so many tokens is worth.
-func (o Org) worthOf(prompt, output int) float64 {
-	mean := logNormalMean(o.PromptMedian, o.PromptSigma) + outputWorth*logNormalMean(o.Median, o.Sigma)
-	return max(o.Worth, 1) * float64(prompt+outputWorth*output) / mean
+// valueOf returns the value of an answer with the given numbers of tokens.
+func (o Org) valueOf(prompt, output int) float64 {
+	mean := logNormalMean(o.PromptMedian, o.PromptSigma) + outputTokenValue*logNormalMean(o.Median, o.Sigma)
+	return max(o.Worth, 1) * float64(prompt+outputTokenValue*output) / mean
 }
 
+// logNormalMean returns the mean of a log-normal distribution.
 func logNormalMean(median, sigma float64) float64 { return median * math.Exp(sigma*sigma/2) }
 
-// Workload describes a run: its engines, its callers and what goes wrong.
+// Workload describes a run: its engines, its callers and its faults.
 type Workload struct {
 	Name    string
 	Engines []EngineSpec
+	// Entries is the number of instances that callers are connected to.
 	Entries int
 	Orgs    []Org
-	// Accounts is the number of organisations that the requests of all Orgs come
-	// from, the first ones larger; 0 makes each of Orgs one.
+	// Accounts is the number of organisations that send the requests of all Orgs; the first
+	// ones send more. With 0 each of Orgs is an organisation.
 	Accounts int
-	// Rate is in requests a second, Length how long requests arrive.
+	// Rate is in requests per second, Length how long requests arrive.
 	Rate   float64
 	Length time.Duration
-	// MaxOutput bounds each answer in tokens.
+	// MaxOutput limits each answer, in tokens.
 	MaxOutput int
-	// BurstFactor multiplies the rate during BurstOn of each BurstEvery, with
-	// the mean rate kept. 0 or 1 means none.
+	// BurstFactor multiplies the rate during burstOn of each burstEvery; the rate is lower
+	// otherwise, so that the mean is kept. 0 or 1 means no bursts.
 	BurstFactor float64
-	// ShiftAt multiplies each median by ShiftFactor from then on.
+	// ShiftAt is the time from which on the medians of the answers are multiplied by
+	// ShiftFactor; 0 means never.
 	ShiftAt     time.Duration
 	ShiftFactor float64
-	// ReclaimAt is when the first engine gets notice; it dies reclaimNotice later.
+	// ReclaimAt is when the first engine gets notice, 0 for never; the engine ends
+	// reclaimNotice later.
 	ReclaimAt time.Duration
 	// MaxWait is the longest a request may queue before its first token.
 	MaxWait time.Duration
-	// Leaving makes engines leave and join, Links carry what runs on them.
+	// Leaving makes engines leave and join, Links carries copies of their generations.
 	Leaving Leaving
 	Links   Links
-	// Failing and Crashes are what engines do besides.
+	// Failing, Crashes and Slowing are other faults of engines.
 	Failing Failing
 	Crashes Crashes
-	// Cordoning takes a data centre out of service.
+	// Cordoning cordons a data centre.
 	Cordoning Cordoning
 	Slowing   Slowing
-	// Shutdown and EntryLoss are what happens to the instances.
+	// Shutdown and EntryLoss are faults of the instances.
 	Shutdown  Shutdown
 	EntryLoss EntryLoss
-	// HintSigma spreads the callers' estimates of their outputs around the
-	// truth; 0 means that they give none.
+	// HintSigma is the sigma of the log-normal error of the callers' estimates of their
+	// outputs; 0 means that they give none.
 	HintSigma float64
-	// Return makes refused callers come back when told.
+	// Return makes refused callers come back after the retry delay.
 	Return bool
 	// ReportLag is the age of the load in an engine's report.
 	ReportLag time.Duration
@@ -133,19 +144,20 @@
 	burstEvery    = 40 * time.Second
 	burstOn       = 10 * time.Second
 	reclaimNotice = 5 * time.Second
-	// patient is a MaxWait that no run reaches.
-	patient = time.Hour
-	// promptMost bounds prompts in tokens where their organisation does not.
-	promptMost = 4_000
+	// unlimitedWait is a MaxWait that is longer than any run.
+	unlimitedWait = time.Hour
+	// defaultMaxPrompt limits prompts, in tokens, where Org.MaxPrompt is 0.
+	defaultMaxPrompt = 4_000
 )
 
-// standardEngine is the engine that the figures in docs/PLACEMENT.md are for.
+// standardEngine is the engine for which docs/PLACEMENT.md gives figures.
 var standardEngine = EngineSpec{
 	Capacity: 16_000, MaxBatch: 64, Chunk: 512,
 	Base: 12 * time.Millisecond, PerDecode: 400 * time.Microsecond, PerPrompt: 30 * time.Microsecond,
 }
 
-func engines(n int) []EngineSpec {
+// standardEngines returns n standard engines.
+func standardEngines(n int) []EngineSpec {
 	out := make([]EngineSpec, n)
 	for i := range out {
 		out[i] = standardEngine
@@ -153,8 +165,8 @@
 	return out
 }
 
-// tenOrgs are organisations whose answers differ in length, as clerks who
-// classify and designers who draft do.
+// tenOrgs returns organisations whose answers differ in length, from short classifications to
+// long drafts.
 func tenOrgs() []Org {
 	medians := []float64{30, 50, 80, 120, 160, 200, 260, 350, 500, 700}
 	out := make([]Org, len(medians))
@@ -167,15 +179,15 @@
 	return out
 }
 
-// Heavy is the workload with heavy-tailed answers.
+// Heavy returns a workload with a heavy-tailed distribution of answer lengths.
 func Heavy() Workload {
 	return Workload{
-		Name: "heavy", Engines: engines(12), Entries: 12, Orgs: tenOrgs(), Length: 300 * time.Second,
-		MaxOutput: 8_000, MaxWait: patient, ReportLag: time.Second,
+		Name: "heavy", Engines: standardEngines(12), Entries: 12, Orgs: tenOrgs(), Length: 300 * time.Second,
+		MaxOutput: 8_000, MaxWait: unlimitedWait, ReportLag: time.Second,
 	}
 }
 
-// Steady has answers of similar length.
+// Steady returns Heavy with answers of similar length.
 func Steady() Workload {
 	w := Heavy()
 	w.Name = "steady"
@@ -185,21 +197,21 @@
 	return w
 }
 
-// Bursty multiplies the rate for a quarter of the time.
+// Bursty returns Heavy with twice the rate for a quarter of the time.
 func Bursty() Workload {
 	w := Heavy()
 	w.Name, w.BurstFactor = "bursty", 2
 	return w
 }
 
-// Shift doubles the answers' lengths in mid-run.
+// Shift returns Heavy with answer lengths that double in mid-run.
 func Shift() Workload {
 	w := Heavy()
 	w.Name, w.ShiftAt, w.ShiftFactor = "shift", w.Length/2, 2
 	return w
 }
 
-// Prefixes has long shared prompts.
+// Prefixes returns Heavy with long shared prompt prefixes.
 func Prefixes() Workload {
 	w := Heavy()
 	w.Name = "prefixes"
@@ -209,10 +221,10 @@
 	return w
 }
 
-// GreedyOrg is the organisation that Greedy makes greedy.
+// GreedyOrg is the organisation that sends half of all requests in Greedy.
 const GreedyOrg = "org-4"
 
-// Greedy has one organisation that sends as much as all others together.
+// Greedy returns Heavy with one organisation that sends as much as all others together.
 func Greedy() Workload {
 	w := Heavy()
 	w.Name = "greedy"
@@ -220,7 +232,7 @@
 	return w
 }
 
-// Unequal has engines of three sizes.
+// Unequal returns Heavy with engines of three memory sizes.
 func Unequal() Workload {
 	w := Heavy()
 	w.Name = "unequal"
@@ -230,34 +242,37 @@
 	return w
 }
 
-// Reclaimed loses an engine at short notice.
+// Reclaimed returns Heavy with an engine that leaves at short notice in mid-run.
 func Reclaimed() Workload {
 	w := Heavy()
 	w.Name, w.ReclaimAt = "reclaimed", w.Length/2
 	return w
 }
 
-// Overload has callers who accept a refusal and come back when told.
+// Overload returns Heavy with a short maximum wait and with refused callers that come back
+// after the retry delay.
 func Overload() Workload {
 	w := Heavy()
 	w.Name, w.MaxWait, w.Return = "overload", 1500*time.Millisecond, true
 	return w
 }
 
-// Requests draws the workload's requests. The same seed gives the same ones.
+// Requests draws the workload's requests. The same seed gives the same requests.
 func (w Workload) Requests(seed uint64) []*Request {
 	rng := rand.New(rand.NewPCG(seed, xxhash.Sum64String(w.Name)))
 	var out []*Request
-	for at := w.gap(rng, 0); at < w.Length; at += w.gap(rng, at) {
-		out = append(out, w.request(rng, len(out), at))
+	for at := w.arrivalGap(rng, 0); at < w.Length; at += w.arrivalGap(rng, at) {
+		out = append(out, w.newRequest(rng, len(out), at))
 	}
 	return out
 }
 
-func (w Workload) gap(rng *rand.Rand, at time.Duration) time.Duration {
+// arrivalGap draws the time from at until the next arrival.
+func (w Workload) arrivalGap(rng *rand.Rand, at time.Duration) time.Duration {
 	return time.Duration(rng.ExpFloat64() / w.rateAt(at) * float64(time.Second))
 }
 
+// rateAt returns the arrival rate at a point in time, in requests per second.
 func (w Workload) rateAt(at time.Duration) float64 {
 	if w.BurstFactor <= 1 {
 		return w.Rate
@@ -269,26 +284,26 @@
 	return w.Rate * max(quiet, 0.1)
 }
 
-func (w Workload) request(rng *rand.Rand, n int, at time.Duration) *Request {
-	o := w.pick(rng)
+func (w Workload) newRequest(rng *rand.Rand, n int, at time.Duration) *Request {
+	o := w.drawOrg(rng)
 	median := o.Median
 	if w.ShiftAt > 0 && at >= w.ShiftAt {
 		median *= w.ShiftFactor
 	}
-	prompt := o.Shared + logNormal(rng, o.PromptMedian, o.PromptSigma, cmp.Or(o.MaxPrompt, promptMost))
-	most := cmp.Or(o.MaxOutput, w.MaxOutput)
+	prompt := o.Shared + logNormal(rng, o.PromptMedian, o.PromptSigma, cmp.Or(o.MaxPrompt, defaultMaxPrompt))
+	maxOutput := cmp.Or(o.MaxOutput, w.MaxOutput)
 	r := &Request{
-		Number: n, ID: fmt.Sprintf("r%d", n), Org: o.Name, Entry: rng.IntN(w.Entries), At: at, asked: at,
-		Prompt: prompt, MaxOutput: most, Output: logNormal(rng, median, o.Sigma, most),
+		Number: n, ID: fmt.Sprintf("r%d", n), Org: o.Name, Entry: rng.IntN(w.Entries), At: at, lastSent: at,
+		Prompt: prompt, MaxOutput: maxOutput, Output: logNormal(rng, median, o.Sigma, maxOutput),
 		Fingerprint: rng.Uint64(), LateShare: o.LateShare, FirstTarget: cmp.Or(o.FirstTarget, FirstTokenTarget), Repeatable: o.Repeatable,
 	}
-	r.Worth = o.worthOf(r.Prompt, r.Output)
+	r.Worth = o.valueOf(r.Prompt, r.Output)
 	if w.HintSigma > 0 {
-		r.Expected = logNormal(rng, float64(r.Output), w.HintSigma, most)
+		r.Expected = logNormal(rng, float64(r.Output), w.HintSigma, maxOutput)
 	}
 	r.Account = o.Name
 	if w.Accounts > 0 {
-		r.Account = fmt.Sprintf("account-%d", w.account(rng))
+		r.Account = fmt.Sprintf("account-%d", w.drawAccount(rng))
 	}
 	for i := range o.Shared / prefixcache.BlockTokens {
 		r.Prefix = append(r.Prefix, xxhash.Sum64String(fmt.Sprintf("%s/%d", o.Name, i)))
@@ -296,12 +311,14 @@
 	return r
 }
 
-// account draws an organisation: a few send much, most little.
-func (w Workload) account(rng *rand.Rand) int {
+// drawAccount draws the index of an organisation. The distribution is skewed: a few
+// organisations send most of the requests.
+func (w Workload) drawAccount(rng *rand.Rand) int {
 	return int(math.Exp(rng.Float64()*math.Log(float64(w.Accounts+1)))) - 1
 }
 
-func (w Workload) pick(rng *rand.Rand) Org {
+// drawOrg draws one of Orgs by their shares.
+func (w Workload) drawOrg(rng *rand.Rand) Org {
 	total := 0.0
 	for _, o := range w.Orgs {
 		total += o.Share
@@ -315,7 +332,8 @@
 	return w.Orgs[len(w.Orgs)-1]
 }
 
-func logNormal(rng *rand.Rand, median, sigma float64, most int) int {
+// logNormal draws a log-normally distributed number, limited to 1 to limit.
+func logNormal(rng *rand.Rand, median, sigma float64, limit int) int {
 	n := int(median * math.Exp(sigma*rng.NormFloat64()))
-	return max(1, min(n, most))
+	return max(1, min(n, limit))
 }
--- a/internal/trial/worth.go
+++ b/internal/trial/worth.go
@@ -2,46 +2,49 @@
 
 import "time"
 
-// Fate says how a request ended for its caller.
+// Fate is how a request ended for its caller.
 type Fate string
 
 // Fates of requests, in the order in which tables show them.
 const (
-	// InTime: whole, its first token and each pause on time.
+	// InTime: the answer is complete, and its first token and all gaps were on time.
 	InTime Fate = "in_time"
-	// LateFirst and LatePause: whole, but the first token came late, or a pause
-	// was too long.
+	// LateFirst and LatePause: the answer is complete, but the first token was late, or a
+	// gap was longer than SteadyGap.
 	LateFirst Fate = "late_first"
 	LatePause Fate = "late_pause"
-	// LostLeaving, LostCrash, LostFailing: broken off by an engine that left,
-	// crashed, or failed it.
+	// LostLeaving, LostCrash and LostFailing: the answer broke off because its engine left,
+	// crashed, or failed the request.
 	LostLeaving Fate = "lost_leaving"
 	LostCrash   Fate = "lost_crash"
 	LostFailing Fate = "lost_failing"
-	// LostEntry and LostShutdown: broken off as its instance died, or all did.
+	// LostEntry and LostShutdown: the answer broke off because its entry or all instances
+	// died.
 	LostEntry    Fate = "lost_entry"
 	LostShutdown Fate = "lost_shutdown"
-	// TurnedAway: refused, and its caller did not come back.
+	// TurnedAway: the request was refused, and its caller did not come back.
 	TurnedAway Fate = "turned_away"
-	// Unended: without an outcome when the run was over.
+	// Unended: the request had no outcome when the run ended.
 	Unended Fate = "unended"
 )
 
-// Fates lists the fates that cost worth.
+// Fates lists the fates by which value is lost.
 var Fates = []Fate{LateFirst, LatePause, LostLeaving, LostCrash, LostFailing, LostEntry, LostShutdown, TurnedAway, Unended}
 
-// Worth is what the callers of a run were owed, and what they lost of it.
+// Worth is the total value of a run's requests for their callers, and the part of it that was
+// lost.
 type Worth struct {
+	// Owed is the total value of the requests.
 	Owed float64
-	// Lost is the worth lost by each fate; a late answer keeps a part of its.
+	// Lost is the value lost by each fate; a late answer keeps a part of its value.
 	Lost map[Fate]float64
-	// InFlight sums the worth of requests times the seconds from their first ask
-	// to their end: divided by what is owed it is how long a piece of work is
-	// exposed to a loss of all instances.
+	// InFlight sums, over the requests, the value times the seconds from the first send to
+	// the end. Divided by Owed it is the mean time during which a request is exposed to a
+	// loss of all instances.
 	InFlight float64
 }
 
-// Earned is the part of what was owed that callers got, from 0 to 1.
+// Earned returns the fraction of Owed that was not lost, from 0 to 1.
 func (w Worth) Earned() float64 {
 	left := w.Owed
 	for _, lost := range w.Lost {
@@ -50,16 +53,16 @@
 	return left / max(w.Owed, 1)
 }
 
-// LostShare is the part of what was owed that was lost by a fate.
+// LostShare returns the fraction of Owed that was lost by a fate, from 0 to 1.
 func (w Worth) LostShare(f Fate) float64 { return w.Lost[f] / max(w.Owed, 1) }
 
-// Exposure is the mean time in flight, weighted by worth.
+// Exposure returns the mean time in flight of the requests, weighted by their value.
 func (w Worth) Exposure() time.Duration {
 	return time.Duration(w.InFlight / max(w.Owed, 1) * float64(time.Second))
 }
 
-// end enters how a request has ended.
-func (w *Worth) end(now time.Duration, q *Request, f Fate) {
+// add records a request that ended with a fate.
+func (w *Worth) add(now time.Duration, q *Request, f Fate) {
 	w.Owed += q.Worth
 	w.InFlight += q.Worth * (now - q.At).Seconds()
 	switch f {
@@ -71,12 +74,12 @@
 	}
 }
 
-// fate judges a whole answer.
+// fate classifies a complete answer.
 func (g *generation) fate() Fate {
 	switch {
-	case g.firstAt-g.req.At > g.req.FirstTarget:
+	case g.firstTokenAt-g.req.At > g.req.FirstTarget:
 		return LateFirst
-	case g.longest > SteadyGap:
+	case g.longestGap > SteadyGap:
 		return LatePause
 	}
 	return InTime
