--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -124,7 +124,7 @@
 	OutputMost int `yaml:"output_most"`
 	// Worth is the value of an answer of mean size, 1 by default. A late answer keeps the
 	// fraction LateShare of its value. An answer is late if its first token takes longer than
-	// FirstTarget, 1.8 s by default.
+	// FirstTarget, 1.8 s by default, or a gap is longer than trial.SteadyGap.
 	Worth       float64       `yaml:"worth"`
 	LateShare   float64       `yaml:"late_share" validate:"gte=0,lte=1"`
 	FirstTarget time.Duration `yaml:"first_target"`
--- a/internal/trial/workload.go
+++ b/internal/trial/workload.go
@@ -36,8 +36,8 @@
 	// Fingerprint identifies the body; it is the same when the caller sends it again.
 	Fingerprint uint64
 	// Worth is the value for the caller of a complete answer that is on time, LateShare the
-	// fraction of it that a late answer keeps, FirstTarget the longest wait for the first
-	// token of an answer that is on time.
+	// fraction of it that a late answer keeps, FirstTarget the longest time from At to the
+	// first token of an answer that is on time.
 	Worth       float64
 	LateShare   float64
 	FirstTarget time.Duration
