--- a/internal/trial/engine.go
+++ b/internal/trial/engine.go
@@ -47,8 +47,8 @@
 	// abandoned is set once the generation's entry has died: the engine continues, but no
 	// caller receives the tokens.
 	abandoned bool
-	// copiedTokens is how many of the generation's tokens have been copied to the engine
-	// with the index copyEngine.
+	// copiedTokens is the size of the copy, complete or in progress, at the engine with the
+	// index copyEngine; 0 without a copy.
 	copiedTokens int
 	copyEngine   int
 }
--- a/internal/trial/homes.go
+++ b/internal/trial/homes.go
@@ -13,9 +13,9 @@
 // to the home.
 const announceInterval = time.Second
 
-// soleHome runs the production placement.Home as the only home of all engines, with a
-// message delay between home and entries.
-type soleHome struct {
+// simHome runs the production placement.Home for all engines, with a message delay between
+// home and entries. Homes has one home for all entries, homePerEntry one for each.
+type simHome struct {
 	run  *Run
 	home *placement.Home
 	// waiting holds the requests without a decision, by attempt id.
@@ -26,17 +26,17 @@
 // Homes returns the project's own placement policy with a deployment's weights.
 func Homes(name string, weights config.Weights) Maker {
 	return Maker{Name: name, Make: func(r *Run) Policy {
-		return newSoleHome(r, placement.Settings{Weights: weights, Engine: true})
+		return newSimHome(r, placement.Settings{Weights: weights, Engine: true})
 	}}
 }
 
-func newSoleHome(r *Run, s placement.Settings) *soleHome {
-	return &soleHome{run: r, waiting: map[string]*Request{}, home: placement.NewHome(s)}
+func newSimHome(r *Run, s placement.Settings) *simHome {
+	return &simHome{run: r, waiting: map[string]*Request{}, home: placement.NewHome(s)}
 }
 
-func (h *soleHome) now() time.Time { return time.Unix(0, int64(h.run.now)) }
+func (h *simHome) now() time.Time { return time.Unix(0, int64(h.run.now)) }
 
-func (h *soleHome) ask(q *Request, id string) placement.Ask {
+func (h *simHome) ask(q *Request, id string) placement.Ask {
 	return placement.Ask{
 		Attempt: id, Org: q.Org, Fingerprint: q.Fingerprint, Prompt: q.Prompt, MaxOutput: q.MaxOutput,
 		Prefix: q.Prefix, MaxWait: h.run.work.MaxWait,
@@ -44,29 +44,29 @@
 }
 
 // Arrive implements Policy.
-func (h *soleHome) Arrive(q *Request) {
+func (h *simHome) Arrive(q *Request) {
 	id := q.nextAttempt()
 	h.waiting[id] = q
 	h.run.after(hop, func() { h.apply(h.home.Ask(h.now(), h.ask(q, id))) })
 }
 
 // Report implements Policy.
-func (h *soleHome) Report(_ int, r placement.Report) { h.apply(h.home.Report(h.now(), h.now(), r)) }
+func (h *simHome) Report(_ int, r placement.Report) { h.apply(h.home.Report(h.now(), h.now(), r)) }
 
 // Ended implements Policy.
-func (h *soleHome) Ended(_ *Request, id string, _, tokens int, complete bool) {
+func (h *simHome) Ended(_ *Request, id string, _, tokens int, complete bool) {
 	h.run.after(hop, func() { h.apply(h.home.End(h.now(), id, tokens, complete)) })
 }
 
 // Tick implements Policy.
-func (h *soleHome) Tick() {
+func (h *simHome) Tick() {
 	h.apply(h.home.Tick(h.now()))
 	h.announce(announceInterval, func(*Request) bool { return true })
 }
 
 // announce sends the home the token counts of the running attempts for which include is
 // true, unless the last announcement is more recent than interval.
-func (h *soleHome) announce(interval time.Duration, include func(*Request) bool) {
+func (h *simHome) announce(interval time.Duration, include func(*Request) bool) {
 	if h.run.now-h.lastAnnounced < interval {
 		return
 	}
@@ -82,7 +82,7 @@
 }
 
 // apply sends the home's final decisions to the entries.
-func (h *soleHome) apply(ds []placement.Decision) {
+func (h *simHome) apply(ds []placement.Decision) {
 	for _, d := range ds {
 		q := h.waiting[d.Attempt]
 		if q == nil || d.Kind == placement.Queued {
@@ -93,7 +93,7 @@
 	}
 }
 
-func (h *soleHome) applyOne(q *Request, d placement.Decision) {
+func (h *simHome) applyOne(q *Request, d placement.Decision) {
 	if d.Kind == placement.Refused {
 		h.run.refuse(q, d.RetryAfter)
 		return
--- a/internal/trial/instances.go
+++ b/internal/trial/instances.go
@@ -28,8 +28,9 @@
 }
 
 // EntryLoss makes some instances lose power at the same time. Their generations continue on
-// the engines, without a caller, until the instances are back. Callers whose requests may
-// be repeated switch to other instances, all at the same time.
+// the engines, without a caller, until the instances are back. Their
+// callers switch to other instances; lost requests that may be repeated are sent again all at
+// the same time.
 type EntryLoss struct {
 	// At is the time from the start of the run; with At 0 there is no loss. Share is the
 	// fraction of the instances that are lost.
--- a/internal/trial/shared.go
+++ b/internal/trial/shared.go
@@ -12,7 +12,7 @@
 // each other.
 type homePerEntry struct {
 	run   *Run
-	homes []*soleHome
+	homes []*simHome
 	// interval is the interval at which entries announce their running attempts to all
 	// others; with 0 they never do.
 	interval   time.Duration
@@ -35,7 +35,7 @@
 	return Maker{Name: name, Make: func(r *Run) Policy {
 		s := &homePerEntry{run: r, interval: interval}
 		for range r.work.Entries {
-			s.homes = append(s.homes, newSoleHome(r, placement.Settings{Weights: weights, Engine: true}))
+			s.homes = append(s.homes, newSimHome(r, placement.Settings{Weights: weights, Engine: true}))
 		}
 		return s
 	}}
