--- a/internal/prooftest/config/config_test.go
+++ b/internal/prooftest/config/config_test.go
@@ -1,5 +1,5 @@
-// Package config_test proves on the whole path that an accepted configuration
-// is in force everywhere within seconds and never reverts.
+// Package config_test tests, end to end over a demo fleet, that an accepted
+// configuration is in force on every instance within seconds and never reverts.
 package config_test
 
 import (
@@ -23,8 +23,9 @@
 	"mulberrylug.example/mulberrylug/internal/testkit"
 )
 
-// patience bounds waits on a busy machine; it is no part of the promise.
-const patience = 20 * time.Second
+// waitTimeout limits each wait for a condition. It leaves room for a busy test
+// machine and is not a guarantee of the system.
+const waitTimeout = 20 * time.Second
 
 func startFleet(t *testing.T) *demo.Fleet {
 	t.Helper()
@@ -37,9 +38,10 @@
 	return f
 }
 
-// files returns the fleet's configuration with another API key: requests with
-// the first one tell an old version from a new one.
-func files(key string) []config.File {
+// configFiles returns the fleet's configuration with demo.APIKey replaced by key.
+// A request with demo.APIKey then shows whether an instance serves the old or the
+// new version.
+func configFiles(key string) []config.File {
 	text := demo.Configuration(demo.FleetOptions{Instances: 3, Services: 1})
 	text = strings.Replace(text, config.HashKey(demo.APIKey), config.HashKey(key), 1)
 	return []config.File{{Name: "demo.yaml", Data: []byte(text)}}
@@ -62,15 +64,16 @@
 func waitInForce(t *testing.T, f *demo.Fleet, number int64) {
 	t.Helper()
 	for _, i := range f.Instances {
-		testkit.Eventually(t, patience, fmt.Sprintf("%s serves by version %d", i.Name, number), func() bool {
+		testkit.Eventually(t, waitTimeout, fmt.Sprintf("%s is ready and serves configuration version %d", i.Name, number), func() bool {
 			st := status(t, i)
 			return st.Number == number && st.Ready
 		})
 	}
 }
 
-// reasonOf asks for stock and returns the reason of the refusal, "" if served.
-func reasonOf(t *testing.T, address, key string) string {
+// refusalReason sends a stock request and returns the reason of the refusal, or
+// "" if the request was served.
+func refusalReason(t *testing.T, address, key string) string {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodPost, "http://"+address+"/v1/services/order-desk/stock", strings.NewReader("{}"))
 	if err != nil {
@@ -80,7 +83,7 @@
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		t.Error(err)
-		return "no answer"
+		return "no response"
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode == http.StatusOK {
@@ -95,7 +98,8 @@
 	return p.Reason
 }
 
-// applyAt applies through an instance, or straight to the platform for an odd n.
+// applyAt applies a configuration through an instance if n is even, or directly
+// to the platform if n is odd.
 func applyAt(f *demo.Fleet, n int, req apply.Request) (core.ConfigPointer, error) {
 	ctx := context.Background()
 	if n%2 == 0 {
@@ -109,10 +113,10 @@
 	return apply.Apply(ctx, platformclient.NewClient("http://"+srv.Address()), req)
 }
 
-// Six operators apply on version 1 at the same moment, through instances and
-// straight to the platform, and one of the table's answers is lost. One of them
-// is told that version 2 is in force, the others that it won; every instance
-// then serves by it.
+// Six operators apply a change to version 1 at the same time, through instances
+// and directly to the platform, and one of the table's responses is lost. Exactly
+// one apply must succeed as version 2; each other one must fail with a conflict
+// that names the winner, and every instance must then serve version 2.
 func TestPromise7RacingOperators(t *testing.T) {
 	f := startFleet(t)
 	f.Platform.SetFaults(platform.Faults{LoseAnswers: 1, LoseMatching: "config/"})
@@ -121,77 +125,78 @@
 	for n := range operators {
 		go func() {
 			name := fmt.Sprintf("operator-%d", n)
-			req := apply.Request{Files: files(name), Operator: name, ApplyID: name, Base: 1}
+			req := apply.Request{Files: configFiles(name), Operator: name, ApplyID: name, Base: 1}
 			_, err := applyAt(f, n, req)
 			results <- err
 		}()
 	}
-	var losers []*apply.Conflict
+	var conflicts []*apply.Conflict
 	for range operators {
 		var conflict *apply.Conflict
 		switch err := <-results; {
 		case errors.As(err, &conflict):
-			losers = append(losers, conflict)
+			conflicts = append(conflicts, conflict)
 		case err != nil:
-			t.Errorf("error = %v, want none or a conflict", err)
+			t.Errorf("apply: error = %v, want nil or *apply.Conflict", err)
 		}
 	}
-	if len(losers) != operators-1 {
-		t.Fatalf("%d operators lost, want %d", len(losers), operators-1)
+	if len(conflicts) != operators-1 {
+		t.Fatalf("%d operators got a conflict, want %d", len(conflicts), operators-1)
 	}
-	for _, l := range losers {
-		if l.Number != 2 || l.Operator != losers[0].Operator {
-			t.Errorf("a loser was told %+v, another %+v", l, losers[0])
+	for _, c := range conflicts {
+		if c.Number != 2 || c.Operator != conflicts[0].Operator {
+			t.Errorf("conflict = %+v, want version 2 and the same operator as in %+v", c, conflicts[0])
 		}
 	}
 	waitInForce(t, f, 2)
 	for _, i := range f.Instances {
-		if got := reasonOf(t, i.CallerAddress(), losers[0].Operator); got == core.ReasonBadKey {
-			t.Errorf("%s does not serve by the winner's version", i.Name)
+		if got := refusalReason(t, i.CallerAddress(), conflicts[0].Operator); got == core.ReasonBadKey {
+			t.Errorf("%s rejects the API key of the version that was accepted", i.Name)
 		}
 	}
 }
 
-// An instance freezes for longer than a confirmation lasts. Meanwhile a change
-// takes a key away, and a caller with that key waits at the frozen instance. On
-// waking, the instance decides on the caller's request first, with its old view:
-// it must refuse and not serve by the version that was replaced.
+// An instance freezes for longer than a confirmation of its configuration is
+// valid. Meanwhile a change revokes a key, and callers with that key wait at the
+// frozen instance. When the instance resumes, it handles these requests before it
+// receives the change: it must refuse them and not serve the replaced version.
 func TestPromise7FrozenInstanceWakes(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t)
 	frozen := f.Instances[0]
-	thawed := make(chan struct{})
+	resumed := make(chan struct{})
 	go func() {
-		defer close(thawed)
+		defer close(resumed)
 		frozen.Freeze(4500 * time.Millisecond)
 	}()
-	testkit.Eventually(t, patience, "the instance is frozen", func() bool {
+	testkit.Eventually(t, waitTimeout, "the frozen instance stops responding", func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 		defer cancel()
 		_, err := frozen.Status(ctx)
 		return err != nil
 	})
-	answers := make(chan string)
+	reasons := make(chan string)
 	const callers = 8
 	for range callers {
-		go func() { answers <- reasonOf(t, frozen.CallerAddress(), demo.APIKey) }()
+		go func() { reasons <- refusalReason(t, frozen.CallerAddress(), demo.APIKey) }()
 	}
-	req := apply.Request{Files: files("another-key"), Operator: "o", ApplyID: "a", Base: 1}
+	req := apply.Request{Files: configFiles("another-key"), Operator: "o", ApplyID: "a", Base: 1}
 	if _, err := apply.Through(context.Background(), f.Instances[1].OperatorAddress(), req); err != nil {
 		t.Fatal(err)
 	}
-	<-thawed
+	<-resumed
 	for range callers {
-		if got := <-answers; got != core.ReasonUnconfirmed && got != core.ReasonBadKey {
-			t.Errorf("a caller without a valid key got %q, want %s or %s", got, core.ReasonUnconfirmed, core.ReasonBadKey)
+		if got := <-reasons; got != core.ReasonUnconfirmed && got != core.ReasonBadKey {
+			t.Errorf("refusal reason for a revoked key = %q, want %s or %s", got, core.ReasonUnconfirmed, core.ReasonBadKey)
 		}
 	}
 	waitInForce(t, f, 2)
 }
 
-// The table and the object store go down. An instance that starts then gets the
-// version and its object from the others and serves; so do the others, for longer
-// than a confirmation lasts. When the store is back, a change is in force at all.
+// The table and the object store go down. An instance that starts during the
+// outage must get the configuration version and its object from its peers and
+// serve. All instances must keep serving for longer than a confirmation is valid.
+// After the outage a change must come into force on all instances.
 func TestPromise7InstanceStartsInOutage(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t)
@@ -201,27 +206,28 @@
 		t.Fatal(err)
 	}
 	waitInForce(t, f, 1)
-	testkit.Eventually(t, patience, "the outage outlasts a confirmation", func() bool {
+	testkit.Eventually(t, waitTimeout, "the outage lasts longer than a confirmation is valid", func() bool {
 		return time.Since(began) > 5*time.Second
 	})
 	waitInForce(t, f, 1)
-	if got := reasonOf(t, f.Instances[3].CallerAddress(), "no-such-key"); got != core.ReasonBadKey {
-		t.Errorf("the new instance answers %q to an unknown key, want %s", got, core.ReasonBadKey)
+	if got := refusalReason(t, f.Instances[3].CallerAddress(), "no-such-key"); got != core.ReasonBadKey {
+		t.Errorf("refusal reason of the new instance for an unknown key = %q, want %s", got, core.ReasonBadKey)
 	}
 	f.Platform.SetFaults(platform.Faults{})
-	req := apply.Request{Files: files("another-key"), Operator: "o", ApplyID: "a", Base: 1}
+	req := apply.Request{Files: configFiles("another-key"), Operator: "o", ApplyID: "a", Base: 1}
 	if _, err := apply.Through(context.Background(), f.Instances[3].OperatorAddress(), req); err != nil {
 		t.Fatal(err)
 	}
 	waitInForce(t, f, 2)
 }
 
-// A change is accepted through an instance, and in the same moment the store
-// goes down: no reader has seen the row. The instance tells the others itself.
+// A change is accepted through an instance, and the store goes down right after
+// that, before any reader has read the row. The instance must announce the change
+// to its peers itself.
 func TestPromise7OutageRightAfterTheChange(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t)
-	req := apply.Request{Files: files("another-key"), Operator: "o", ApplyID: "a", Base: 1}
+	req := apply.Request{Files: configFiles("another-key"), Operator: "o", ApplyID: "a", Base: 1}
 	if _, err := apply.Through(context.Background(), f.Instances[2].OperatorAddress(), req); err != nil {
 		t.Fatal(err)
 	}
@@ -229,20 +235,21 @@
 	waitInForce(t, f, 2)
 }
 
-// dyingStore is the platform as an operator's process sees it that is killed
-// between the object and the row.
-type dyingStore struct {
+// killedStore is the platform's store as seen by an operator's process that is
+// killed after it has written the object and before it commits the row.
+type killedStore struct {
 	apply.Store
 	kill context.CancelFunc
 }
 
-func (s dyingStore) Commit(context.Context, table.Tx) table.Result {
+func (s killedStore) Commit(context.Context, table.Tx) table.Result {
 	s.kill()
 	return table.Result{Status: table.Unknown}
 }
 
 // The operator's process is killed after it has written the object and before
-// it moves the row. Nothing is in force of it; the same apply repeated is.
+// it commits the row. The change must not come into force; when the same apply is
+// repeated, it must.
 func TestPromise7ApplyKilledHalfWay(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t)
@@ -254,14 +261,14 @@
 	client := platformclient.NewClient("http://" + srv.Address())
 	ctx, kill := context.WithCancel(context.Background())
 	defer kill()
-	req := apply.Request{Files: files("another-key"), Operator: "o", ApplyID: "a", Base: 1}
+	req := apply.Request{Files: configFiles("another-key"), Operator: "o", ApplyID: "a", Base: 1}
 	var undecided *apply.Undecided
-	if _, err := apply.Apply(ctx, dyingStore{Store: client, kill: kill}, req); !errors.As(err, &undecided) {
-		t.Fatalf("error = %v, want *apply.Undecided", err)
+	if _, err := apply.Apply(ctx, killedStore{Store: client, kill: kill}, req); !errors.As(err, &undecided) {
+		t.Fatalf("apply: error = %v, want *apply.Undecided", err)
 	}
 	waitInForce(t, f, 1)
 	if p, err := apply.Apply(context.Background(), client, req); err != nil || p.Number != 2 {
-		t.Fatalf("repeat = %+v, %v, want version 2", p, err)
+		t.Fatalf("repeated apply = %+v, %v, want version 2", p, err)
 	}
 	waitInForce(t, f, 2)
 }
--- a/internal/prooftest/config/leave_test.go
+++ b/internal/prooftest/config/leave_test.go
@@ -13,9 +13,10 @@
 	"mulberrylug.example/mulberrylug/internal/testkit"
 )
 
-// An engine begins to leave while callers stream without a pause, the instance
-// list goes on calling it live, and the instance that places work freezes. Three
-// seconds later the engine gets nothing new; callers are served by the other.
+// An engine begins to leave while callers stream without a pause. The instance
+// list lags and still reports it as live, and an instance that places work
+// freezes. Three seconds later the leaving engine must get no new generations, and
+// the other engine must serve the callers.
 func TestPromise5LeavingEngineUnderLoad(t *testing.T) {
 	t.Parallel()
 	f, err := demo.StartFleet(context.Background(), demo.FleetOptions{Instances: 3, Engines: 2, Services: 1})
@@ -34,23 +35,23 @@
 					return
 				default:
 				}
-				req := client.Completion{Model: "dispatch-7b", Prompt: fmt.Sprintf("%d asks %d", n, k), MaxTokens: 50}
-				_, _ = c.Stream(context.Background(), req, nil) // what counts is the engine's record
+				req := client.Completion{Model: "dispatch-7b", Prompt: fmt.Sprintf("caller %d, request %d", n, k), MaxTokens: 50}
+				_, _ = c.Stream(context.Background(), req, nil) // the test checks the engine's records, not the result
 			}
 		})
 	}
 	leaving, other := f.Engines[0], f.Engines[1]
-	testkit.Eventually(t, patience, "the engine works", func() bool { return len(leaving.Records()) > 5 })
+	testkit.Eventually(t, waitTimeout, "the engine runs generations", func() bool { return len(leaving.Records()) > 5 })
 	const lag = 3 * time.Second
-	time.Sleep(lag + time.Second) // the lagging list must know them all
+	time.Sleep(lag + time.Second) // the list as it was 3 s ago must already contain every instance and engine
 	f.Platform.SetFaults(platform.Faults{ListLag: lag})
 	leaving.SetLeaving(true)
 	go f.Instances[0].Freeze(1500 * time.Millisecond)
-	time.Sleep(3 * time.Second) // the bound
-	before, served := len(leaving.Records()), len(other.Records())
-	testkit.Eventually(t, patience, "the other engine serves on", func() bool { return len(other.Records()) > served+20 })
+	time.Sleep(3 * time.Second) // the maximum delay until a leaving engine gets no new work
+	before, otherBefore := len(leaving.Records()), len(other.Records())
+	testkit.Eventually(t, waitTimeout, "the other engine continues to get work", func() bool { return len(other.Records()) > otherBefore+20 })
 	if after := len(leaving.Records()); after != before {
-		t.Errorf("the leaving engine got %d new generations later than 3s", after-before)
+		t.Errorf("the leaving engine got %d new generations more than 3s after it began to leave, want 0", after-before)
 	}
 	close(stop)
 	callers.Wait()
--- a/internal/prooftest/drain/drain_test.go
+++ b/internal/prooftest/drain/drain_test.go
@@ -1,5 +1,5 @@
-// Package drain_test proves on the whole path that a graceful shutdown cuts off
-// no request.
+// Package drain_test tests, end to end over a demo fleet, that a graceful
+// shutdown interrupts no request.
 package drain_test
 
 import (
@@ -19,11 +19,12 @@
 	"mulberrylug.example/mulberrylug/internal/testkit"
 )
 
-// patience bounds waits on a busy machine; it is no part of the promise.
-const patience = 60 * time.Second
+// waitTimeout limits each wait for a condition. It leaves room for a busy test
+// machine and is not a guarantee of the system.
+const waitTimeout = 60 * time.Second
 
-// startFleet starts instances whose callers keep entries for one second, before
-// engines whose answers take about three.
+// startFleet starts a fleet whose callers keep the list of entries for one second
+// and whose engines take about three seconds for a generation.
 func startFleet(t *testing.T) *demo.Fleet {
 	t.Helper()
 	return startFleetOf(t, engine.Settings{Step: 10 * time.Millisecond, Median: 300, Sigma: 0.05})
@@ -42,32 +43,33 @@
 	return f
 }
 
-// load is a set of callers that ask one request after another until told to
-// stop, and note each that was not answered whole on its first connection.
+// load is a set of callers that send one request after another until stop is
+// closed. It records each request that failed or that had to resume on another
+// connection.
 type load struct {
 	wg      sync.WaitGroup
 	stop    chan struct{}
 	streams atomic.Int64
 	calls   atomic.Int64
 
-	mu  sync.Mutex
-	cut []string
+	mu          sync.Mutex
+	interrupted []string
 }
 
 func startLoad(f *demo.Fleet, streamers, bookers int) *load {
 	l := &load{stop: make(chan struct{})}
 	for n := range streamers {
 		c := client.New(client.Options{Seeds: f.Seeds(), APIKey: demo.APIKey, Retries: 5})
-		l.loop(func(k int) { l.stream(c, fmt.Sprintf("caller %d asks %d", n, k)) })
+		l.repeat(func(k int) { l.stream(c, fmt.Sprintf("caller %d, request %d", n, k)) })
 	}
 	for n := range bookers {
 		c := client.New(client.Options{Seeds: f.Seeds(), APIKey: demo.APIKey, Retries: 5})
-		l.loop(func(k int) { l.call(c, fmt.Sprintf("key-%d-%d", n, k)) })
+		l.repeat(func(k int) { l.call(c, fmt.Sprintf("key-%d-%d", n, k)) })
 	}
 	return l
 }
 
-func (l *load) loop(do func(k int)) {
+func (l *load) repeat(do func(k int)) {
 	l.wg.Go(func() {
 		for k := 0; ; k++ {
 			select {
@@ -84,7 +86,7 @@
 	res, err := c.Stream(context.Background(), client.Completion{Model: "dispatch-7b", Prompt: prompt, MaxTokens: 1024}, nil)
 	l.streams.Add(1)
 	if err != nil || res.Resumes > 0 {
-		l.note(fmt.Sprintf("stream %q: %v, resumed %d times", prompt, err, res.Resumes))
+		l.recordInterruption(fmt.Sprintf("stream %q: error = %v, resumes = %d; want nil and 0", prompt, err, res.Resumes))
 	}
 }
 
@@ -93,28 +95,28 @@
 	_, err := c.Do(context.Background(), call)
 	l.calls.Add(1)
 	if err != nil {
-		l.note(fmt.Sprintf("booking %s: %v", key, err))
+		l.recordInterruption(fmt.Sprintf("booking %s: error = %v, want nil", key, err))
 	}
 	time.Sleep(20 * time.Millisecond)
 }
 
-func (l *load) note(what string) {
+func (l *load) recordInterruption(message string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.cut = append(l.cut, what)
+	l.interrupted = append(l.interrupted, message)
 }
 
-func (l *load) end(t *testing.T, f *demo.Fleet) {
+func (l *load) waitAndCheck(t *testing.T, f *demo.Fleet) {
 	t.Helper()
 	l.wg.Wait()
-	t.Logf("streams=%d bookings=%d cut=%d", l.streams.Load(), l.calls.Load(), len(l.cut))
-	for _, what := range l.cut {
-		t.Error(what)
+	t.Logf("streams=%d bookings=%d interrupted=%d", l.streams.Load(), l.calls.Load(), len(l.interrupted))
+	for _, message := range l.interrupted {
+		t.Error(message)
 	}
 	for _, e := range f.Engines {
 		for _, r := range e.Records() {
 			if !r.Complete {
-				t.Errorf("%s ended generation %s early, after %d tokens", e.Name, r.Attempt, r.Tokens)
+				t.Errorf("%s: generation %s ended early after %d tokens, want it complete", e.Name, r.Attempt, r.Tokens)
 			}
 		}
 	}
@@ -125,14 +127,14 @@
 	i.Drain()
 	select {
 	case <-i.Exited():
-	case <-time.After(patience):
-		t.Fatalf("%s did not drain within %s", i.Name, patience)
+	case <-time.After(waitTimeout):
+		t.Fatalf("%s did not exit within %s after Drain", i.Name, waitTimeout)
 	}
 }
 
-// All instances are replaced one after another while callers stream answers of
-// three seconds and book, and keep the address of the leaving one for a second.
-// No caller notices: every stream ends on the connection on which it began.
+// All instances are replaced one after another while callers run streams of
+// three seconds and bookings. Callers keep the address of a leaving instance for
+// one second. Every stream must end on the connection on which it began.
 func TestPromise6RollUnderLoad(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t)
@@ -142,47 +144,49 @@
 			t.Fatal(err)
 		}
 		i := f.Instances[len(f.Instances)-1]
-		testkit.Eventually(t, patience, i.Name+" serves", func() bool {
+		testkit.Eventually(t, waitTimeout, i.Name+" is ready", func() bool {
 			st, err := i.Status(context.Background())
 			return err == nil && st.Ready
 		})
 		drain(t, f.Instances[n])
 	}
 	close(l.stop)
-	l.end(t, f)
+	l.waitAndCheck(t, f)
 }
 
-// An instance drains while the table is down. Its streams of nine seconds last
-// longer than callers keep its address and than it waits for a list that lags.
-// They go on to their end, within what is debited, and it leaves only then.
+// An instance drains while the table is down. Its streams take nine seconds, which
+// is longer than callers keep its address and longer than it waits for a lagging
+// list. They must continue to their end within the part of the limit that is
+// already debited, and the instance must exit only then.
 func TestPromise6DrainWhileTableIsDown(t *testing.T) {
 	t.Parallel()
 	f := startFleetOf(t, engine.Settings{Step: 30 * time.Millisecond, Median: 300, Sigma: 0.01})
 	l := startLoad(f, 6, 0)
-	testkit.Eventually(t, patience, "streams run", func() bool {
+	testkit.Eventually(t, waitTimeout, "the instance has running streams", func() bool {
 		st, err := f.Instances[0].Status(context.Background())
 		return err == nil && st.Requests > 0
 	})
 	f.Platform.SetFaults(platform.Faults{Down: true})
-	close(l.stop) // each caller ends with the stream that it has
+	close(l.stop) // each caller ends after its present stream
 	drain(t, f.Instances[0])
 	f.Platform.SetFaults(platform.Faults{})
-	l.end(t, f)
+	l.waitAndCheck(t, f)
 }
 
-// The instance list lags by five seconds, callers keep an answer for one: the
-// list names the leaving instance all the while. The others learn from itself that it leaves,
-// so that they name it to nobody, and it still serves who comes late.
+// The instance list lags by five seconds, so that it still contains the leaving
+// instance while callers keep their entries for one second only. The leaving
+// instance must announce this to its peers itself, so that no instance lists it as
+// an entry, and it must still serve callers that connect late.
 func TestPromise6ListLagsBehindADrain(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t)
 	leaving := f.Instances[0]
 	const lag = 5 * time.Second
-	time.Sleep(lag + time.Second) // the lagging list must know them all
+	time.Sleep(lag + time.Second) // the list as it was 5 s ago must already contain every instance
 	f.Platform.SetFaults(platform.Faults{ListLag: lag})
 	leaving.Drain()
 	for _, i := range f.Instances {
-		testkit.Eventually(t, patience, i.Name+" names only the others", func() bool {
+		testkit.Eventually(t, waitTimeout, i.Name+" lists only the other two instances as entries", func() bool {
 			e, err := i.Entries(context.Background(), "")
 			return err == nil && len(e.Addresses) == 2 && !strings.Contains(strings.Join(e.Addresses, " "), leaving.CallerAddress())
 		})
@@ -190,13 +194,13 @@
 	late := client.New(client.Options{Seeds: []string{leaving.CallerAddress()}, APIKey: demo.APIKey, Retries: 3})
 	res, err := late.Stream(context.Background(), client.Completion{Model: "dispatch-7b", Prompt: "late", MaxTokens: 1024}, nil)
 	if err != nil || res.Resumes > 0 {
-		t.Errorf("late stream = %v, resumed %d times", err, res.Resumes)
+		t.Errorf("stream from a late caller: error = %v, resumes = %d; want nil and 0", err, res.Resumes)
 	}
-	time.Sleep(2 * time.Second) // past the time for which callers keep an answer
+	time.Sleep(2 * time.Second) // longer than callers keep their entries
 	for _, i := range f.Instances[1:] {
 		e, err := i.Entries(context.Background(), "")
 		if err != nil || strings.Contains(strings.Join(e.Addresses, " "), leaving.CallerAddress()) {
-			t.Errorf("%s names %v again, %v", i.Name, e.Addresses, err)
+			t.Errorf("%s lists entries %v, error %v; want no error and not the leaving instance", i.Name, e.Addresses, err)
 		}
 	}
 }
--- a/internal/prooftest/orders/orders_test.go
+++ b/internal/prooftest/orders/orders_test.go
@@ -1,4 +1,5 @@
-// Package orders proves, over real sockets, how upstreams get their orders.
+// Package orders tests over real sockets how upstreams get their orders, such as
+// the model version to load.
 package orders
 
 import (
@@ -20,7 +21,7 @@
 )
 
 // callOrder sends one order to an engine over a real connection and returns
-// the events that came of it.
+// the resulting events.
 func callOrder(t *testing.T, e *engine.Engine, o core.SendOrder) []core.Event {
 	t.Helper()
 	srv, err := standin.Start("127.0.0.1:0", e.Handler())
@@ -35,40 +36,41 @@
 	return events
 }
 
-// The home writes an order's row, is paused, and wakes after its lease has
-// ended; a successor may have ordered another version meanwhile. The sender
-// checks its deadline right before it sends, so that the engine, which ignores
-// fencing numbers, never sees the old order.
+// The home writes an order's row, is paused, and resumes after its lease has
+// expired; a successor may have ordered another version meanwhile. The sender
+// must check the order's deadline right before it sends, so that an engine that
+// ignores fencing numbers never receives the old order.
 func TestOrderSenderWakesLate(t *testing.T) {
 	e := engine.New(engine.Settings{Name: "engine-1"})
 	events := callOrder(t, e, core.SendOrder{Fence: 1, Version: "v1", Before: time.Now().Add(-time.Millisecond)})
 	if got := e.Orders(); len(got) != 0 {
-		t.Errorf("engine took %+v, want nothing after the lease", got)
+		t.Errorf("engine received orders %+v after the lease had expired, want none", got)
 	}
 	if len(events) != 0 {
-		t.Errorf("events = %+v, want none: nothing was answered", events)
+		t.Errorf("events = %+v, want none, as no order was sent", events)
 	}
 }
 
-// An engine that checks fencing numbers has taken order 5. Order 4 of a home
-// that was slow arrives afterwards; the engine refuses it and the home learns.
+// An engine that checks fencing numbers has accepted order 5. Order 4 of a slow
+// home arrives afterwards: the engine must refuse it, and the home must receive
+// the refusal.
 func TestOrderOldFenceRefused(t *testing.T) {
 	e := engine.New(engine.Settings{Name: "engine-1", ChecksFencing: true})
 	if !e.TakeOrder(engine.Order{Fence: 5, Kind: "version", Value: "v5"}) {
-		t.Fatal("engine refused its first order")
+		t.Fatal("engine refused its first order, want it accepted")
 	}
 	events := callOrder(t, e, core.SendOrder{Fence: 4, Version: "v4", Before: time.Now().Add(time.Second)})
 	if len(events) != 1 || events[0] != (core.OrderAnswer{Upstream: "engine-1", Fence: 4, Refused: true}) {
 		t.Errorf("events = %+v, want one refusal of fence 4", events)
 	}
 	if got := e.Orders(); len(got) != 1 {
-		t.Errorf("engine took %+v, want order 5 alone", got)
+		t.Errorf("accepted orders = %+v, want only order 5", got)
 	}
 }
 
-// A configuration asks for version v2 while callers stream. Each engine in
-// turn gets no new work, finishes what it runs, and is ordered to load v2; the
-// others serve meanwhile. The callers see whole answers.
+// A configuration changes the model version to v2 while a caller streams. Each
+// engine in turn must get no new work, finish its running generations and be
+// ordered to load v2 while the others serve. No stream may fail.
 func TestOrderVersionRollsWithoutCuttingStreams(t *testing.T) {
 	ctx := context.Background()
 	o := demo.FleetOptions{Instances: 3, Engines: 3, Services: 1}
@@ -93,14 +95,15 @@
 	waitVersion(t, f, "v2")
 	close(stop)
 	for err := range failures {
-		t.Errorf("a caller's stream: %v", err)
+		t.Errorf("stream during the version change: error = %v, want nil", err)
 	}
 	for _, e := range f.Engines {
 		checkFences(t, e)
 	}
 }
 
-// stream asks for answers until stop is closed and reports what failed.
+// stream requests one generation after another until stop is closed, sends each
+// error to failures, and then closes failures.
 func stream(ctx context.Context, f *demo.Fleet, stop <-chan struct{}, failures chan<- error) {
 	defer close(failures)
 	cl := client.New(client.Options{Seeds: f.Seeds(), APIKey: demo.APIKey, Retries: 3})
@@ -118,10 +121,10 @@
 
 func waitVersion(t *testing.T, f *demo.Fleet, want string) {
 	t.Helper()
-	testkit.Eventually(t, 25*time.Second, "every engine runs "+want, func() bool {
+	testkit.Eventually(t, 25*time.Second, "every engine has last accepted an order for version "+want, func() bool {
 		for _, e := range f.Engines {
-			taken := e.Orders()
-			if len(taken) == 0 || taken[len(taken)-1].Value != want {
+			accepted := e.Orders()
+			if len(accepted) == 0 || accepted[len(accepted)-1].Value != want {
 				return false
 			}
 		}
@@ -134,7 +137,7 @@
 	last := int64(0)
 	for _, o := range e.Orders() {
 		if o.Fence <= last {
-			t.Errorf("%s took fence %d after %d", e.Name, o.Fence, last)
+			t.Errorf("%s accepted fencing number %d after %d, want increasing numbers", e.Name, o.Fence, last)
 		}
 		last = o.Fence
 	}
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -1,5 +1,5 @@
-// Package testkit holds what several packages' tests share: the parameters of
-// property tests and waiting for a condition.
+// Package testkit holds helpers shared by the tests of several packages: the
+// parameters of property tests and polling for a condition.
 package testkit
 
 import (
@@ -11,15 +11,15 @@
 	"github.com/leanovate/gopter"
 )
 
-// propSeed and propRuns can be given to any property test, for example
+// propSeed and propRuns are flags of every property test, for example
 // go test ./internal/core/booking -run Property -prop.seed=42.
 var (
-	propSeed = flag.Int64("prop.seed", 1, "seed of the property tests")
-	propRuns = flag.Int("prop.runs", 1000, "successful runs of each property")
+	propSeed = flag.Int64("prop.seed", 1, "seed of the random generator of property tests")
+	propRuns = flag.Int("prop.runs", 1000, "number of successful runs required of each property")
 )
 
-// Parameters returns the parameters of every property test: a fixed seed, so
-// that CI gives the same verdict every time.
+// Parameters returns the parameters for every property test. The seed is fixed
+// unless -prop.seed is given, so that CI gets the same result on every run.
 func Parameters() *gopter.TestParameters {
 	p := gopter.DefaultTestParameters()
 	p.Rng = rand.New(rand.NewSource(*propSeed))
@@ -27,14 +27,14 @@
 	return p
 }
 
-// Eventually waits until a condition holds and fails the test if it does not
-// within the given time.
-func Eventually(t testing.TB, within time.Duration, what string, cond func() bool) {
+// Eventually polls cond every 5 ms and fails the test if it does not hold
+// within the given time. The condition text describes cond in that failure.
+func Eventually(t testing.TB, within time.Duration, condition string, cond func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(within)
 	for !cond() {
 		if time.Now().After(deadline) {
-			t.Fatalf("not within %s: %s", within, what)
+			t.Fatalf("condition did not hold within %s: %s", within, condition)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
