--- a/internal/prooftest/members/fleet.go
+++ b/internal/prooftest/members/fleet.go
@@ -17,57 +17,61 @@
 )
 
 const (
-	// noNewWork is the stated bound: how long a leaving upstream may still
-	// get new work.
-	noNewWork   = 3 * time.Second
-	pollTimeout = 600 * time.Millisecond
-	// runsFor is how long a generation or call takes in the fleet below.
-	runsFor = 300 * time.Millisecond
+	// maxNewWorkDelay is the guaranteed maximum time for which a leaving upstream
+	// may still get new work.
+	maxNewWorkDelay = 3 * time.Second
+	pollTimeout     = 600 * time.Millisecond
+	// runTime is the duration of each generation and call in the fleet.
+	runTime = 300 * time.Millisecond
 )
 
-// worker is an upstream that takes two calls at once.
-type worker struct {
+// fakeUpstream is an upstream that runs two calls at the same time.
+type fakeUpstream struct {
 	member membership.Member
-	// left is when it began to leave; zero while it does not.
-	left time.Time
-	// mute stops its reports, lame its calls.
-	mute time.Time
-	lame time.Time
-	news int
+	// leavingSince is the time at which it began to leave; zero while it does not
+	// leave.
+	leavingSince time.Time
+	// Until muteUntil it returns no reports; until failingUntil its calls fail.
+	muteUntil    time.Time
+	failingUntil time.Time
+	newWork      int
 }
 
-// leaveNode is one instance with what is held back while it is frozen.
-type leaveNode struct {
-	name   string
-	inst   *core.Instance
-	boot   int
-	frozen time.Time
-	held   []core.Event
-	asked  int
+// fleetInstance is one instance with the events that are held back while it is
+// frozen.
+type fleetInstance struct {
+	name        string
+	inst        *core.Instance
+	boot        int
+	frozenUntil time.Time
+	heldEvents  []core.Event
+	requests    int
 }
 
-// fleet is instances before workers, with a table that answers.
+// fleet is a simulation of instances and fake upstreams with a table that always
+// responds.
 type fleet struct {
-	now     time.Time
-	queue   events
-	nodes   []*leaveNode
-	workers []*worker
-	table   *memtable.Table
-	objects map[string][]byte
-	slow    time.Time
-	// list is what the lagging instance list says; it is refreshed unless
-	// it lags.
-	list []membership.Member
-	lags time.Time
-	sent int
-	late string
-	// granted holds the answers that granted, in the order in which they were sent.
-	granted []msg.GrantAnswer
-	// asks holds the first ask of each entry and the home that it went to.
-	asks map[string]core.Send
+	now            time.Time
+	queue          events
+	instances      []*fleetInstance
+	upstreams      []*fakeUpstream
+	table          *memtable.Table
+	objects        map[string][]byte
+	linksSlowUntil time.Time
+	// list is the present instance list; it is not refreshed before
+	// listLagsUntil.
+	list          []membership.Member
+	listLagsUntil time.Time
+	dispatched    int
+	violation     string
+	// grants holds the replies that granted an attempt, in the order of sending.
+	grants []msg.GrantAnswer
+	// firstAsks holds each entry's first request for a grant, with the home that it
+	// was sent to, by the entry's name.
+	firstAsks map[string]core.Send
 }
 
-const leaveConfig = `
+const fleetConfig = `
 deployment: {name: f, regions: {r: [a]}, stream_key: a-key-that-is-long-enough-to-sign-with}
 organisations:
   - {name: o, key_sha256: [%s], services: [chat, desk], limits: {spend: 100000, requests_per_second: 10000, tokens_per_second: 1000000, concurrent: 10000}}
@@ -83,8 +87,8 @@
 `
 
 func newFleet() *fleet {
-	f := &fleet{now: time.Unix(1000, 0), table: memtable.New(), objects: map[string][]byte{}, asks: map[string]core.Send{}}
-	cfg, err := config.Parse([]config.File{{Name: "f.yaml", Data: fmt.Appendf(nil, leaveConfig, config.HashKey("k"))}})
+	f := &fleet{now: time.Unix(1000, 0), table: memtable.New(), objects: map[string][]byte{}, firstAsks: map[string]core.Send{}}
+	cfg, err := config.Parse([]config.File{{Name: "f.yaml", Data: fmt.Appendf(nil, fleetConfig, config.HashKey("k"))}})
 	if err != nil {
 		panic(err)
 	}
@@ -96,53 +100,53 @@
 	f.objects[hash] = object
 	f.table.Write(table.Write{Key: core.ConfigRow, Value: pointer})
 	for _, up := range cfg.Upstreams {
-		f.workers = append(f.workers, &worker{member: membership.Member{
+		f.upstreams = append(f.upstreams, &fakeUpstream{member: membership.Member{
 			Name: up.Name, Role: up.Service, DataCentre: "a", Address: up.Name, State: membership.Live,
 		}})
 	}
 	for n := range 3 {
-		nd := &leaveNode{name: fmt.Sprintf("i%d", n)}
-		f.nodes = append(f.nodes, nd)
-		f.start(nd)
-		f.every(50*time.Millisecond, func() { f.tick(nd) })
-		f.every(time.Second, func() { f.give(nd, core.InstanceList{Members: f.list}) })
+		instance := &fleetInstance{name: fmt.Sprintf("i%d", n)}
+		f.instances = append(f.instances, instance)
+		f.start(instance)
+		f.every(50*time.Millisecond, func() { f.tick(instance) })
+		f.every(time.Second, func() { f.deliver(instance, core.InstanceList{Members: f.list}) })
 	}
 	f.every(500*time.Millisecond, f.refreshList)
 	f.run(3 * time.Second)
 	return f
 }
 
-func (f *fleet) start(n *leaveNode) {
+func (f *fleet) start(n *fleetInstance) {
 	n.boot++
-	n.held = nil
+	n.heldEvents = nil
 	self := membership.Member{Name: n.name, Role: membership.RoleEntry, DataCentre: "a", State: membership.Live, PeerAddress: n.name}
 	n.inst = core.New(core.Options{Self: self, Boot: fmt.Sprint(n.boot), Seed: 1})
 }
 
 func (f *fleet) refreshList() {
-	if f.now.Before(f.lags) {
+	if f.now.Before(f.listLagsUntil) {
 		return
 	}
 	f.list = nil
-	for _, n := range f.nodes {
+	for _, n := range f.instances {
 		f.list = append(f.list, membership.Member{Name: n.name, Role: membership.RoleEntry, DataCentre: "a", State: membership.Live, PeerAddress: n.name})
 	}
-	for _, w := range f.workers {
-		m := w.member
-		if !w.left.IsZero() {
+	for _, up := range f.upstreams {
+		m := up.member
+		if !up.leavingSince.IsZero() {
 			m.State = membership.Leaving
 		}
 		f.list = append(f.list, m)
 	}
 }
 
-func (f *fleet) in(d time.Duration, do func()) {
+func (f *fleet) after(d time.Duration, do func()) {
 	sequence++
 	heap.Push(&f.queue, event{at: f.now.Add(d), seq: sequence, do: do})
 }
 
 func (f *fleet) every(d time.Duration, do func()) {
-	f.in(d, func() {
+	f.after(d, func() {
 		do()
 		f.every(d, do)
 	})
@@ -150,7 +154,7 @@
 
 func (f *fleet) run(d time.Duration) {
 	until := f.now.Add(d)
-	for f.late == "" && len(f.queue) > 0 && !f.queue[0].at.After(until) {
+	for f.violation == "" && len(f.queue) > 0 && !f.queue[0].at.After(until) {
 		e := heap.Pop(&f.queue).(event)
 		f.now = e.at
 		e.do()
@@ -158,32 +162,32 @@
 	f.now = until
 }
 
-func (f *fleet) tick(n *leaveNode) {
-	if f.now.Before(n.frozen) {
+func (f *fleet) tick(n *fleetInstance) {
+	if f.now.Before(n.frozenUntil) {
 		return
 	}
-	held := n.held
-	n.held = nil
+	held := n.heldEvents
+	n.heldEvents = nil
 	for _, ev := range held {
 		f.handle(n, ev)
 	}
 	f.handle(n, core.Tick{})
 }
 
-func (f *fleet) give(n *leaveNode, ev core.Event) {
-	if f.now.Before(n.frozen) || len(n.held) > 0 {
-		n.held = append(n.held, ev)
+func (f *fleet) deliver(n *fleetInstance, ev core.Event) {
+	if f.now.Before(n.frozenUntil) || len(n.heldEvents) > 0 {
+		n.heldEvents = append(n.heldEvents, ev)
 		return
 	}
 	f.handle(n, ev)
 }
 
-func (f *fleet) handle(n *leaveNode, ev core.Event) {
+func (f *fleet) handle(n *fleetInstance, ev core.Event) {
 	boot := n.boot
 	reply := func(d time.Duration, ev core.Event) {
-		f.in(d, func() {
+		f.after(d, func() {
 			if n.boot == boot {
-				f.give(n, ev)
+				f.deliver(n, ev)
 			}
 		})
 	}
@@ -196,11 +200,11 @@
 			for _, k := range a.Keys {
 				rows = append(rows, f.table.Row(k))
 			}
-			reply(2*linkTime, core.ReadResult{Op: a.Op, OK: true, Rows: rows})
+			reply(2*linkDelay, core.ReadResult{Op: a.Op, OK: true, Rows: rows})
 		case core.Fetch:
-			reply(2*linkTime, core.ObjectResult{Hash: a.Hash, OK: true, Data: f.objects[a.Hash]})
+			reply(2*linkDelay, core.ObjectResult{Hash: a.Hash, OK: true, Data: f.objects[a.Hash]})
 		case core.Commit:
-			reply(2*linkTime, core.CommitResult{Op: a.Op, Result: f.table.Apply(a.Tx)})
+			reply(2*linkDelay, core.CommitResult{Op: a.Op, Result: f.table.Apply(a.Tx)})
 		case core.Poll:
 			f.poll(a, reply)
 		case core.Dispatch:
@@ -209,78 +213,81 @@
 	}
 }
 
-func (f *fleet) send(from *leaveNode, a core.Send) {
+func (f *fleet) send(from *fleetInstance, a core.Send) {
 	if m, ok := a.Msg.(msg.GrantAnswer); ok && m.Decision.Kind == placement.Granted {
-		f.granted = append(f.granted, m)
+		f.grants = append(f.grants, m)
 	}
-	delay := linkTime
-	if f.now.Before(f.slow) { // a link that stalls and delivers later
+	delay := linkDelay
+	if f.now.Before(f.linksSlowUntil) { // stalled links deliver late
 		delay = 4 * time.Second
 	}
-	if _, ok := a.Msg.(msg.GrantAsk); ok && f.asks[from.name].To == "" {
-		f.asks[from.name] = a
+	if _, ok := a.Msg.(msg.GrantAsk); ok && f.firstAsks[from.name].To == "" {
+		f.firstAsks[from.name] = a
 	}
-	for _, to := range f.nodes {
+	for _, to := range f.instances {
 		if to.name == a.To {
 			boot := to.boot
-			f.in(delay, func() {
+			f.after(delay, func() {
 				if to.boot == boot {
-					f.give(to, core.PeerMessage{From: from.name, Msg: a.Msg})
+					f.deliver(to, core.PeerMessage{From: from.name, Msg: a.Msg})
 				}
 			})
 		}
 	}
 }
 
-func (f *fleet) worker(name string) *worker {
-	for _, w := range f.workers {
-		if w.member.Name == name {
-			return w
+func (f *fleet) upstream(name string) *fakeUpstream {
+	for _, up := range f.upstreams {
+		if up.member.Name == name {
+			return up
 		}
 	}
 	return nil
 }
 
 func (f *fleet) poll(a core.Poll, reply func(time.Duration, core.Event)) {
-	w := f.worker(a.Upstream)
-	if f.now.Before(w.mute) {
+	up := f.upstream(a.Upstream)
+	if f.now.Before(up.muteUntil) {
 		reply(pollTimeout, core.UpstreamSilent{Upstream: a.Upstream})
 		return
 	}
-	r := placement.Report{Upstream: a.Upstream, Boot: "1", Leaving: !w.left.IsZero(), Capacity: 100_000, MaxBatch: 2}
-	reply(2*linkTime, core.UpstreamReport{Report: r, Asked: f.now})
+	r := placement.Report{Upstream: a.Upstream, Boot: "1", Leaving: !up.leavingSince.IsZero(), Capacity: 100_000, MaxBatch: 2}
+	reply(2*linkDelay, core.UpstreamReport{Report: r, Asked: f.now})
 }
 
-// dispatch sends as package upstream does: not after the grant has lapsed.
-func (f *fleet) dispatch(n *leaveNode, a core.Dispatch, reply func(time.Duration, core.Event)) {
+// dispatch sends work to an upstream as package upstream does: not after the grant
+// has expired. It records a violation if the upstream began to leave more than
+// maxNewWorkDelay ago.
+func (f *fleet) dispatch(n *fleetInstance, a core.Dispatch, reply func(time.Duration, core.Event)) {
 	failed := core.UpstreamFailed{Request: a.Request, Attempt: a.Attempt, Step: "request", Gone: a.Resume}
 	if f.now.After(a.Before) && !a.Before.IsZero() || a.Resume {
 		reply(0, failed)
 		return
 	}
-	w := f.worker(a.Upstream)
-	f.sent++
-	w.news++
-	if after := f.now.Sub(w.left); !w.left.IsZero() && after > noNewWork {
-		f.late = fmt.Sprintf("%s sent %s new work %s after it began to leave", n.name, a.Upstream, after)
+	up := f.upstream(a.Upstream)
+	f.dispatched++
+	up.newWork++
+	if after := f.now.Sub(up.leavingSince); !up.leavingSince.IsZero() && after > maxNewWorkDelay {
+		f.violation = fmt.Sprintf("%s sent new work to %s %s after that upstream began to leave", n.name, a.Upstream, after)
 	}
 	switch {
-	case f.now.Before(w.lame):
+	case f.now.Before(up.failingUntil):
 		failed.Sent = true
-		reply(linkTime, failed)
+		reply(linkDelay, failed)
 	case a.Engine:
-		reply(runsFor, core.UpstreamEnd{Request: a.Request, Attempt: a.Attempt, Reason: "stop"})
+		reply(runTime, core.UpstreamEnd{Request: a.Request, Attempt: a.Attempt, Reason: "stop"})
 	default:
-		reply(runsFor, core.UpstreamAnswer{Request: a.Request, Attempt: a.Attempt, Status: 200})
+		reply(runTime, core.UpstreamAnswer{Request: a.Request, Attempt: a.Attempt, Status: 200})
 	}
 }
 
-// ask brings some generations, calls and bookings to an entry.
-func (f *fleet) ask(n *leaveNode, count int) {
+// submit sends count requests to an entry: calls, generations and bookings in
+// turn.
+func (f *fleet) submit(n *fleetInstance, count int) {
 	for range count {
-		n.asked++
-		req := core.CallerRequest{ID: fmt.Sprintf("%s:%d:%d", n.name, n.boot, n.asked), APIKey: "k", Prompt: 10, MaxTokens: 100}
-		switch n.asked % 3 {
+		n.requests++
+		req := core.CallerRequest{ID: fmt.Sprintf("%s:%d:%d", n.name, n.boot, n.requests), APIKey: "k", Prompt: 10, MaxTokens: 100}
+		switch n.requests % 3 {
 		case 0:
 			req.Service, req.NotRepeatable, req.IdempotencyKey, req.BodyHash = "desk", true, req.ID, "h"
 		case 1:
@@ -288,44 +295,44 @@
 		default:
 			req.Model = "m"
 		}
-		f.give(n, req)
+		f.deliver(n, req)
 	}
 }
 
-// Steps of an order.
+// Kinds of steps in a generated sequence.
 const (
 	stepLeave = iota
 	stepAsk
-	stepFreezeNode
-	stepKillHome
-	stepMute
-	stepLame
-	stepStall
+	stepFreezeInstance
+	stepRestartInstance
+	stepMuteReports
+	stepFailCalls
+	stepStallLinks
 	stepListLag
-	leaveSteps
+	fleetStepCount
 )
 
 func (f *fleet) step(code int) {
-	n := f.nodes[code/leaveSteps%len(f.nodes)]
-	w := f.workers[code/leaveSteps%len(f.workers)]
+	n := f.instances[code/fleetStepCount%len(f.instances)]
+	up := f.upstreams[code/fleetStepCount%len(f.upstreams)]
 	until := f.now.Add(time.Duration(1+code/100%6) * time.Second)
-	switch code % leaveSteps {
+	switch code % fleetStepCount {
 	case stepLeave:
-		w.left = f.now
-		f.in(8*time.Second, func() { w.left = time.Time{} })
+		up.leavingSince = f.now
+		f.after(8*time.Second, func() { up.leavingSince = time.Time{} })
 	case stepAsk:
-		f.ask(n, 1+code/100%20)
-	case stepFreezeNode:
-		n.frozen = until
-	case stepKillHome:
+		f.submit(n, 1+code/100%20)
+	case stepFreezeInstance:
+		n.frozenUntil = until
+	case stepRestartInstance:
 		f.start(n)
-	case stepMute:
-		w.mute = until
-	case stepLame:
-		w.lame = until
-	case stepStall:
-		f.slow = until
+	case stepMuteReports:
+		up.muteUntil = until
+	case stepFailCalls:
+		up.failingUntil = until
+	case stepStallLinks:
+		f.linksSlowUntil = until
 	case stepListLag:
-		f.lags = until
+		f.listLagsUntil = until
 	}
 }
--- a/internal/prooftest/members/follow_test.go
+++ b/internal/prooftest/members/follow_test.go
@@ -15,105 +15,109 @@
 	"mulberrylug.example/mulberrylug/internal/testkit"
 )
 
-// cordonWithin is how soon a cordon must be in force.
-const cordonWithin = 2 * time.Second
+// maxCordonDelay is the maximum time until a cordon is in force.
+const maxCordonDelay = 2 * time.Second
 
-// Callers see an instance serve by a version at most three seconds after
-// another was accepted, or be refused as not run, while instances freeze, are
-// cut off, restart, links stall and the table is down, in any order. Once all is
-// well again, the next change is served everywhere within four seconds.
+// In any order, instances freeze, restart or are partitioned, links stall and the
+// table is down. An instance may serve a version for at most three seconds after
+// its successor was accepted; from then on it must refuse requests. After all
+// faults have ended, every instance must serve the next change within four seconds.
 func TestPromise7PropertyNoOldVersionIsServed(t *testing.T) {
 	properties := gopter.NewProperties(testkit.Parameters())
-	properties.Property("old versions go out of force", prop.ForAll(func(order []int) string {
-		w := newWorld(3)
-		w.run(3 * time.Second)
-		for _, code := range order {
-			w.step(code)
-			w.run(time.Duration(200+code%1300) * time.Millisecond)
+	properties.Property("no instance serves a replaced version for more than 3 s", prop.ForAll(func(steps []int) string {
+		sim := newSimulation(3)
+		sim.run(3 * time.Second)
+		for _, code := range steps {
+			sim.step(code)
+			sim.run(time.Duration(200+code%1300) * time.Millisecond)
 		}
-		w.heal()
-		w.run(10 * time.Second)
-		w.accept()
-		w.run(inForce)
-		if w.broken == "" {
-			w.broken = w.behind()
+		sim.heal()
+		sim.run(10 * time.Second)
+		sim.accept()
+		sim.run(maxPropagation)
+		if sim.violation == "" {
+			sim.violation = sim.outdated()
 		}
-		return w.broken
+		return sim.violation
 	}, gen.SliceOf(gen.IntRange(0, 9999))))
 	properties.TestingRun(t)
 }
 
-// A data centre is cordoned at the table, past all instances, while one starts and one is cut
-// off from the table. Two seconds later each that serves knows; so it is when it is lifted.
+// A data centre is cordoned directly in the table, not through an instance, while one instance
+// starts and another can't reach the table. Two seconds later every instance must apply the
+// cordon; the same holds when the cordon is lifted.
 func TestPromise7CordonsAreInForceSoon(t *testing.T) {
-	w := newWorld(3)
-	w.run(3 * time.Second)
+	sim := newSimulation(3)
+	sim.run(3 * time.Second)
 	for range 2 {
-		w.cordon("b")
-		w.start(w.followers[1])
-		w.followers[4].noTable = w.now.Add(time.Minute)
-		w.run(cordonWithin)
-		if late := w.behind(); late != "" || w.broken != "" {
-			t.Errorf("%s after a cordon: %s %s", cordonWithin, late, w.broken)
+		sim.cordon("b")
+		sim.start(sim.followers[1])
+		sim.followers[4].noTableUntil = sim.now.Add(time.Minute)
+		sim.run(maxCordonDelay)
+		if late := sim.outdated(); late != "" || sim.violation != "" {
+			t.Errorf("%s after the cordon changed: outdated instances %q, violation %q; want none", maxCordonDelay, late, sim.violation)
 		}
 	}
 }
 
-// While the table answers nobody no change can be accepted, so every instance
-// goes on for ten minutes, one that starts in the outage gets the version from
-// the others, and one that hears nobody refuses: for all it knows, the table
-// answers everybody else.
-func TestPromise7TableOutageStopsNobodyButWhoIsAlone(t *testing.T) {
-	w := newWorld(3)
-	w.run(3 * time.Second)
-	w.down = w.now.Add(10 * time.Minute)
-	w.followers[5].alone = w.down
-	w.run(5 * time.Second)
-	w.start(w.followers[1])
-	w.run(5 * time.Second)
+// While the table responds to no instance, no change can be accepted. Every
+// instance must therefore keep serving during an outage of ten minutes, and one
+// that starts in the outage must get the version from its peers. An instance that
+// receives nothing from its peers must refuse requests, as it can't exclude that
+// the table responds to the others.
+func TestPromise7TableOutageStopsOnlyIsolatedInstance(t *testing.T) {
+	sim := newSimulation(3)
+	sim.run(3 * time.Second)
+	sim.tableDownUntil = sim.now.Add(10 * time.Minute)
+	sim.followers[5].isolatedUntil = sim.tableDownUntil
+	sim.run(5 * time.Second)
+	sim.start(sim.followers[1])
+	sim.run(5 * time.Second)
 	for elapsed := 10 * time.Second; elapsed < 10*time.Minute; elapsed += time.Second {
-		for n, f := range w.followers {
-			if got, want := f.inst.Ready(w.now), n != 5; got != want {
-				t.Fatalf("%s after the start of the outage, %s ready = %v, want %v", elapsed, f.name, got, want)
+		for n, f := range sim.followers {
+			if got, want := f.inst.Ready(sim.now), n != 5; got != want {
+				t.Fatalf("%s after the start of the outage: %s ready = %v, want %v", elapsed, f.name, got, want)
 			}
 		}
-		w.run(time.Second)
+		sim.run(time.Second)
 	}
-	w.run(2 * time.Second)
-	w.accept()
-	w.run(inForce)
-	if late := w.behind(); late != "" {
-		t.Errorf("%s after a change that followed the outage: %s", inForce, late)
+	sim.run(2 * time.Second)
+	sim.accept()
+	sim.run(maxPropagation)
+	if late := sim.outdated(); late != "" {
+		t.Errorf("%s after the first change since the outage: outdated instances: %s", maxPropagation, late)
 	}
 }
 
-// One of three instances hears neither the table nor the others, who go on with
-// the table. It can't tell this from an outage, and must refuse.
+// One of three instances reaches neither the table nor the others, which still
+// reach the table. It can't distinguish this from an outage and must refuse
+// requests.
 func TestPromise7InstanceCutOffFromAllRefuses(t *testing.T) {
-	w := newWorld(3, "a")
-	w.run(3 * time.Second)
-	w.followers[0].alone = w.now.Add(time.Minute)
-	w.run(outOfForce) // what was under way may confirm a moment longer
+	sim := newSimulation(3, "a")
+	sim.run(3 * time.Second)
+	sim.followers[0].isolatedUntil = sim.now.Add(time.Minute)
+	sim.run(maxStaleness) // replies in transit may still confirm the version for this long
 	for range 50 {
-		w.run(time.Second)
-		if w.followers[0].inst.Ready(w.now) {
-			t.Fatal("the instance that is cut off serves")
+		sim.run(time.Second)
+		if sim.followers[0].inst.Ready(sim.now) {
+			t.Fatal("the isolated instance is ready, want it to refuse requests")
 		}
 	}
 }
 
-// An instance is replaced under its name while a question of the first run is
-// under way. The answer must not pass for one to a question of the second run,
-// which was sent later: it would confirm a version by what was known before.
-func TestPromise7RunsNumberTheirQuestionsApart(t *testing.T) {
+// An instance is restarted under its name while a read of the first boot is in
+// transit. The reply must not match a read that the second boot sent later, as it
+// would confirm a version by a row that was read earlier. Therefore ids of reads
+// must differ between boots.
+func TestPromise7ReadIDsDifferBetweenBoots(t *testing.T) {
 	seen := map[string]string{}
 	for _, boot := range []string{"1", "2"} {
 		self := membership.Member{Name: "a0", Role: membership.RoleEntry, DataCentre: "a", State: membership.Live}
 		inst := core.New(core.Options{Self: self, Boot: boot, Seed: 1})
-		for now := time.Unix(1000, 0); now.Before(time.Unix(1020, 0)); now = now.Add(tickEvery) {
+		for now := time.Unix(1000, 0); now.Before(time.Unix(1020, 0)); now = now.Add(tickInterval) {
 			for _, a := range inst.Handle(now, core.Tick{}) {
 				if r, ok := a.(core.Read); ok && seen[r.Op] != "" && seen[r.Op] != boot {
-					t.Fatalf("runs %s and %s both ask %s", seen[r.Op], boot, r.Op)
+					t.Fatalf("boots %s and %s both use read id %s", seen[r.Op], boot, r.Op)
 				} else if ok {
 					seen[r.Op] = boot
 				}
@@ -121,75 +125,77 @@
 		}
 	}
 	if len(seen) < 20 {
-		t.Errorf("%d questions, want at least 20", len(seen))
+		t.Errorf("%d reads, want at least 20", len(seen))
 	}
 }
 
-// A data centre that is cut off from the others and from the table can't tell
-// an outage from a cut: beyond it a change may have been accepted.
+// A data centre that reaches neither the others nor the table can't distinguish
+// an outage of the table from a partition, in which a change may have been
+// accepted outside it. Its instances must refuse requests.
 func TestPromise7CutOffDataCentreRefuses(t *testing.T) {
-	w := newWorld(3)
-	w.run(3 * time.Second)
-	w.apart = w.now.Add(time.Minute)
-	for _, f := range w.followers[:3] {
-		f.noTable = w.apart
+	sim := newSimulation(3)
+	sim.run(3 * time.Second)
+	sim.partitionedUntil = sim.now.Add(time.Minute)
+	for _, f := range sim.followers[:3] {
+		f.noTableUntil = sim.partitionedUntil
 	}
-	w.run(outOfForce + tickEvery)
-	for _, f := range w.followers {
-		if got, want := f.inst.Ready(w.now), f.dc == "b"; got != want {
+	sim.run(maxStaleness + tickInterval)
+	for _, f := range sim.followers {
+		if got, want := f.inst.Ready(sim.now), f.dc == "b"; got != want {
 			t.Errorf("%s ready = %v, want %v", f.name, got, want)
 		}
 	}
 }
 
-// An instance that has adopted a version can't be brought back by a read that
-// was answered before, by a peer that lags or by a late object.
+// An instance that has adopted a version must not revert because of a message from
+// a peer that lags or because of an object that arrives late.
 func TestPromise7LateAnswersDoNotRevert(t *testing.T) {
-	w := newWorld(1)
-	w.run(time.Second)
-	old := w.pointer
-	w.accept()
-	w.run(2 * time.Second)
-	f := w.followers[0]
-	w.handle(f, core.PeerMessage{From: "b0", Msg: msg.ConfigTold{Number: old.Number, Hash: old.Hash}})
-	w.handle(f, core.ObjectResult{Hash: old.Hash, OK: true, Data: w.objects[old.Hash]})
-	if w.run(time.Second); f.inst.ConfigNumber() != w.pointer.Number || w.broken != "" {
-		t.Errorf("version = %d, want %d; %s", f.inst.ConfigNumber(), w.pointer.Number, w.broken)
+	sim := newSimulation(1)
+	sim.run(time.Second)
+	old := sim.pointer
+	sim.accept()
+	sim.run(2 * time.Second)
+	f := sim.followers[0]
+	sim.handle(f, core.PeerMessage{From: "b0", Msg: msg.ConfigTold{Number: old.Number, Hash: old.Hash}})
+	sim.handle(f, core.ObjectResult{Hash: old.Hash, OK: true, Data: sim.objects[old.Hash]})
+	if sim.run(time.Second); f.inst.ConfigNumber() != sim.pointer.Number || sim.violation != "" {
+		t.Errorf("version = %d, want %d; violation: %s", f.inst.ConfigNumber(), sim.pointer.Number, sim.violation)
 	}
 }
 
-// The reads of the row do not grow with the instances: two readers in each data
-// centre, twice a second.
+// The rate of reads of the configuration row must not grow with the number of
+// instances: two readers in each data centre read it twice a second.
 func TestConfigReadsDoNotGrowWithInstances(t *testing.T) {
 	for _, perDC := range []int{3, 12, 40} {
-		w := newWorld(perDC)
-		w.run(5 * time.Second)
-		before := w.reads
-		w.run(20 * time.Second)
-		perSecond := float64(w.reads-before) / 20
+		sim := newSimulation(perDC)
+		sim.run(5 * time.Second)
+		before := sim.reads
+		sim.run(20 * time.Second)
+		perSecond := float64(sim.reads-before) / 20
 		t.Logf("instances=%d reads_per_second=%.1f", 2*perDC, perSecond)
 		if perSecond > 8.5 {
-			t.Errorf("%d instances read the row %.1f times a second, want 8", 2*perDC, perSecond)
+			t.Errorf("%d instances: %.1f reads of the row per second, want 8", 2*perDC, perSecond)
 		}
 	}
 }
 
-// A reader dies while the list still calls it live. Whoever asked it in vain
-// leaves it out of the entry answers within three seconds.
-func TestEntriesLeaveOutWhoDoesNotAnswer(t *testing.T) {
-	missed := 0
+// A reader stops responding while the instance list still reports it as live.
+// Instances whose requests to it time out must omit it from the entries that they
+// return to callers within three seconds.
+func TestEntriesOmitUnresponsivePeers(t *testing.T) {
+	omitted := 0
 	for dead := range 3 {
-		w := newWorld(3, "a")
-		w.run(3 * time.Second)
-		w.followers[dead].alone = w.now.Add(time.Minute)
-		w.run(3 * time.Second)
-		for n, f := range w.followers {
-			if e := f.inst.Entries(w.now, ""); n != dead && !slices.Contains(e.Addresses, w.followers[dead].name) {
-				missed++
+		sim := newSimulation(3, "a")
+		sim.run(3 * time.Second)
+		sim.followers[dead].isolatedUntil = sim.now.Add(time.Minute)
+		sim.run(3 * time.Second)
+		for n, f := range sim.followers {
+			if e := f.inst.Entries(sim.now, ""); n != dead && !slices.Contains(e.Addresses, sim.followers[dead].name) {
+				omitted++
 			}
 		}
 	}
-	if missed < 2 {
-		t.Errorf("dead readers were left out %d times, want at least once for each of two", missed)
+	if omitted < 2 {
+		t.Errorf("unresponsive readers were omitted %d times, want at least once for each of two", omitted)
 	}
 }
--- a/internal/prooftest/members/leave_test.go
+++ b/internal/prooftest/members/leave_test.go
@@ -15,142 +15,146 @@
 	"mulberrylug.example/mulberrylug/internal/testkit"
 )
 
-// Callers ask while upstreams begin to leave, reports stop, the instance list
-// lags, homes die, entries and homes freeze and wake with what was under way,
-// calls fail and are tried again, and links stall and deliver late, in any order.
-// No upstream gets new work more than three seconds after it began to leave.
+// Callers send requests while, in any order, upstreams begin to leave, reports
+// stop, the instance list lags, homes restart, entries and homes freeze and resume
+// with their held events, calls fail and are retried, and links stall and deliver
+// late. No upstream may get new work more than three seconds after it began to
+// leave.
 func TestPromise5PropertyLeavingUpstreamGetsNoNewWork(t *testing.T) {
 	params := testkit.Parameters()
 	params.MaxSize = 40
 	properties := gopter.NewProperties(params)
-	sent := 0
-	properties.Property("no new work", prop.ForAll(func(order []int) string {
+	dispatched := 0
+	properties.Property("no new work more than 3 s after an upstream began to leave", prop.ForAll(func(steps []int) string {
 		f := newFleet()
-		for _, code := range order {
-			f.ask(f.nodes[code%3], code%7)
+		for _, code := range steps {
+			f.submit(f.instances[code%3], code%7)
 			f.step(code)
 			f.run(time.Duration(100+code%1100) * time.Millisecond)
 		}
 		f.run(3 * time.Second)
-		sent += f.sent
-		return f.late
+		dispatched += f.dispatched
+		return f.violation
 	}, gen.SliceOf(gen.IntRange(0, 9999))))
 	properties.TestingRun(t)
-	if sent == 0 {
-		t.Error("nothing was ever sent to an upstream")
+	if dispatched == 0 {
+		t.Error("no work was sent to any upstream, want some")
 	}
-	t.Logf("sent=%d", sent)
+	t.Logf("dispatched=%d", dispatched)
 }
 
-// firstAsk returns the entry's first ask for a grant, if it has sent one.
-func (f *fleet) firstAsk(entry *leaveNode) (home string, ask msg.GrantAsk) {
-	a := f.asks[entry.name]
+// firstGrantAsk returns the entry's first request for a grant and the home that it
+// was sent to. The home is "" if the entry has sent none.
+func (f *fleet) firstGrantAsk(entry *fleetInstance) (home string, ask msg.GrantAsk) {
+	a := f.firstAsks[entry.name]
 	ask, _ = a.Msg.(msg.GrantAsk)
 	return a.To, ask
 }
 
-// grantAsk asks i0, as the home of the engines, on behalf of i1.
+// grantAsk sends a request for a grant from i1 to i0 as the home of the engines.
 func (f *fleet) grantAsk(attempt string, number int) {
 	ask := placement.Ask{Attempt: attempt, Org: "o", Prompt: 10, MaxOutput: 100, MaxWait: time.Minute}
-	f.handle(f.nodes[0], core.PeerMessage{From: "i1", Msg: msg.GrantAsk{Pool: "chat@r", Ask: ask, Number: number}})
+	f.handle(f.instances[0], core.PeerMessage{From: "i1", Msg: msg.GrantAsk{Pool: "chat@r", Ask: ask, Number: number}})
 }
 
-// warm wakes the home up with an ask that soon ends, so that it polls.
+// warm makes the home poll the upstreams, by a request for a grant that soon ends.
 func (f *fleet) warm() {
 	const attempt = "i1:1:0/0"
 	f.grantAsk(attempt, 1)
 	f.run(time.Second)
-	f.handle(f.nodes[0], core.PeerMessage{From: "i1", Msg: msg.GrantEnd{Pool: "chat@r", Attempt: attempt}})
-	f.granted = nil
+	f.handle(f.instances[0], core.PeerMessage{From: "i1", Msg: msg.GrantEnd{Pool: "chat@r", Attempt: attempt}})
+	f.grants = nil
 }
 
-// A grant's answer is lost, the upstream begins to leave, and the entry asks
-// again for the same attempt. The home must not repeat the grant: the entry
-// would count it from its new ask and send work to the leaving upstream.
+// The reply with a grant is lost, the upstream begins to leave, and the entry
+// repeats its request for the same attempt. The home must not repeat the grant:
+// the entry would count its validity from the new request and send work to the
+// leaving upstream.
 func TestPromise5LostGrantIsNotRepeatedForALeavingUpstream(t *testing.T) {
 	f := newFleet()
-	f.nodes[1].frozen = f.now.Add(time.Minute) // the entry gets no answer
+	f.instances[1].frozenUntil = f.now.Add(time.Minute) // the entry gets no reply
 	f.warm()
 	f.grantAsk("i1:1:1/1", 1)
-	if len(f.granted) != 1 {
-		t.Fatalf("granted %d times, want once", len(f.granted))
+	if len(f.grants) != 1 {
+		t.Fatalf("%d grants, want 1", len(f.grants))
 	}
-	w := f.worker(f.granted[0].Decision.Upstream)
-	w.left = f.now
+	up := f.upstream(f.grants[0].Decision.Upstream)
+	up.leavingSince = f.now
 	f.run(3 * time.Second)
 	f.grantAsk("i1:1:1/1", 2)
-	for _, m := range f.granted[1:] {
-		if m.Decision.Upstream == w.member.Name {
-			t.Errorf("%s was granted again after it began to leave", w.member.Name)
+	for _, m := range f.grants[1:] {
+		if m.Decision.Upstream == up.member.Name {
+			t.Errorf("grant for %s was repeated after the upstream began to leave, want none", up.member.Name)
 		}
 	}
 }
 
-// A home is frozen while work waits in its queue. A report from before the
-// freeze is the first thing that it handles on waking: by that report's own time
-// every upstream is fresh, but five seconds have passed.
+// A home is frozen for five seconds while work waits in its queue. After it
+// resumes, it handles reports of polls from before the freeze. The home must not
+// grant by them: their upstreams may have begun to leave since.
 func TestPromise5FrozenHomeGrantsNothingByOldReports(t *testing.T) {
 	f := newFleet()
 	f.warm()
 	for n := range 5 {
-		f.grantAsk(fmt.Sprintf("i1:1:%d/1", n), 1) // four fill the engines, one waits
+		f.grantAsk(fmt.Sprintf("i1:1:%d/1", n), 1) // four fill both engines, one is queued
 	}
-	if len(f.granted) != 4 {
-		t.Fatalf("granted %d, want 4", len(f.granted))
+	if len(f.grants) != 4 {
+		t.Fatalf("%d grants, want 4", len(f.grants))
 	}
 	asked := f.now
 	f.now = f.now.Add(5 * time.Second)
-	f.handle(f.nodes[0], core.PeerMessage{From: "i1", Msg: msg.GrantEnd{Pool: "chat@r", Attempt: "i1:1:0/1"}})
+	f.handle(f.instances[0], core.PeerMessage{From: "i1", Msg: msg.GrantEnd{Pool: "chat@r", Attempt: "i1:1:0/1"}})
 	for _, name := range []string{"e1", "e2"} {
 		r := placement.Report{Upstream: name, Boot: "1", Capacity: 100_000, MaxBatch: 2}
-		f.handle(f.nodes[0], core.UpstreamReport{Report: r, Asked: asked})
+		f.handle(f.instances[0], core.UpstreamReport{Report: r, Asked: asked})
 	}
-	if len(f.granted) != 4 {
-		t.Errorf("granted %s by a report of five seconds ago", f.granted[4].Decision.Upstream)
+	if len(f.grants) != 4 {
+		t.Errorf("granted %s by a report that was polled five seconds ago, want no grant", f.grants[4].Decision.Upstream)
 	}
 }
 
-// A grant is held up in a link for longer than it lasts, while the entry asks on
-// every 400 ms and hears that it waits. The grant counts from the ask that it
-// answers, not from the latest.
-func TestPromise5HeldUpGrantHasLapsed(t *testing.T) {
+// A grant is delayed in a link for longer than its TTL, while the entry repeats its
+// request every 400 ms and receives replies that it is queued. The entry must count
+// the TTL from the request that the grant replies to, not from the latest one.
+func TestPromise5DelayedGrantHasExpired(t *testing.T) {
 	for _, c := range []struct {
-		heldUp time.Duration
-		want   int
+		delay time.Duration
+		want  int
 	}{{900 * time.Millisecond, 1}, {1100 * time.Millisecond, 0}} {
 		tried := 0
 		for entry := range 3 {
-			got, ok := newFleet().holdUp(entry, c.heldUp)
+			got, ok := newFleet().useDelayedGrant(entry, c.delay)
 			if !ok {
-				continue // this entry is itself the home that it asks
+				continue // this entry is itself the home, so it sends no request
 			}
 			tried++
 			if got != c.want {
-				t.Errorf("after %s a grant was used %d times, want %d", c.heldUp, got, c.want)
+				t.Errorf("grant delayed by %s was used %d times, want %d", c.delay, got, c.want)
 			}
 		}
 		if tried == 0 {
-			t.Errorf("no entry asked another instance")
+			t.Errorf("no entry sent a request for a grant to another instance, want at least one")
 		}
 	}
 }
 
-// holdUp hands an entry the answer to its first ask late and returns how often
-// it sent work then. All others are frozen, so that only this answer can make it
-// send. ok is false if the entry asked nobody else.
-func (f *fleet) holdUp(entry int, heldUp time.Duration) (sent int, ok bool) {
-	n := f.nodes[entry]
-	n.asked = 1 // the next is a generation
-	f.ask(n, 1)
-	for try := 0; try < 200 && f.asks[n.name].To == ""; try++ {
+// useDelayedGrant delivers the reply to an entry's first request for a grant after
+// the given delay and returns how often the entry then sent work. All other
+// instances are frozen, so that only this reply can cause it. ok is false if the
+// entry sent no request to another instance.
+func (f *fleet) useDelayedGrant(entry int, delay time.Duration) (sent int, ok bool) {
+	n := f.instances[entry]
+	n.requests = 1 // so that the next request is a generation
+	f.submit(n, 1)
+	for try := 0; try < 200 && f.firstAsks[n.name].To == ""; try++ {
 		f.run(time.Millisecond)
 	}
-	for _, other := range f.nodes {
+	for _, other := range f.instances {
 		if other != n {
-			other.frozen = f.now.Add(time.Minute)
+			other.frozenUntil = f.now.Add(time.Minute)
 		}
 	}
-	home, ask := f.firstAsk(n)
+	home, ask := f.firstGrantAsk(n)
 	if home == "" {
 		return 0, false
 	}
@@ -158,12 +162,12 @@
 		Pool: ask.Pool, Address: "e1", TTL: time.Second, Number: ask.Number,
 		Decision: placement.Decision{Attempt: ask.Ask.Attempt, Kind: placement.Queued, Upstream: "e1"},
 	}
-	for began := f.now; f.now.Sub(began) < heldUp; {
+	for began := f.now; f.now.Sub(began) < delay; {
 		f.handle(n, core.PeerMessage{From: home, Msg: answer})
 		f.run(50 * time.Millisecond)
 	}
-	before := f.sent
+	before := f.dispatched
 	answer.Decision.Kind = placement.Granted
 	f.handle(n, core.PeerMessage{From: home, Msg: answer})
-	return f.sent - before, true
+	return f.dispatched - before, true
 }
--- a/internal/prooftest/members/simulation.go
+++ b/internal/prooftest/members/simulation.go
@@ -1,6 +1,7 @@
-// Package members proves, in virtual time, how instances follow the configuration
-// and how leaving upstreams get no new work. Its fakes drive several instances
-// through core.Instance.Handle, in orders that gopter draws and shrinks.
+// Package members tests, in virtual time, how instances synchronise the
+// configuration and that leaving upstreams get no new work. Its fakes drive several
+// instances through core.Instance.Handle with sequences of steps that gopter
+// generates and shrinks.
 package members
 
 import (
@@ -18,44 +19,46 @@
 )
 
 const (
-	tickEvery   = 100 * time.Millisecond
-	linkTime    = 5 * time.Millisecond
-	readTimeout = time.Second
-	// outOfForce is the stated bound: how long an old version may still be
-	// applied to new requests after another was accepted.
-	outOfForce = 3 * time.Second
-	// inForce bounds how long a change takes to be served everywhere.
-	inForce = 4 * time.Second
+	tickInterval = 100 * time.Millisecond
+	linkDelay    = 5 * time.Millisecond
+	readTimeout  = time.Second
+	// maxStaleness is the guaranteed maximum time for which a version may still be
+	// applied to new requests after its successor was accepted.
+	maxStaleness = 3 * time.Second
+	// maxPropagation is the maximum time until every instance serves a change.
+	maxPropagation = 4 * time.Second
 )
 
-// follower is one instance under test and what stands between it and others.
+// follower is one instance under test with the faults injected into it.
 type follower struct {
 	name, dc string
 	inst     *core.Instance
 	boot     int
-	// frozen holds its events back; noTable and alone cut it off from the
-	// table, and from everything.
-	frozen         time.Time
-	noTable, alone time.Time
-	held           []core.Event
-	number         int64
+	// Until frozenUntil its events are held back in heldEvents; until
+	// noTableUntil it can't reach the table; until isolatedUntil it can reach
+	// neither the table nor other instances.
+	frozenUntil                 time.Time
+	noTableUntil, isolatedUntil time.Time
+	heldEvents                  []core.Event
+	lastNumber                  int64 // configuration version at the last check
 }
 
-// world is a table with one row, its objects, and the instances that follow.
-type world struct {
+// simulation is a fake table with one row and its objects, and the instances that
+// synchronise their configuration with it.
+type simulation struct {
 	now       time.Time
 	queue     events
 	followers []*follower
 	pointer   core.ConfigPointer
 	objects   map[string][]byte
 	accepted  map[int64]time.Time
-	// cordoned holds the cordoned data centres by the version that they go with.
-	cordoned map[int64][]string
-	down     time.Time // the table, for everybody
-	slow     time.Time // links between instances
-	apart    time.Time // the two data centres from each other
-	reads    int
-	broken   string
+	// cordoned holds the cordoned data centres of each configuration version.
+	cordoned         map[int64][]string
+	tableDownUntil   time.Time // the table responds to no instance
+	linksSlowUntil   time.Time // messages between instances are delayed
+	partitionedUntil time.Time // no messages between the two data centres
+	reads            int
+	violation        string
 }
 
 type event struct {
@@ -81,40 +84,40 @@
 
 var sequence int
 
-func (w *world) in(d time.Duration, do func()) {
+func (sim *simulation) after(d time.Duration, do func()) {
 	sequence++
-	heap.Push(&w.queue, event{at: w.now.Add(d), seq: sequence, do: do})
+	heap.Push(&sim.queue, event{at: sim.now.Add(d), seq: sequence, do: do})
 }
 
-func newWorld(perDC int, dcs ...string) *world {
-	w := &world{now: time.Unix(1000, 0), objects: map[string][]byte{}, accepted: map[int64]time.Time{}, cordoned: map[int64][]string{}}
+func newSimulation(perDC int, dcs ...string) *simulation {
+	sim := &simulation{now: time.Unix(1000, 0), objects: map[string][]byte{}, accepted: map[int64]time.Time{}, cordoned: map[int64][]string{}}
 	if len(dcs) == 0 {
 		dcs = []string{"a", "b"}
 	}
 	for _, dc := range dcs {
 		for n := range perDC {
-			w.followers = append(w.followers, &follower{name: fmt.Sprintf("%s%d", dc, n), dc: dc})
+			sim.followers = append(sim.followers, &follower{name: fmt.Sprintf("%s%d", dc, n), dc: dc})
 		}
 	}
-	w.accept()
-	for n, f := range w.followers {
-		w.start(f)
-		w.every(tickEvery, time.Duration(n)*7*time.Millisecond, func() { w.tick(f) })
-		w.every(time.Second, 0, func() { w.give(f, core.InstanceList{Members: w.members()}) })
+	sim.accept()
+	for n, f := range sim.followers {
+		sim.start(f)
+		sim.every(tickInterval, time.Duration(n)*7*time.Millisecond, func() { sim.tick(f) })
+		sim.every(time.Second, 0, func() { sim.deliver(f, core.InstanceList{Members: sim.members()}) })
 	}
-	return w
+	return sim
 }
 
-func (w *world) every(d, first time.Duration, do func()) {
-	w.in(first, func() {
+func (sim *simulation) every(d, first time.Duration, do func()) {
+	sim.after(first, func() {
 		do()
-		w.every(d, d, do)
+		sim.every(d, d, do)
 	})
 }
 
-func (w *world) members() []membership.Member {
+func (sim *simulation) members() []membership.Member {
 	var out []membership.Member
-	for _, f := range w.followers {
+	for _, f := range sim.followers {
 		out = append(out, f.member())
 	}
 	return out
@@ -124,15 +127,15 @@
 	return membership.Member{Name: f.name, Role: membership.RoleEntry, DataCentre: f.dc, State: membership.Live, Address: f.name, PeerAddress: f.name}
 }
 
-func (w *world) start(f *follower) {
+func (sim *simulation) start(f *follower) {
 	f.boot++
-	f.number, f.held = 0, nil
+	f.lastNumber, f.heldEvents = 0, nil
 	f.inst = core.New(core.Options{Self: f.member(), Boot: fmt.Sprint(f.boot), Seed: 1})
 }
 
-// accept puts the next version into the table.
-func (w *world) accept() {
-	n := w.pointer.Number + 1
+// accept writes the next configuration version to the table.
+func (sim *simulation) accept() {
+	n := sim.pointer.Number + 1
 	text := fmt.Sprintf(`deployment: {name: w, regions: {r: [a, b]}, entry_ttl: %ds, stream_key: a-key-that-is-long-enough-to-sign-with}`, n)
 	cfg, err := config.Parse([]config.File{{Name: "w.yaml", Data: []byte(text)}})
 	if err != nil {
@@ -142,195 +145,202 @@
 	if err != nil {
 		panic(err)
 	}
-	w.objects[hash] = object
-	w.put(core.ConfigPointer{Number: n, Hash: hash, Cordoned: w.pointer.Cordoned})
+	sim.objects[hash] = object
+	sim.setPointer(core.ConfigPointer{Number: n, Hash: hash, Cordoned: sim.pointer.Cordoned})
 }
 
-// put puts a pointer into the table.
-func (w *world) put(p core.ConfigPointer) {
-	w.pointer = p
-	w.accepted[p.Number], w.cordoned[p.Number] = w.now, p.Cordoned
+// setPointer writes a configuration pointer to the table.
+func (sim *simulation) setPointer(p core.ConfigPointer) {
+	sim.pointer = p
+	sim.accepted[p.Number], sim.cordoned[p.Number] = sim.now, p.Cordoned
 }
 
-// cordon cordons a data centre, or lifts its cordon if it is.
-func (w *world) cordon(dataCentre string) {
-	next := slices.DeleteFunc(slices.Clone(w.pointer.Cordoned), func(dc string) bool { return dc == dataCentre })
-	if len(next) == len(w.pointer.Cordoned) {
+// cordon cordons a data centre, or lifts the cordon if it is already cordoned.
+func (sim *simulation) cordon(dataCentre string) {
+	next := slices.DeleteFunc(slices.Clone(sim.pointer.Cordoned), func(dc string) bool { return dc == dataCentre })
+	if len(next) == len(sim.pointer.Cordoned) {
 		next = append(next, dataCentre)
 		slices.Sort(next)
 	}
-	w.put(core.ConfigPointer{Number: w.pointer.Number + 1, Hash: w.pointer.Hash, Cordoned: next})
+	sim.setPointer(core.ConfigPointer{Number: sim.pointer.Number + 1, Hash: sim.pointer.Hash, Cordoned: next})
 }
 
-// tick checks what the instance would decide now, before it learns anything
-// more, and lets time pass for it.
-func (w *world) tick(f *follower) {
-	if w.now.Before(f.frozen) {
+// tick checks the version that the instance would apply now, before it handles
+// held events, then delivers these events and a tick.
+func (sim *simulation) tick(f *follower) {
+	if sim.now.Before(f.frozenUntil) {
 		return
 	}
-	w.check(f)
-	held := f.held
-	f.held = nil
+	sim.check(f)
+	held := f.heldEvents
+	f.heldEvents = nil
 	for _, ev := range held {
-		w.handle(f, ev)
+		sim.handle(f, ev)
 	}
-	w.handle(f, core.Tick{})
+	sim.handle(f, core.Tick{})
 }
 
-// check fails the order if the instance would serve by a version that was
-// replaced too long ago, or went back to an older one.
-func (w *world) check(f *follower) {
+// check records a violation if the instance reverted to an older version, holds
+// cordons that do not match its version, or is ready with a version that was
+// replaced more than maxStaleness ago.
+func (sim *simulation) check(f *follower) {
 	n := f.inst.ConfigNumber()
-	if n < f.number {
-		w.broken = fmt.Sprintf("%s went back from version %d to %d", f.name, f.number, n)
+	if n < f.lastNumber {
+		sim.violation = fmt.Sprintf("%s reverted from version %d to %d", f.name, f.lastNumber, n)
 	}
-	f.number = n
-	if c := f.inst.Cordons(); n > 0 && (c.Version != n || !slices.Equal(c.DataCentres, w.cordoned[n])) {
-		w.broken = fmt.Sprintf("%s holds version %d and cordons %v of version %d, want %v", f.name, n, c.DataCentres, c.Version, w.cordoned[n])
+	f.lastNumber = n
+	if c := f.inst.Cordons(); n > 0 && (c.Version != n || !slices.Equal(c.DataCentres, sim.cordoned[n])) {
+		sim.violation = fmt.Sprintf("%s has version %d with cordons %v of version %d, want cordons %v", f.name, n, c.DataCentres, c.Version, sim.cordoned[n])
 	}
-	at, replaced := w.accepted[n+1]
-	if late := w.now.Sub(at); replaced && late > outOfForce && f.inst.Ready(w.now) {
-		w.broken = fmt.Sprintf("%s serves by version %d, %s after version %d was accepted", f.name, n, late, n+1)
+	at, replaced := sim.accepted[n+1]
+	if late := sim.now.Sub(at); replaced && late > maxStaleness && f.inst.Ready(sim.now) {
+		sim.violation = fmt.Sprintf("%s still serves version %d %s after version %d was accepted", f.name, n, late, n+1)
 	}
 }
 
-func (w *world) give(f *follower, ev core.Event) {
-	if w.now.Before(f.frozen) {
-		f.held = append(f.held, ev)
+// deliver passes an event to the instance, or holds it back while the instance is
+// frozen.
+func (sim *simulation) deliver(f *follower, ev core.Event) {
+	if sim.now.Before(f.frozenUntil) {
+		f.heldEvents = append(f.heldEvents, ev)
 		return
 	}
-	w.handle(f, ev)
+	sim.handle(f, ev)
 }
 
-func (w *world) handle(f *follower, ev core.Event) {
+func (sim *simulation) handle(f *follower, ev core.Event) {
 	boot := f.boot
-	for _, a := range f.inst.Handle(w.now, ev) {
+	for _, a := range f.inst.Handle(sim.now, ev) {
 		reply := func(d time.Duration, ev core.Event) {
-			w.in(d, func() {
+			sim.after(d, func() {
 				if f.boot == boot {
-					w.give(f, ev)
+					sim.deliver(f, ev)
 				}
 			})
 		}
 		switch a := a.(type) {
 		case core.Send:
-			w.send(f, a)
+			sim.send(f, a)
 		case core.Read:
-			w.reads++
-			if !w.reaches(f) {
+			sim.reads++
+			if !sim.tableReachable(f) {
 				reply(readTimeout, core.ReadResult{Op: a.Op})
 				continue
 			}
-			value, _ := json.Marshal(w.pointer)
-			row := table.Row{Key: core.ConfigRow, Version: w.pointer.Number, Value: value}
-			reply(2*linkTime, core.ReadResult{Op: a.Op, OK: true, Rows: []table.Row{row}})
+			value, _ := json.Marshal(sim.pointer)
+			row := table.Row{Key: core.ConfigRow, Version: sim.pointer.Number, Value: value}
+			reply(2*linkDelay, core.ReadResult{Op: a.Op, OK: true, Rows: []table.Row{row}})
 		case core.Fetch:
-			if data, ok := w.objects[a.Hash]; ok && w.reaches(f) {
-				reply(2*linkTime, core.ObjectResult{Hash: a.Hash, OK: true, Data: data})
+			if data, ok := sim.objects[a.Hash]; ok && sim.tableReachable(f) {
+				reply(2*linkDelay, core.ObjectResult{Hash: a.Hash, OK: true, Data: data})
 			} else {
 				reply(readTimeout, core.ObjectResult{Hash: a.Hash})
 			}
 		}
 	}
-	w.check(f)
+	sim.check(f)
 }
 
-func (w *world) reaches(f *follower) bool {
-	return !w.now.Before(w.down) && !w.now.Before(f.noTable) && !w.now.Before(f.alone)
+func (sim *simulation) tableReachable(f *follower) bool {
+	return !sim.now.Before(sim.tableDownUntil) && !sim.now.Before(f.noTableUntil) && !sim.now.Before(f.isolatedUntil)
 }
 
-func (w *world) send(from *follower, a core.Send) {
-	for _, to := range w.followers {
-		cut := w.now.Before(from.alone) || w.now.Before(to.alone) || from.dc != to.dc && w.now.Before(w.apart)
-		if to.name != a.To || cut {
+func (sim *simulation) send(from *follower, a core.Send) {
+	for _, to := range sim.followers {
+		unreachable := sim.now.Before(from.isolatedUntil) || sim.now.Before(to.isolatedUntil) || from.dc != to.dc && sim.now.Before(sim.partitionedUntil)
+		if to.name != a.To || unreachable {
 			continue
 		}
-		delay := linkTime
-		if w.now.Before(w.slow) { // a link that stalls and delivers later
+		delay := linkDelay
+		if sim.now.Before(sim.linksSlowUntil) { // stalled links deliver late
 			delay = 5 * time.Second
 		}
 		boot := to.boot
-		w.in(delay, func() {
+		sim.after(delay, func() {
 			if to.boot == boot {
-				w.give(to, core.PeerMessage{From: from.name, Msg: a.Msg})
+				sim.deliver(to, core.PeerMessage{From: from.name, Msg: a.Msg})
 			}
 		})
 	}
 }
 
-func (w *world) run(d time.Duration) {
-	until := w.now.Add(d)
-	for w.broken == "" && len(w.queue) > 0 && !w.queue[0].at.After(until) {
-		e := heap.Pop(&w.queue).(event)
-		w.now = e.at
+func (sim *simulation) run(d time.Duration) {
+	until := sim.now.Add(d)
+	for sim.violation == "" && len(sim.queue) > 0 && !sim.queue[0].at.After(until) {
+		e := heap.Pop(&sim.queue).(event)
+		sim.now = e.at
 		e.do()
 	}
-	w.now = until
+	sim.now = until
 }
 
-// Steps of an order: each is a kind, whom it strikes and for how long.
+// Kinds of steps in a generated sequence. A step's code also selects the instance
+// that it affects and its duration.
 const (
 	stepAccept = iota
 	stepCordon
 	stepFreeze
-	stepNoTable
-	stepAlone
+	stepTableUnreachable
+	stepIsolate
 	stepRestart
-	stepDown
-	stepSlow
-	stepApart
-	steps
+	stepTableDown
+	stepSlowLinks
+	stepPartition
+	stepCount
 )
 
-func (w *world) step(code int) {
-	f := w.followers[code/steps%len(w.followers)]
-	until := w.now.Add(time.Duration(1+code/100%6) * time.Second)
-	switch code % steps {
+func (sim *simulation) step(code int) {
+	f := sim.followers[code/stepCount%len(sim.followers)]
+	until := sim.now.Add(time.Duration(1+code/100%6) * time.Second)
+	switch code % stepCount {
 	case stepAccept, stepCordon:
-		// A change that reaches nobody before the table goes down is not
-		// covered: so none is made while the links between instances stall,
-		// nor through one that has just started and knows nobody.
-		if !w.reaches(f) || w.now.Before(f.frozen) || w.now.Before(w.slow) || f.inst.Instances() <= 1 {
+		// A change that reaches no other instance before the table goes down is
+		// not covered by the guarantee. Therefore no change is made while the
+		// links between instances stall, nor through an instance that has just
+		// started and has no other instance in its view.
+		if !sim.tableReachable(f) || sim.now.Before(f.frozenUntil) || sim.now.Before(sim.linksSlowUntil) || f.inst.Instances() <= 1 {
 			return
 		}
-		if code%steps == stepCordon {
-			w.cordon(f.dc)
-			w.give(f, core.ConfigApplied{Pointer: w.pointer})
+		if code%stepCount == stepCordon {
+			sim.cordon(f.dc)
+			sim.deliver(f, core.ConfigApplied{Pointer: sim.pointer})
 			return
 		}
-		w.accept()
-		w.give(f, core.ConfigApplied{Pointer: w.pointer, Object: w.objects[w.pointer.Hash]})
+		sim.accept()
+		sim.deliver(f, core.ConfigApplied{Pointer: sim.pointer, Object: sim.objects[sim.pointer.Hash]})
 	case stepFreeze:
-		f.frozen = until
-	case stepNoTable:
-		f.noTable = until
-	case stepAlone:
-		f.alone = until
+		f.frozenUntil = until
+	case stepTableUnreachable:
+		f.noTableUntil = until
+	case stepIsolate:
+		f.isolatedUntil = until
 	case stepRestart:
-		w.start(f)
-	case stepDown:
-		w.down = until
-	case stepSlow:
-		w.slow = until
-	case stepApart:
-		w.apart = until
+		sim.start(f)
+	case stepTableDown:
+		sim.tableDownUntil = until
+	case stepSlowLinks:
+		sim.linksSlowUntil = until
+	case stepPartition:
+		sim.partitionedUntil = until
 	}
 }
 
-// heal ends every failure.
-func (w *world) heal() {
-	w.down, w.slow, w.apart = w.now, w.now, w.now
-	for _, f := range w.followers {
-		f.frozen, f.noTable, f.alone = w.now, w.now, w.now
+// heal ends every injected fault.
+func (sim *simulation) heal() {
+	sim.tableDownUntil, sim.linksSlowUntil, sim.partitionedUntil = sim.now, sim.now, sim.now
+	for _, f := range sim.followers {
+		f.frozenUntil, f.noTableUntil, f.isolatedUntil = sim.now, sim.now, sim.now
 	}
 }
 
-func (w *world) behind() string {
-	var late []string
-	for _, f := range w.followers {
-		if f.inst.ConfigNumber() != w.pointer.Number || !f.inst.Ready(w.now) {
-			late = append(late, fmt.Sprintf("%s at version %d of %d, ready %v", f.name, f.inst.ConfigNumber(), w.pointer.Number, f.inst.Ready(w.now)))
+// outdated describes the instances that do not serve the present version; it
+// returns "" if all of them do.
+func (sim *simulation) outdated() string {
+	var problems []string
+	for _, f := range sim.followers {
+		if f.inst.ConfigNumber() != sim.pointer.Number || !f.inst.Ready(sim.now) {
+			problems = append(problems, fmt.Sprintf("%s has version %d, want %d; ready = %v", f.name, f.inst.ConfigNumber(), sim.pointer.Number, f.inst.Ready(sim.now)))
 		}
 	}
-	return strings.Join(late, "; ")
+	return strings.Join(problems, "; ")
 }
