--- a/internal/prooftest/bookings/bookings_test.go
+++ b/internal/prooftest/bookings/bookings_test.go
@@ -15,80 +15,81 @@
 	"mulberrylug.example/mulberrylug/internal/upstream"
 )
 
-// Nine callers send the same key to three entries at once, while the service
-// needs a moment. One entry claims the key; the others wait for its record.
-// All nine get the one answer.
+// Nine callers send the same key to three entries at the same time, while the
+// service takes 300 ms. One entry claims the key and the others wait for its record,
+// so that the call runs once and all nine callers get the same response.
 func TestPromise4SameKeyAtOnce(t *testing.T) {
 	f := startFleet(t, 3, "")
 	f.Services[0].SetFaults(serviceFaults{Delay: 300 * time.Millisecond})
-	replies := make([]reply, 9)
+	responses := make([]response, 9)
 	var calls []func()
-	for n := range replies {
-		calls = append(calls, func() { replies[n] = post(t, f.Instances[n%3].CallerAddress(), "twin", "{}") })
+	for n := range responses {
+		calls = append(calls, func() { responses[n] = post(t, f.Instances[n%3].CallerAddress(), "twin", "{}") })
 	}
-	together(calls...)
-	for n, r := range replies {
-		wantReply(t, fmt.Sprint("caller ", n), r, "done", "")
-		if r.body != replies[0].body {
-			t.Errorf("caller %d got %s, caller 0 %s", n, r.body, replies[0].body)
+	runConcurrently(calls...)
+	for n, r := range responses {
+		wantResponse(t, fmt.Sprint("caller ", n), r, "done", "")
+		if r.body != responses[0].body {
+			t.Errorf("caller %d got body %s, want the body of caller 0: %s", n, r.body, responses[0].body)
 		}
 	}
 	wantRuns(t, f, "twin", 1)
-	wantReply(t, "another body", post(t, f.Instances[0].CallerAddress(), "twin", `{"x":1}`), "not_run", "idempotency_key_reused")
+	wantResponse(t, "another body", post(t, f.Instances[0].CallerAddress(), "twin", `{"x":1}`), "not_run", "idempotency_key_reused")
 }
 
-// The holder is frozen after its claim took effect and before it hears of it,
-// for longer than any timeout. Meanwhile a second entry gets the key: it never
-// takes a claim over, as the holder may be about to dispatch. The holder wakes,
-// finds its grant lapsed, releases the key and answers "not run"; then the
-// second caller's client gets its call run.
+// An entry is frozen after its claim was committed and before it receives the
+// result, for longer than any timeout. Meanwhile a second entry receives the key.
+// It must not take the claim over, as the first entry may be about to dispatch.
+// When the first entry resumes, its grant has expired: it releases the key and
+// responds "not run"; then the retries of the second caller's client get the call run.
 func TestPromise4HolderFrozenBetweenClaimAndDispatch(t *testing.T) {
 	f := startFleet(t, 2, "")
 	frozen := f.Instances[0]
 	f.Platform.AfterCommit("booking/", func() {
 		go frozen.Freeze(4 * time.Second)
-		wantStuck(frozen)
+		waitUnresponsive(frozen)
 	})
-	var first reply
+	var first response
 	var second error
-	together(func() {
+	runConcurrently(func() {
 		first = post(t, frozen.CallerAddress(), "frozen", "{}")
 	}, func() {
-		testkit.Eventually(t, within, "a claim", func() bool { return len(f.Platform.Rows(`booking/"nitrogen-depot"/"order-desk"/"frozen"`)) == 1 })
+		testkit.Eventually(t, waitTimeout, "the claim is in the table", func() bool { return len(f.Platform.Rows(`booking/"nitrogen-depot"/"order-desk"/"frozen"`)) == 1 })
 		_, second = clientOf(f.Instances[1].CallerAddress()).Do(context.Background(), client.Call{
 			Service: "order-desk", Path: "/refills", Body: []byte("{}"), Key: "frozen", NotRepeatable: true,
 		})
 	})
-	wantReply(t, "the frozen entry's caller", first, "not_run", "grant_lapsed")
+	wantResponse(t, "the frozen entry's caller", first, "not_run", "grant_lapsed")
 	if second != nil {
-		t.Errorf("the second caller got %v, want an answer", second)
+		t.Errorf("second caller: error = %v, want nil", second)
 	}
 	wantRuns(t, f, "frozen", 1)
 }
 
-// The claim's call to the table is given up, and the write lands two seconds
-// later. The entry has fenced the row by then, so that the late write conflicts
-// and the key is not kept by a claim that nobody holds.
+// The claim's commit times out, and the table applies the write two seconds later.
+// The entry has fenced the row by then, so that the late write must conflict.
+// Otherwise a claim that no entry holds would block the key.
 func TestPromise4ClaimLandsAfterItWasGivenUp(t *testing.T) {
 	f := startFleet(t, 2, "")
 	f.Platform.SetFaults(platformFaults{LandLate: 1, LandAfter: 2 * time.Second, LoseMatching: "booking/"})
-	begun := time.Now()
-	wantReply(t, "the first caller", post(t, f.Instances[0].CallerAddress(), "late", "{}"), "not_run", "store_unavailable")
+	start := time.Now()
+	wantResponse(t, "the first caller", post(t, f.Instances[0].CallerAddress(), "late", "{}"), "not_run", "store_unavailable")
 	wantRuns(t, f, "late", 0)
-	testkit.Eventually(t, within, "the late write", func() bool { return time.Since(begun) > 3*time.Second })
-	wantReply(t, "the repeat", post(t, f.Instances[1].CallerAddress(), "late", "{}"), "done", "")
+	testkit.Eventually(t, waitTimeout, "the late write has been attempted", func() bool { return time.Since(start) > 3*time.Second })
+	wantResponse(t, "the repeat", post(t, f.Instances[1].CallerAddress(), "late", "{}"), "done", "")
 	wantRuns(t, f, "late", 1)
 }
 
-// The store is slow, just within and just past what the entry waits for it, or
-// loses the answers to the claim and to its fence. Whatever the caller is told
-// is true, and once the store is well the key runs, or has run, exactly once.
+// The store is slower or faster than the entry's timeout, is down, or loses the
+// responses to the claim and to its fence. The outcome that the caller gets must
+// be true, and after the store has recovered and the call is repeated, the key must
+// have run exactly once.
 func TestPromise4StoreSlowOrLossy(t *testing.T) {
 	for name, faults := range map[string]platformFaults{
 		"300 ms": {Delay: 300 * time.Millisecond}, "900 ms": {Delay: 900 * time.Millisecond},
 		"1100 ms": {Delay: 1100 * time.Millisecond}, "down": {Down: true},
-		"claim's answer lost":           {LoseAnswers: 1, LoseMatching: "booking/"},
-		"claim's and fence's were lost": {LoseAnswers: 2, LoseMatching: "booking/"},
+		"response to the claim lost":                {LoseAnswers: 1, LoseMatching: "booking/"},
+		"responses to the claim and its fence lost": {LoseAnswers: 2, LoseMatching: "booking/"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := startFleet(t, 2, "")
@@ -98,11 +99,11 @@
 			if first.outcome == "done" {
 				want = 1
 			} else if first.outcome != "not_run" || first.retryAfter == "" {
-				t.Errorf("the caller got %+v, want done, or not_run with a time", first)
+				t.Errorf("caller got %+v, want outcome done, or not_run with Retry-After", first)
 			}
 			wantRuns(t, f, "slow", want)
 			f.Platform.SetFaults(platformFaults{})
-			testkit.Eventually(t, within, "the repeat", func() bool {
+			testkit.Eventually(t, waitTimeout, "the repeated call is done", func() bool {
 				return post(t, f.Instances[1].CallerAddress(), "slow", "{}").outcome == "done"
 			})
 			wantRuns(t, f, "slow", 1)
@@ -110,46 +111,46 @@
 	}
 }
 
-// The service executes the call and its connection breaks, or it never
-// answers. The caller is told "unknown", and so is each repeat at either entry:
-// nobody runs the call again.
+// The service executes the call, but its connection breaks or it never responds.
+// The caller must get the outcome "unknown", and so must each repeat at either
+// entry: no entry may run the call again.
 func TestPromise4AnswerLostAfterExecution(t *testing.T) {
-	for name, faults := range map[string]serviceFaults{"cut": {LoseAnswers: 1}, "hang": {Hang: 1}} {
+	for name, faults := range map[string]serviceFaults{"connection broken": {LoseAnswers: 1}, "no response": {Hang: 1}} {
 		t.Run(name, func(t *testing.T) {
 			f := startFleet(t, 2, "")
 			f.Services[0].SetFaults(faults)
-			wantReply(t, "the first caller", post(t, f.Instances[0].CallerAddress(), "lost", "{}"), "unknown", "upstream_failed")
+			wantResponse(t, "the first caller", post(t, f.Instances[0].CallerAddress(), "lost", "{}"), "unknown", "upstream_failed")
 			for _, i := range f.Instances {
-				wantReply(t, "the repeat at "+i.Name, post(t, i.CallerAddress(), "lost", "{}"), "unknown", "earlier_attempt_unknown")
+				wantResponse(t, "the repeat at "+i.Name, post(t, i.CallerAddress(), "lost", "{}"), "unknown", "earlier_attempt_unknown")
 			}
 			wantRuns(t, f, "lost", 1)
 		})
 	}
 }
 
-// The store goes down while the call runs. The caller gets its answer all the
-// same. Once the store is back, the record is written in the background, and a
-// repeat at the other entry gets the recorded answer instead of "unknown".
+// The store goes down while the call runs. The caller must still get its response.
+// After the outage the entry writes the record in the background, and a repeat at
+// the other entry must get the recorded response instead of "unknown".
 func TestPromise4RecordLostIsWrittenLater(t *testing.T) {
 	f := startFleet(t, 2, "")
 	f.Platform.AfterCommit("booking/", func() { f.Platform.SetFaults(platformFaults{Down: true}) })
 	first := post(t, f.Instances[0].CallerAddress(), "unrecorded", "{}")
-	wantReply(t, "the first caller", first, "done", "")
+	wantResponse(t, "the first caller", first, "done", "")
 	f.Platform.SetFaults(platformFaults{})
-	var repeat reply
-	testkit.Eventually(t, within, "the record", func() bool {
+	var repeat response
+	testkit.Eventually(t, waitTimeout, "the repeat gets the recorded response", func() bool {
 		repeat = post(t, f.Instances[1].CallerAddress(), "unrecorded", "{}")
 		return repeat.outcome == "done"
 	})
 	if repeat.body != first.body {
-		t.Errorf("the repeat got %s, the first %s", repeat.body, first.body)
+		t.Errorf("repeat got body %s, want the first body %s", repeat.body, first.body)
 	}
 	wantRuns(t, f, "unrecorded", 1)
 }
 
-// The entry dies right after its claim took effect, or while the call runs.
-// Its caller's connection breaks and the caller sends the key again elsewhere.
-// The key has run at most once, and no answer claims that it did not run.
+// The entry is killed right after its claim was committed, or while the call runs.
+// The caller's connection breaks, and the caller sends the key again to another
+// entry. The key must run at most once, and no response may say that it did not run.
 func TestPromise4EntryKilled(t *testing.T) {
 	for name, c := range map[string]struct {
 		delay time.Duration
@@ -169,7 +170,7 @@
 			} else {
 				f.Platform.AfterCommit("booking/", func() {
 					go func() {
-						testkit.Eventually(t, within, "the call", func() bool { return runs(f, "killed") == 1 })
+						testkit.Eventually(t, waitTimeout, "the service has received the call", func() bool { return runCount(f, "killed") == 1 })
 						kill()
 					}()
 				})
@@ -178,18 +179,19 @@
 			go post(t, victim.CallerAddress(), "killed", "{}")
 			<-killed
 			repeat := post(t, f.Instances[1].CallerAddress(), "killed", "{}")
-			wantReply(t, "the repeat", repeat, "unknown", "earlier_attempt_in_progress")
+			wantResponse(t, "the repeat", repeat, "unknown", "earlier_attempt_in_progress")
 			if repeat.retryAfter == "" {
-				t.Error("the repeat was not told when to come back")
+				t.Error("repeat got no Retry-After, want one")
 			}
 			wantRuns(t, f, "killed", c.runs)
 		})
 	}
 }
 
-// Traps of the HTTP library. A call without a body on a reused connection that
-// breaks is sent again by the Transport; an answer of 307 makes the Client send
-// it again. Either would run a booking twice behind the entry's back.
+// The HTTP library repeats some requests itself: the Transport resends a request
+// without a body when a reused connection breaks, and the Client resends a request
+// after a redirect with status 307. Either would run a booking twice without the
+// entry noticing.
 func TestPromise4LibraryDoesNotSendTwice(t *testing.T) {
 	for name, c := range map[string]struct {
 		faults serviceFaults
@@ -206,32 +208,34 @@
 			f.Services[0].SetFaults(c.faults)
 			got := call(t, c.method, address, "trap", "")
 			if got.outcome != c.want {
-				t.Errorf("got %+v, want %s", got, c.want)
+				t.Errorf("response = %+v, want outcome %s", got, c.want)
 			}
 			wantRuns(t, f, "trap", 1)
 		})
 	}
 }
 
-// The limit is spent by the first booking. Its repeat is answered from the
-// record; to refuse it as "not run" for the limit would be untrue. Another key
-// is refused before it runs, with the time at which the limit is renewed.
+// The first booking uses up the spend limit. Its repeat must be answered from the
+// record, as a refusal with "not run" because of the limit would be untrue. A
+// booking with another key must be refused before it runs, with the time until the
+// limit is renewed.
 func TestPromise3RepeatUnderSpentLimitGetsItsOutcome(t *testing.T) {
 	f := startFleet(t, 2, "0.02")
 	at := f.Instances[1].CallerAddress()
-	wantReply(t, "the last within the limit", post(t, f.Instances[0].CallerAddress(), "last", "{}"), "done", "")
-	wantReply(t, "its repeat", post(t, at, "last", "{}"), "done", "")
+	wantResponse(t, "the last booking within the limit", post(t, f.Instances[0].CallerAddress(), "last", "{}"), "done", "")
+	wantResponse(t, "the repeat of that booking", post(t, at, "last", "{}"), "done", "")
 	over := post(t, at, "over", "{}")
-	wantReply(t, "the next", over, "not_run", "spend_limit")
+	wantResponse(t, "the booking over the limit", over, "not_run", "spend_limit")
 	if over.retryAfter == "" {
-		t.Error("the refusal names no time")
+		t.Error("refusal over the limit has no Retry-After, want one")
 	}
 	wantRuns(t, f, "over", 0)
 	wantRuns(t, f, "last", 1)
 }
 
-// The entry was paused after it had decided to dispatch: the shell looks at the
-// grant's end right before it sends, sends nothing, and says so.
+// The entry was paused after its decision to dispatch, until the grant had expired.
+// upstream.Caller must check the grant's expiry right before it sends, send
+// nothing, and report a failure that was not sent.
 func TestPromise4LapsedGrantIsNotSent(t *testing.T) {
 	t.Parallel()
 	desk := service.New("desk", 1)
@@ -241,12 +245,12 @@
 	caller := upstream.NewCaller(func(e core.Event) { events <- e })
 	caller.Run(context.Background(), core.Dispatch{
 		Request: "r", Attempt: "r/1", Address: srv.Listener.Addr().String(), Method: http.MethodPost, Path: "/refills",
-		Before: time.Now().Add(-time.Millisecond), Timeout: within,
+		Before: time.Now().Add(-time.Millisecond), Timeout: waitTimeout,
 	})
 	if e, ok := (<-events).(core.UpstreamFailed); !ok || e.Sent {
-		t.Errorf("event = %+v, want a failure that was not sent", e)
+		t.Errorf("event = %+v, want core.UpstreamFailed with Sent false", e)
 	}
 	if calls := desk.Calls(); len(calls) != 0 {
-		t.Errorf("the service ran %v, want nothing", calls)
+		t.Errorf("service ran calls %v, want none", calls)
 	}
 }
--- a/internal/prooftest/bookings/fleet.go
+++ b/internal/prooftest/bookings/fleet.go
@@ -1,5 +1,6 @@
-// Package bookings proves over real sockets that calls which may not be repeated
-// run at most once, that "not run" is true, and that nothing is overspent.
+// Package bookings tests over real sockets that calls which may not be repeated
+// run at most once, that the outcome "not run" is true, and that no organisation
+// exceeds its spend limit.
 package bookings
 
 import (
@@ -21,10 +22,12 @@
 	"mulberrylug.example/mulberrylug/internal/testkit"
 )
 
-const within = 15 * time.Second
+// waitTimeout limits each wait for a condition.
+const waitTimeout = 15 * time.Second
 
-// startFleet runs instances, an engine and one booking worker. spend replaces
-// the demo's limit unless empty. The first booking warms every home up.
+// startFleet starts instances, one engine and one booking service. spend replaces
+// the demo's spend limit unless it is empty. startFleet returns once a booking is
+// done at every instance, so that every home is ready.
 func startFleet(t *testing.T, instances int, spend string) *demo.Fleet {
 	t.Helper()
 	t.Parallel()
@@ -38,7 +41,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(f.Stop)
-	testkit.Eventually(t, within, "a booking at every instance", func() bool {
+	testkit.Eventually(t, waitTimeout, "a booking is done at every instance", func() bool {
 		for _, i := range f.Instances {
 			if post(t, i.CallerAddress(), "warm", "{}").outcome != "done" {
 				return false
@@ -49,8 +52,9 @@
 	return f
 }
 
-// reply is what a caller got.
-type reply struct {
+// response is the response to a caller's booking; outcome is "lost" if the connection
+// broke before the response was complete.
+type response struct {
 	outcome    string
 	reason     string
 	body       string
@@ -58,42 +62,42 @@
 	retryAfter string
 }
 
-func post(t *testing.T, address, key, body string) reply {
+func post(t *testing.T, address, key, body string) response {
 	t.Helper()
 	return call(t, http.MethodPost, address, key, body)
 }
 
-// call sends one booking to one entry on a connection of its own.
-func call(t *testing.T, method, address, key, body string) reply {
+// call sends one booking to one entry on a new connection.
+func call(t *testing.T, method, address, key, body string) response {
 	t.Helper()
 	req, err := http.NewRequest(method, "http://"+address+"/v1/services/order-desk/refills", bytes.NewReader([]byte(body)))
 	if err != nil {
 		t.Error(err)
-		return reply{}
+		return response{}
 	}
 	req.GetBody = nil
 	req.Header.Set("Authorization", "Bearer "+demo.APIKey)
 	req.Header.Set("Idempotency-Key", key)
 	req.Header.Set("X-Not-Repeatable", "true")
-	c := &http.Client{Timeout: 2 * within, Transport: &http.Transport{DisableKeepAlives: true}}
+	c := &http.Client{Timeout: 2 * waitTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 	resp, err := c.Do(req)
 	if err != nil {
-		return reply{outcome: "lost", reason: err.Error()}
+		return response{outcome: "lost", reason: err.Error()}
 	}
 	defer resp.Body.Close()
 	raw, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return reply{outcome: "lost", reason: err.Error()}
+		return response{outcome: "lost", reason: err.Error()}
 	}
 	var p struct{ Reason string }
-	_ = json.Unmarshal(raw, &p) // a service's answer has no reason
-	return reply{
+	_ = json.Unmarshal(raw, &p) // a service's own response has no reason
+	return response{
 		outcome: resp.Header.Get("X-Outcome"), reason: p.Reason, body: string(raw),
 		status: resp.StatusCode, retryAfter: resp.Header.Get("Retry-After"),
 	}
 }
 
-func runs(f *demo.Fleet, key string) (n int) {
+func runCount(f *demo.Fleet, key string) (n int) {
 	for _, c := range f.Services[0].Calls() {
 		if c.Key == key {
 			n++
@@ -104,20 +108,20 @@
 
 func wantRuns(t *testing.T, f *demo.Fleet, key string, want int) {
 	t.Helper()
-	if got := runs(f, key); got != want {
-		t.Errorf("key %s ran %d times, want %d", key, got, want)
+	if got := runCount(f, key); got != want {
+		t.Errorf("service ran key %s %d times, want %d", key, got, want)
 	}
 }
 
-func wantReply(t *testing.T, who string, got reply, outcome, reason string) {
+func wantResponse(t *testing.T, caller string, got response, outcome, reason string) {
 	t.Helper()
 	if got.outcome != outcome || got.reason != reason {
-		t.Errorf("%s got %+v, want %s %s", who, got, outcome, reason)
+		t.Errorf("%s got %+v, want outcome %s, reason %s", caller, got, outcome, reason)
 	}
 }
 
-// wantStuck waits until an instance handles nothing any more.
-func wantStuck(i *demo.Instance) {
+// waitUnresponsive waits until an instance no longer responds to status requests.
+func waitUnresponsive(i *demo.Instance) {
 	for {
 		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 		_, err := i.Status(ctx)
@@ -132,7 +136,7 @@
 	return client.New(client.Options{Seeds: addresses, APIKey: demo.APIKey, Retries: 10})
 }
 
-func together(fs ...func()) {
+func runConcurrently(fs ...func()) {
 	var wg sync.WaitGroup
 	for _, f := range fs {
 		wg.Go(f)
