--- a/internal/prooftest/streams/callers.go
+++ b/internal/prooftest/streams/callers.go
@@ -10,117 +10,118 @@
 	"mulberrylug.example/mulberrylug/internal/core"
 )
 
-// ask sends a caller's request to an entry.
-func (w *world) ask(entry, key, body string, stream bool) *caller {
+// submit sends a caller's request to an entry.
+func (sim *simulation) submit(entry, key, body string, stream bool) *caller {
 	c := &caller{key: key, body: body, stream: stream, poison: strings.Contains(body, "poison")}
 	if !c.poison {
-		c.repeats = 5
+		c.retriesLeft = 5
 	}
-	w.all = append(w.all, c)
-	w.send(c, entry)
+	sim.allCallers = append(sim.allCallers, c)
+	sim.send(c, entry)
 	return c
 }
 
-func (w *world) connect(c *caller, entry string) {
-	w.ids++
-	c.entry, c.request = entry, fmt.Sprintf("%s:b:%d", entry, w.ids)
-	c.resumeAt = time.Time{}
-	w.callers[c.request] = c
+func (sim *simulation) connect(c *caller, entry string) {
+	sim.requestCount++
+	c.entry, c.request = entry, fmt.Sprintf("%s:b:%d", entry, sim.requestCount)
+	c.reconnectAt = time.Time{}
+	sim.callers[c.request] = c
 }
 
-func (w *world) send(c *caller, entry string) {
-	w.connect(c, entry)
-	w.handle(entry, core.CallerRequest{
+func (sim *simulation) send(c *caller, entry string) {
+	sim.connect(c, entry)
+	sim.handle(entry, core.CallerRequest{
 		ID: c.request, APIKey: c.key, Model: "m", Method: "POST", Path: "/v1/completions", Body: []byte(c.body),
 		Stream: c.stream, Prompt: 10, Fingerprint: xxhash.Sum64String(c.body),
 	})
 }
 
-// resume reads on at another instance, as the client does, or gives up if no
-// event had come.
-func (w *world) resume(c *caller) {
-	if c.again {
-		c.again = false
-		w.send(c, w.names[w.ids%len(w.names)])
+// reconnect repeats a refused request, or resumes the stream at another instance as
+// the client does. If the caller had received no event, it ends with the outcome
+// unknown.
+func (sim *simulation) reconnect(c *caller) {
+	if c.retryPending {
+		c.retryPending = false
+		sim.send(c, sim.names[sim.requestCount%len(sim.names)])
 		return
 	}
 	if c.lastID == "" {
-		w.endCaller(c, core.Unknown, "connection_lost")
+		sim.endCaller(c, core.Unknown, "connection_lost")
 		return
 	}
-	w.connect(c, w.names[w.ids%len(w.names)])
-	w.handle(c.entry, core.CallerResume{ID: c.request, APIKey: c.key, LastEventID: c.lastID})
+	sim.connect(c, sim.names[sim.requestCount%len(sim.names)])
+	sim.handle(c.entry, core.CallerResume{ID: c.request, APIKey: c.key, LastEventID: c.lastID})
 }
 
-// cutCaller breaks a caller's connection. The entry is told, unless the
-// connection only went silent. The caller comes back a little later.
-func (w *world) cutCaller(c *caller, told bool) {
-	if c.ended || !c.resumeAt.IsZero() {
+// disconnect breaks a caller's connection; the caller reconnects 200 ms later. The
+// entry detects it only if detected is set, otherwise the connection is silent.
+func (sim *simulation) disconnect(c *caller, detected bool) {
+	if c.ended || !c.reconnectAt.IsZero() {
 		return
 	}
 	old, entry := c.request, c.entry
-	c.request, c.resumeAt = "", w.now.Add(200*time.Millisecond)
-	if told {
-		w.handle(entry, core.CallerGone{ID: old})
+	c.request, c.reconnectAt = "", sim.now.Add(200*time.Millisecond)
+	if detected {
+		sim.handle(entry, core.CallerGone{ID: old})
 	}
 }
 
-func (w *world) fault(format string, args ...any) {
-	w.faults = append(w.faults, fmt.Sprintf(format, args...))
+func (sim *simulation) recordViolation(format string, args ...any) {
+	sim.violations = append(sim.violations, fmt.Sprintf(format, args...))
 }
 
-func (w *world) deliver(a core.Deliver) {
-	c := w.callers[a.Request]
+func (sim *simulation) deliver(a core.Deliver) {
+	c := sim.callers[a.Request]
 	switch {
 	case c == nil:
-		w.fault("%s: a token for nobody", a.Request)
+		sim.recordViolation("%s: got a token for an unknown request", a.Request)
 	case c.ended && c.request == a.Request:
-		w.fault("%s: a token after the end", a.Request)
+		sim.recordViolation("%s: got a token after the end", a.Request)
 	case c.request == a.Request:
 		c.tokens = append(c.tokens, a.Text)
 		c.lastID = a.EventID()
 	}
 }
 
-func (w *world) finish(f core.Finish) {
-	c := w.callers[f.Request]
+func (sim *simulation) finish(f core.Finish) {
+	c := sim.callers[f.Request]
 	switch {
 	case c == nil:
-		w.fault("%s: an end for nobody", f.Request)
+		sim.recordViolation("%s: got an end for an unknown request", f.Request)
 		return
 	case c.request != f.Request:
-		return // over a connection that the caller has left
+		return // the caller has left this connection
 	case c.ended:
-		w.fault("%s: two ends", f.Request)
+		sim.recordViolation("%s: got a second end, want one", f.Request)
 		return
 	}
 	refused := f.Outcome == core.NotRun || f.Outcome == core.Unknown
 	if c.lastID != "" && refused && f.RetryAfter > 0 {
-		c.request, c.resumeAt = "", w.now.Add(f.RetryAfter) // the wish to resume was refused
+		c.request, c.reconnectAt = "", sim.now.Add(f.RetryAfter) // the resume was refused; try again later
 		return
 	}
-	if f.Outcome == core.NotRun && f.RetryAfter > 0 && f.RetryAfter < time.Minute && c.repeats > 0 {
-		c.repeats--
-		c.request, c.again, c.resumeAt = "", true, w.now.Add(f.RetryAfter)
+	if f.Outcome == core.NotRun && f.RetryAfter > 0 && f.RetryAfter < time.Minute && c.retriesLeft > 0 {
+		c.retriesLeft--
+		c.request, c.retryPending, c.reconnectAt = "", true, sim.now.Add(f.RetryAfter)
 		return
 	}
 	c.text, c.retryAfter = f.Text, f.RetryAfter
-	w.endCaller(c, f.Outcome, f.Reason)
+	sim.endCaller(c, f.Outcome, f.Reason)
 }
 
-func (w *world) endCaller(c *caller, o core.Outcome, reason string) {
-	c.ended, c.outcome, c.reason, c.resumeAt = true, o, reason, time.Time{}
+func (sim *simulation) endCaller(c *caller, o core.Outcome, reason string) {
+	c.ended, c.outcome, c.reason, c.reconnectAt = true, o, reason, time.Time{}
 }
 
-// check judges what each caller got; it returns what is wrong.
-func (w *world) check() []string {
-	bad := w.faults
-	for n, c := range w.all {
+// check verifies the response of each caller and returns the violations found.
+func (sim *simulation) check() []string {
+	violations := sim.violations
+	for n, c := range sim.allCallers {
 		if msg := c.check(); msg != "" {
-			bad = append(bad, fmt.Sprintf("caller %d (%s, %s): %s", n, c.outcome, c.reason, msg))
+			violations = append(violations, fmt.Sprintf("caller %d (%s, %s): %s", n, c.outcome, c.reason, msg))
 		}
 	}
-	return bad
+	return violations
 }
 
 func (c *caller) check() string {
@@ -141,16 +142,16 @@
 		}
 		switch {
 		case part[2] != c.body:
-			return fmt.Sprintf("token %d answers %q, not %q", n, part[2], c.body)
+			return fmt.Sprintf("token %d is for body %q, want %q", n, part[2], c.body)
 		case generation != first:
-			return fmt.Sprintf("token %d is of %s, the first of %s", n, generation, first)
+			return fmt.Sprintf("token %d is of generation %s, want %s as for token 0", n, generation, first)
 		case part[3] != fmt.Sprint(n):
-			return fmt.Sprintf("token %d has index %s", n, part[3])
+			return fmt.Sprintf("token %d has index %s, want its position", n, part[3])
 		}
 	}
 	if c.outcome == core.Done {
 		if len(tokens) == 0 || !strings.HasSuffix(tokens[0], fmt.Sprintf("|%d ", len(tokens))) {
-			return fmt.Sprintf("done with %d tokens of %q", len(tokens), first)
+			return fmt.Sprintf("outcome is done after %d tokens of generation %q, want all its tokens", len(tokens), first)
 		}
 	}
 	return ""
--- a/internal/prooftest/streams/engine.go
+++ b/internal/prooftest/streams/engine.go
@@ -9,46 +9,49 @@
 	"mulberrylug.example/mulberrylug/internal/core/placement"
 )
 
-// fakeEngine runs generations; a poisoned body crashes it.
+// fakeEngine runs generations. A request whose body contains "poison" crashes it; a
+// generation whose body contains "endless" runs until it is cancelled.
 type fakeEngine struct {
-	name  string
-	boot  int
-	down  time.Time
-	gens  map[string]*generation
-	links []*link
-	// rerun makes it run a lost generation again under its old id.
-	rerun    bool
-	failures int // new generations to refuse
-	frozen   bool
-	runs     int
+	name      string
+	boot      int
+	downUntil time.Time
+	gens      map[string]*generation
+	links     []*link
+	// rerunLost makes the engine run lost generations again under their old ids.
+	rerunLost    bool
+	failuresLeft int // number of new generations to fail
+	frozen       bool
+	runs         int
 }
 
 type generation struct {
 	boot, body string
-	want       int
+	tokenCount int
 	cancelled  bool
 }
 
-func (w *world) report(to, name string, asked time.Time) {
-	e := w.engines[name]
-	if w.now.Before(e.down) {
-		w.handle(to, core.UpstreamSilent{Upstream: name, Refused: true})
+// sendReport delivers the result of a poll: the engine's report, or that it is
+// silent.
+func (sim *simulation) sendReport(to, name string, asked time.Time) {
+	e := sim.engines[name]
+	if sim.now.Before(e.downUntil) {
+		sim.handle(to, core.UpstreamSilent{Upstream: name, Refused: true})
 		return
 	}
 	if e.frozen {
-		w.handle(to, core.UpstreamSilent{Upstream: name})
+		sim.handle(to, core.UpstreamSilent{Upstream: name})
 		return
 	}
-	r := placement.Report{Upstream: name, Boot: e.run(), Capacity: 10_000, MaxBatch: 16}
+	r := placement.Report{Upstream: name, Boot: e.bootID(), Capacity: 10_000, MaxBatch: 16}
 	for id, g := range e.gens {
 		if !g.cancelled {
 			r.Gens = append(r.Gens, placement.GenLoad{Attempt: id})
 		}
 	}
-	w.handle(to, core.UpstreamReport{Report: r, Asked: asked})
+	sim.handle(to, core.UpstreamReport{Report: r, Asked: asked})
 }
 
-func (e *fakeEngine) run() string { return fmt.Sprintf("run-%d", e.boot) }
+func (e *fakeEngine) bootID() string { return fmt.Sprintf("run-%d", e.boot) }
 
 func (e *fakeEngine) cancel(id string) {
 	if g := e.gens[id]; g != nil {
@@ -56,21 +59,22 @@
 	}
 }
 
-// dispatch opens a connection to an engine and queues what comes over it.
-func (w *world) dispatch(name string, d core.Dispatch) {
-	e := w.engines[d.Address]
+// dispatch opens a connection to an engine and queues the events that arrive over
+// it.
+func (sim *simulation) dispatch(name string, d core.Dispatch) {
+	e := sim.engines[d.Address]
 	l := &link{channel: fmt.Sprintf("link %s %s %d", name, d.Attempt, d.Link), instance: name, d: d}
 	fail := func(sent, gone bool) {
-		w.later(l.channel, func() {
-			w.handle(name, core.UpstreamFailed{Request: d.Request, Attempt: d.Attempt, Link: d.Link, Sent: sent, Gone: gone, Step: "fake"})
+		sim.enqueue(l.channel, func() {
+			sim.handle(name, core.UpstreamFailed{Request: d.Request, Attempt: d.Attempt, Link: d.Link, Sent: sent, Gone: gone, Step: "fake"})
 		})
 	}
-	if w.now.Before(e.down) {
+	if sim.now.Before(e.downUntil) {
 		fail(false, d.Resume)
 		return
 	}
-	if e.failures > 0 && !d.Resume {
-		e.failures--
+	if e.failuresLeft > 0 && !d.Resume {
+		e.failuresLeft--
 		e.runs++
 		fail(true, true)
 		return
@@ -82,24 +86,24 @@
 	}
 	e.links = append(e.links, l)
 	if strings.Contains(g.body, "poison") {
-		w.later(l.channel, func() { w.crash(e) })
-		w.later(l.channel, func() {}) // the connection is open until the crash
+		sim.enqueue(l.channel, func() { sim.crash(e) })
+		sim.enqueue(l.channel, func() {}) // an event that keeps the connection open until the crash
 		return
 	}
 	if strings.Contains(g.body, "endless") {
 		l.endless = true
-		w.later(l.channel, func() { w.token(l, g, d.From) }) // and keep-alives, with each tick
+		sim.enqueue(l.channel, func() { sim.token(l, g, d.From) }) // keepAlive sends the rest with each tick
 		return
 	}
-	for n := d.From; n < g.want; n++ {
-		w.later(l.channel, func() { w.token(l, g, n) })
+	for n := d.From; n < g.tokenCount; n++ {
+		sim.enqueue(l.channel, func() { sim.token(l, g, n) })
 	}
-	w.later(l.channel, func() {
-		end := core.UpstreamEnd{Request: d.Request, Attempt: d.Attempt, Link: d.Link, Boot: g.boot, Tokens: g.want, Reason: "stop"}
+	sim.enqueue(l.channel, func() {
+		end := core.UpstreamEnd{Request: d.Request, Attempt: d.Attempt, Link: d.Link, Boot: g.boot, Tokens: g.tokenCount, Reason: "stop"}
 		if g.cancelled {
 			end.Reason = core.FinishCancelled
 		}
-		w.handle(name, end)
+		sim.handle(name, end)
 	})
 }
 
@@ -111,79 +115,79 @@
 		return nil
 	}
 	e.runs++
-	g := &generation{boot: e.run(), body: string(d.Body), want: 3 + len(d.Attempt)%4}
+	g := &generation{boot: e.bootID(), body: string(d.Body), tokenCount: 3 + len(d.Attempt)%4}
 	if g.body == "long" {
-		g.want = 30
+		g.tokenCount = 30
 	}
 	e.gens[d.Attempt] = g
 	return g
 }
 
-// keepAlive lets the connections of endless generations show life, or their
-// end once they are cancelled.
-func (w *world) keepAlive() {
-	for _, e := range w.engines {
+// keepAlive queues a keep-alive on each connection of an endless generation, or the
+// end of the generation once it is cancelled.
+func (sim *simulation) keepAlive() {
+	for _, e := range sim.engines {
 		for _, l := range e.links {
 			g := e.gens[l.d.Attempt]
 			switch {
 			case g == nil || !strings.Contains(g.body, "endless"):
 			case g.cancelled:
-				w.later(l.channel, func() {
-					w.handle(l.instance, core.UpstreamEnd{
-						Request: l.d.Request, Attempt: l.d.Attempt, Link: l.d.Link, Boot: g.boot, Tokens: g.want, Reason: core.FinishCancelled,
+				sim.enqueue(l.channel, func() {
+					sim.handle(l.instance, core.UpstreamEnd{
+						Request: l.d.Request, Attempt: l.d.Attempt, Link: l.d.Link, Boot: g.boot, Tokens: g.tokenCount, Reason: core.FinishCancelled,
 					})
 				})
 			default:
-				w.later(l.channel, func() {
-					w.handle(l.instance, core.UpstreamAlive{Request: l.d.Request, Attempt: l.d.Attempt, Link: l.d.Link})
+				sim.enqueue(l.channel, func() {
+					sim.handle(l.instance, core.UpstreamAlive{Request: l.d.Request, Attempt: l.d.Attempt, Link: l.d.Link})
 				})
 			}
 		}
 	}
 }
 
-func (w *world) token(l *link, g *generation, n int) {
-	w.handle(l.instance, core.UpstreamToken{
+func (sim *simulation) token(l *link, g *generation, n int) {
+	sim.handle(l.instance, core.UpstreamToken{
 		Request: l.d.Request, Attempt: l.d.Attempt, Link: l.d.Link, Boot: g.boot, Index: n,
-		Text: fmt.Sprintf("%s|%s|%s|%d|%d ", l.d.Attempt, g.boot, g.body, n, g.want),
+		Text: fmt.Sprintf("%s|%s|%s|%d|%d ", l.d.Attempt, g.boot, g.body, n, g.tokenCount),
 	})
 }
 
-// loading is how long a crashed engine is away. It is longer than the age of
-// the report behind a grant and the grant's own life together, 2.2 s: an engine
-// that loads its model faster could be struck by a copy whose grant was made
-// before the crash.
-const loading = 2500 * time.Millisecond
+// reloadTime is the time for which a crashed engine is unreachable. It is longer
+// than 2.2 s, the sum of the maximum age of the report behind a grant and the
+// grant's TTL: an engine that loaded its model faster could be crashed again by a
+// copy of the request whose grant was made before the first crash.
+const reloadTime = 2500 * time.Millisecond
 
-// crash ends an engine's run and breaks its connections.
-func (w *world) crash(e *fakeEngine) {
-	if w.now.Before(e.down) {
+// crash ends the engine's present boot and breaks its connections.
+func (sim *simulation) crash(e *fakeEngine) {
+	if sim.now.Before(e.downUntil) {
 		return
 	}
-	w.crashes++
+	sim.crashes++
 	e.boot++
-	e.down = w.now.Add(loading)
-	if !e.rerun {
+	e.downUntil = sim.now.Add(reloadTime)
+	if !e.rerunLost {
 		e.gens = map[string]*generation{}
 	} else {
-		for id, g := range e.gens { // a run of its own under the same id
-			e.gens[id] = &generation{boot: e.run(), body: g.body, want: g.want}
+		for id, g := range e.gens { // a new generation under the same id
+			e.gens[id] = &generation{boot: e.bootID(), body: g.body, tokenCount: g.tokenCount}
 		}
 	}
 	links := e.links
 	e.links = nil
 	for _, l := range links {
-		w.cut(l)
+		sim.breakLink(l)
 	}
 }
 
-// cut ends a connection and what was on its way.
-func (w *world) cut(l *link) {
-	if len(w.channels[l.channel]) == 0 && !l.endless {
+// breakLink breaks a connection and drops the events in transit on it.
+func (sim *simulation) breakLink(l *link) {
+	if len(sim.channels[l.channel]) == 0 && !l.endless {
 		return
 	}
 	d := l.d
-	w.channels[l.channel] = []func(){func() {
-		w.handle(l.instance, core.UpstreamFailed{Request: d.Request, Attempt: d.Attempt, Link: d.Link, Sent: true, Step: "fake"})
+	sim.channels[l.channel] = []func(){func() {
+		sim.handle(l.instance, core.UpstreamFailed{Request: d.Request, Attempt: d.Attempt, Link: d.Link, Sent: true, Step: "fake"})
 	}}
 }
--- a/internal/prooftest/streams/fleet.go
+++ b/internal/prooftest/streams/fleet.go
@@ -23,20 +23,20 @@
 
 const (
 	pressKey = "press-key"
-	// patience bounds a test's wait for something that takes seconds.
-	patience = 25 * time.Second
+	// waitTimeout limits each wait for a condition or a response.
+	waitTimeout = 25 * time.Second
 )
 
-// fleet is a demo fleet whose engines stand behind relays, and whose callers
-// can.
+// fleet is a demo fleet whose engines are reached through TCP relays that inject
+// faults; clients made by its methods reach the instances through such relays, too.
 type fleet struct {
 	*demo.Fleet
-	engines []*relayed
+	engines []*relayedEngine
 	relays  []*relay.Relay
 }
 
-// relayed is an engine with the relay that the platform lists as its address.
-type relayed struct {
+// relayedEngine is an engine with the relay that the platform lists as its address.
+type relayedEngine struct {
 	*engine.Engine
 	server *standin.Server
 	relay  *relay.Relay
@@ -44,22 +44,23 @@
 	onCrash func()
 }
 
-// crash loses what the engine has in memory and breaks its connections; it
-// comes back when up is called.
-func (r *relayed) crash() {
+// crash drops the engine's state in memory and breaks its connections. The engine
+// is unreachable until reopen is called.
+func (r *relayedEngine) crash() {
 	r.server.Close()
 	r.Reboot()
 }
 
-// up takes the engine's port again; an outgoing connection of another process
-// may hold that for a moment.
-func (r *relayed) up(t *testing.T) {
+// reopen makes the engine listen on its port again. It retries, as an outgoing
+// connection of another process may use the port for a moment.
+func (r *relayedEngine) reopen(t *testing.T) {
 	t.Helper()
-	testkit.Eventually(t, patience, "the engine has its port again", func() bool { return r.server.Reopen() == nil })
+	testkit.Eventually(t, waitTimeout, "the engine listens on its port again", func() bool { return r.server.Reopen() == nil })
 }
 
-// startFleet starts three instances and some engines behind relays. Answers
-// have about 60 tokens at 10 ms each. A second organisation has pressKey.
+// startFleet starts three instances and the given number of engines behind relays.
+// Unless s.Median is set, generations have about 60 tokens at 10 ms each. A second
+// organisation has the API key pressKey.
 func startFleet(t *testing.T, engines int, s engine.Settings) *fleet {
 	t.Helper()
 	text := demo.Configuration(demo.FleetOptions{Engines: engines, Services: 2})
@@ -94,7 +95,7 @@
 	if s.Median == 0 {
 		s.Median = 60
 	}
-	e := &relayed{}
+	e := &relayedEngine{}
 	e.onCrash = e.crash
 	s.OnCrash = func() { go e.onCrash() }
 	e.Engine = engine.New(s)
@@ -114,22 +115,22 @@
 	m := membership.Member{Name: name, Role: "assistant", DataCentre: "kochi-a", Address: e.relay.Address(), State: membership.Live}
 	go e.Run(ctx.Done())
 	go standin.Every(ctx, 300*time.Millisecond, func() {
-		_ = list.Announce(ctx, m) // told again in a moment
+		_ = list.Announce(ctx, m) // a failed announcement is repeated after 300 ms
 	})
 	f.engines = append(f.engines, e)
 }
 
-// waitServing waits until a request gets through: a home that has just begun
-// refuses until its first reports are in.
+// waitServing waits until a request is served: a home that has just started refuses
+// requests until it has received the first reports.
 func (f *fleet) waitServing(t *testing.T) {
 	t.Helper()
-	testkit.Eventually(t, patience, "a request is served", func() bool {
+	testkit.Eventually(t, waitTimeout, "a request is served", func() bool {
 		_, err := f.client(t, 0).Stream(context.Background(), client.Completion{Model: "dispatch-7b", Prompt: "ready?", MaxTokens: 1}, nil)
 		return err == nil
 	})
 }
 
-// client returns a client that reaches the instances through relays of its own.
+// client returns a client that reaches the instances through its own relays.
 func (f *fleet) client(t *testing.T, retries int) *client.Client {
 	return f.clientWithKey(t, demo.APIKey, retries)
 }
@@ -153,9 +154,10 @@
 	return client.New(client.Options{Seeds: []string{seed.Listener.Addr().String()}, APIKey: key, Retries: retries})
 }
 
-// checkTokens fails the test unless the text is that of one generation of some
-// engine: its tokens once and in order, and all of them if whole is set.
-func (f *fleet) checkTokens(t *testing.T, text string, whole bool) {
+// checkTokens fails the test unless the text consists of the tokens of one
+// generation of some engine, each once and in order, and all of them if complete is
+// set.
+func (f *fleet) checkTokens(t *testing.T, text string, complete bool) {
 	t.Helper()
 	hash, _, _ := strings.Cut(text, "-")
 	for _, e := range f.engines {
@@ -168,13 +170,13 @@
 				fmt.Fprintf(&want, "%s-%d ", hash, n)
 			}
 			if text != want.String() {
-				t.Errorf("tokens are not once and in order: %q", text)
+				t.Errorf("text = %q, want each token once and in order", text)
 			}
-			if got := len(strings.Fields(text)); whole && got != rec.Tokens {
-				t.Errorf("%d tokens, want all %d", got, rec.Tokens)
+			if got := len(strings.Fields(text)); complete && got != rec.Tokens {
+				t.Errorf("got %d tokens, want all %d", got, rec.Tokens)
 			}
 			return
 		}
 	}
-	t.Errorf("no engine has a generation %q (%d bytes of text)", hash, len(text))
+	t.Errorf("no engine has a record of generation %q (text of %d bytes), want one", hash, len(text))
 }
--- a/internal/prooftest/streams/follow_test.go
+++ b/internal/prooftest/streams/follow_test.go
@@ -9,245 +9,250 @@
 	"mulberrylug.example/mulberrylug/internal/core/msg"
 )
 
-// generation finds the one generation with a body.
-func (w *world) generation(t *testing.T, body string) *generation {
+// generation returns the only generation with the given body.
+func (sim *simulation) generation(t *testing.T, body string) *generation {
 	t.Helper()
-	for _, e := range w.engines {
+	for _, e := range sim.engines {
 		for _, g := range e.gens {
 			if g.body == body {
 				return g
 			}
 		}
 	}
-	t.Fatalf("no generation of %q", body)
+	t.Fatalf("no engine has a generation for body %q, want one", body)
 	return nil
 }
 
-// leave makes a caller go for good.
-func (w *world) leave(c *caller) {
+// abandon makes a caller disconnect and not reconnect.
+func (sim *simulation) abandon(c *caller) {
 	old := c.request
 	c.request, c.ended = "", true
-	w.handle(c.entry, core.CallerGone{ID: old})
+	sim.handle(c.entry, core.CallerGone{ID: old})
 }
 
-func (w *world) requests() int {
+// trackedRequests returns the number of requests that all instances together track.
+func (sim *simulation) trackedRequests() int {
 	n := 0
-	for _, i := range w.instances {
+	for _, i := range sim.instances {
 		n += i.Requests()
 	}
 	return n
 }
 
-// A caller leaves in the middle of its stream and does not come back. Its
-// entry follows the generation without announcing it; after the resume window
-// (5 s here) the home asks every instance and cancels. The entry learns the
-// cost from the engine and settles it. The same if the entry has died, and if
-// the home has died too.
+// A caller disconnects during its stream and does not reconnect. Its entry keeps
+// reading the generation without announcing it; after the resume window (5 s here)
+// the home asks every instance and cancels the generation. The entry receives the
+// number of tokens from the engine and settles the cost. The generation must also
+// be cancelled if the entry was killed, if the home was killed as well, and if the
+// instance list changed.
 func TestPromise1CallerGoneIsCancelledAfterWindow(t *testing.T) {
-	for name, then := range map[string]func(w *world, c *caller){
-		"caller left":       func(w *world, c *caller) { w.leave(c) },
-		"entry died":        func(w *world, c *caller) { c.ended = true; w.kill(c.entry) },
-		"home and entry":    func(w *world, c *caller) { c.ended = true; w.kill(w.home()); w.kill(c.entry) },
-		"list of instances": func(w *world, c *caller) { w.leave(c); w.start("entry-9") },
+	for name, then := range map[string]func(sim *simulation, c *caller){
+		"caller disconnected":   func(sim *simulation, c *caller) { sim.abandon(c) },
+		"entry killed":          func(sim *simulation, c *caller) { c.ended = true; sim.kill(c.entry) },
+		"home and entry killed": func(sim *simulation, c *caller) { c.ended = true; sim.kill(sim.home()); sim.kill(c.entry) },
+		"instance list changed": func(sim *simulation, c *caller) { sim.abandon(c); sim.start("entry-9") },
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(4, 2, "1000.00")
-			c := w.ask(w.away(), "depot-key", "endless", true)
-			w.settle(time.Second)
-			g := w.generation(t, "endless")
-			then(w, c)
-			w.ask(w.names[len(w.names)-1], "press-key", "other", false) // there is a home at work
-			w.settle(3 * time.Second)
+			sim := newSimulation(4, 2, "1000.00")
+			c := sim.submit(sim.nonHome(), "depot-key", "endless", true)
+			sim.runFor(time.Second)
+			g := sim.generation(t, "endless")
+			then(sim, c)
+			sim.submit(sim.names[len(sim.names)-1], "press-key", "other", false) // so that a home is active
+			sim.runFor(3 * time.Second)
 			if g.cancelled {
-				t.Fatal("cancelled within the resume window")
+				t.Fatal("generation cancelled within the resume window, want it kept")
 			}
-			w.settle(10 * time.Second)
+			sim.runFor(10 * time.Second)
 			if !g.cancelled {
-				t.Error("not cancelled 13 s after the caller left")
+				t.Error("generation not cancelled 13 s after the caller disconnected, want it cancelled")
 			}
-			w.settle(20 * time.Second)
-			if n := w.requests(); n != 0 {
-				t.Errorf("%d requests are still followed, want none", n)
+			sim.runFor(20 * time.Second)
+			if n := sim.trackedRequests(); n != 0 {
+				t.Errorf("instances still track %d requests, want 0", n)
 			}
 		})
 	}
 }
 
-// A caller loses its connection and resumes at another entry. The first entry
-// lets go; the second one's generation is never cancelled, also when the first
-// dies later, when the home dies and when the caller moves on a second time.
+// A caller loses its connection and resumes at another entry. The first entry must
+// stop tracking the request. The generation must not be cancelled, also not when the
+// caller resumes a second time and when the home is killed.
 func TestPromise1AdoptedGenerationIsNotCancelled(t *testing.T) {
-	w := newWorld(4, 2, "1000.00")
-	c := w.ask("entry-0", "depot-key", "endless", true)
-	w.settle(time.Second)
-	g := w.generation(t, "endless")
+	sim := newSimulation(4, 2, "1000.00")
+	c := sim.submit("entry-0", "depot-key", "endless", true)
+	sim.runFor(time.Second)
+	g := sim.generation(t, "endless")
 	steps := []func(){
-		func() { w.cutCaller(c, true) },
-		func() { w.cutCaller(c, false) }, // silent: the old entry is not told
-		func() { w.kill(w.home()) },
+		func() { sim.disconnect(c, true) },
+		func() { sim.disconnect(c, false) }, // the old entry does not detect it
+		func() { sim.kill(sim.home()) },
 	}
 	for n, step := range steps {
 		step()
-		w.settle(15 * time.Second)
+		sim.runFor(15 * time.Second)
 		if g.cancelled || c.ended {
-			t.Fatalf("step %d: cancelled %t, caller ended %t %s", n, g.cancelled, c.ended, c.reason)
+			t.Fatalf("step %d: cancelled %t, caller ended %t %s; want false and false", n, g.cancelled, c.ended, c.reason)
 		}
-		if got := w.requests(); got != 1 {
-			t.Errorf("step %d: %d entries follow the generation, want 1", n, got)
+		if got := sim.trackedRequests(); got != 1 {
+			t.Errorf("step %d: %d instances track the request, want 1", n, got)
 		}
 	}
-	if want := len(c.tokens); want < 2 || strings.Join(w.check(), "") != "caller 0 (, ): no end" {
-		t.Errorf("tokens = %d, %v", want, w.check())
+	if got := len(c.tokens); got < 2 || strings.Join(sim.check(), "") != "caller 0 (, ): no end" {
+		t.Errorf("tokens = %d, violations %v; want at least 2 and only a stream without end", got, sim.check())
 	}
 }
 
-// Two homes are at work, as it seems to this one: no announcement of the entry
-// reaches it for longer than the resume window. It asks before it cancels, and
-// the stream goes on. An instance that does not answer, but is in the list,
-// keeps it from cancelling too.
+// The home receives no announcement from the entry for longer than the resume
+// window, as could happen with two active homes. It must ask the instances before it
+// cancels the generation, so that the stream continues. It must not cancel either
+// while an instance that is in the list has not replied.
 func TestPromise1HomeAsksBeforeItCancels(t *testing.T) {
 	for name, loses := range map[string]func(msg.Message) bool{
 		"announcements lost": func(m msg.Message) bool { _, is := m.(msg.Announce); return is },
-		"answers lost too": func(m msg.Message) bool {
+		"replies lost too": func(m msg.Message) bool {
 			_, announce := m.(msg.Announce)
-			_, answer := m.(msg.FollowAnswer)
-			return announce || answer
+			_, reply := m.(msg.FollowAnswer)
+			return announce || reply
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(3, 1, "1000.00")
-			w.loses = loses
-			c := w.ask(w.away(), "depot-key", "endless", true)
+			sim := newSimulation(3, 1, "1000.00")
+			sim.dropMessage = loses
+			c := sim.submit(sim.nonHome(), "depot-key", "endless", true)
 			for range 10 {
-				w.settle(3 * time.Second)
-				w.ask(w.home(), "press-key", "other", false) // it stays at work
+				sim.runFor(3 * time.Second)
+				sim.submit(sim.home(), "press-key", "other", false) // so that the home stays active
 			}
-			if w.generation(t, "endless").cancelled || c.ended {
-				t.Errorf("cancelled a stream that its entry follows; caller ended %t %s", c.ended, c.reason)
+			if sim.generation(t, "endless").cancelled || c.ended {
+				t.Errorf("cancelled a stream that its entry tracks, want it kept; caller ended %t %s", c.ended, c.reason)
 			}
 		})
 	}
 }
 
-// What a generation cost is settled once and exactly, also after its caller
-// moved to another entry, and after a cancel whose engine told the tokens. The
-// limit has room for one request at its maximum (0.065) and a little more, so
-// that a second one runs only if the first was settled at what it used.
+// The cost of a generation must be settled once and exactly, also after its caller
+// resumed at another entry, and after a cancel for which the engine reported the
+// number of tokens. The limit of 0.075 suffices for one request at its maximum cost
+// (0.065) and a little more, so that a second one runs only if the first was settled
+// at its actual cost.
 func TestBudgetAdoptedStreamSettledOnceExactly(t *testing.T) {
-	for name, run := range map[string]func(w *world){
-		"resumed elsewhere": func(w *world) {
-			c := w.ask("entry-0", "depot-key", "order", true)
+	for name, run := range map[string]func(sim *simulation){
+		"resumed elsewhere": func(sim *simulation) {
+			c := sim.submit("entry-0", "depot-key", "order", true)
 			for len(c.tokens) == 0 {
-				for _, ch := range w.open("") {
-					w.pop(ch)
+				for _, ch := range sim.pending("") {
+					sim.deliverNext(ch)
 				}
-				w.tick(time.Millisecond)
+				sim.tick(time.Millisecond)
 			}
-			w.cutCaller(c, true)
-			w.tick(300 * time.Millisecond) // it resumes before the rest arrives
-			w.settleAll()
+			sim.disconnect(c, true)
+			sim.tick(300 * time.Millisecond) // the caller resumes before the remaining tokens arrive
+			sim.runUntilEnded()
 		},
-		"cancelled": func(w *world) {
-			c := w.ask("entry-0", "depot-key", "endless", true)
-			w.settle(time.Second)
-			w.leave(c)
-			w.settle(30 * time.Second)
+		"cancelled": func(sim *simulation) {
+			c := sim.submit("entry-0", "depot-key", "endless", true)
+			sim.runFor(time.Second)
+			sim.abandon(c)
+			sim.runFor(30 * time.Second)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(3, 1, "0.075")
-			run(w)
-			w.warm()
-			c := w.ask("entry-2", "depot-key", "second", false)
-			w.settleAll()
+			sim := newSimulation(3, 1, "0.075")
+			run(sim)
+			sim.warmUp()
+			c := sim.submit("entry-2", "depot-key", "second", false)
+			sim.runUntilEnded()
 			if c.outcome != core.Done {
-				t.Errorf("second request: %s %s, want done", c.outcome, c.reason)
+				t.Errorf("second request: outcome %s %s, want done", c.outcome, c.reason)
 			}
 		})
 	}
 }
 
-// A request's first attempt ran and failed, and no second one can be placed, as
-// the engine has gone in the meantime. The caller must not read "not run".
+// The first attempt of a request ran and failed, and no second attempt can be
+// placed, as the engine has become unreachable. The caller must not get the outcome
+// "not run".
 func TestPromise3NotRunIsNotSaidAfterAnAttemptRan(t *testing.T) {
-	w := newWorld(2, 1, "1000.00")
-	e := w.engines["engine-0"]
-	e.failures = 1
+	sim := newSimulation(2, 1, "1000.00")
+	e := sim.engines["engine-0"]
+	e.failuresLeft = 1
 	ran := e.runs
-	c := w.ask("entry-0", "depot-key", "order", false)
+	c := sim.submit("entry-0", "depot-key", "order", false)
 	for e.runs == ran {
-		w.pop(w.open("")[0])
+		sim.deliverNext(sim.pending("")[0])
 	}
-	e.down = w.now.Add(time.Hour)
-	w.settleAll()
+	e.downUntil = sim.now.Add(time.Hour)
+	sim.runUntilEnded()
 	if c.outcome != core.Unknown || c.reason == core.ReasonUpstreamCut {
-		t.Errorf("outcome %s %s, want unknown after a refused placement", c.outcome, c.reason)
+		t.Errorf("outcome %s %s, want unknown because of a refused placement", c.outcome, c.reason)
 	}
 }
 
-// The first attempt's engine falls silent after some tokens and does not know
-// the generation when it is asked to go on, so that a second attempt runs
-// elsewhere. Then the first one's tokens arrive after all, before and after the
-// second's end. The whole answer is the second's, and the late ones are counted.
+// The first attempt's engine becomes silent after the first token and has dropped
+// the generation when the entry tries to resume, so that a second attempt runs. Then
+// the first attempt's remaining tokens arrive late, before and after the end of the
+// second attempt. The response must consist of the second attempt's tokens only, and
+// the late tokens must be counted.
 func TestPromise1LateFirstAttempt(t *testing.T) {
-	w := newWorld(2, 2, "1000.00")
-	c := w.ask("entry-0", "depot-key", "long", false)
-	for len(w.open("link ")) == 0 {
-		w.pop(w.open("")[0])
-	}
-	link := w.open("link ")[0]
-	w.pop(link)
-	late := w.channels[link]
-	w.channels[link] = nil
-	for _, e := range w.engines {
-		e.gens = map[string]*generation{} // it has forgotten, without a new run
-	}
-	w.settle(4 * time.Second)
+	sim := newSimulation(2, 2, "1000.00")
+	c := sim.submit("entry-0", "depot-key", "long", false)
+	for len(sim.pending("link ")) == 0 {
+		sim.deliverNext(sim.pending("")[0])
+	}
+	link := sim.pending("link ")[0]
+	sim.deliverNext(link)
+	late := sim.channels[link]
+	sim.channels[link] = nil
+	for _, e := range sim.engines {
+		e.gens = map[string]*generation{} // the engine has dropped its generations without a restart
+	}
+	sim.runFor(4 * time.Second)
 	if c.ended {
-		t.Fatalf("ended early: %s %s", c.outcome, c.reason)
+		t.Fatalf("caller ended before the second attempt: %s %s", c.outcome, c.reason)
 	}
-	w.channels[link] = late[:10]
-	w.settle(100 * time.Millisecond)
-	w.settleAll()
-	w.channels[link] = late[10:]
-	w.settle(time.Second)
-	bad := w.check()
-	if c.outcome != core.Done || len(bad) != 0 || !strings.Contains(c.text, "/2|") {
-		t.Errorf("%s %s, %v, %.60q", c.outcome, c.reason, bad, c.text)
+	sim.channels[link] = late[:10]
+	sim.runFor(100 * time.Millisecond)
+	sim.runUntilEnded()
+	sim.channels[link] = late[10:]
+	sim.runFor(time.Second)
+	violations := sim.check()
+	if c.outcome != core.Done || len(violations) != 0 || !strings.Contains(c.text, "/2|") {
+		t.Errorf("outcome %s %s, violations %v, text %.60q; want done with tokens of attempt 2", c.outcome, c.reason, violations, c.text)
 	}
-	if got := w.counts["late_answers_total token"] + w.counts["late_answers_total old_link_token"]; got != len(late)-1 {
-		t.Errorf("%d late tokens were counted, want %d", got, len(late)-1)
+	if got := sim.counts["late_answers_total token"] + sim.counts["late_answers_total old_link_token"]; got != len(late)-1 {
+		t.Errorf("counted %d late tokens, want %d", got, len(late)-1)
 	}
 }
 
-// An engine shows life for ever but brings no more tokens. The call's deadline,
-// ten minutes here, ends its connection; the entry does not read on for another
-// ten minutes, and the stream ends as partial.
+// An engine sends keep-alives forever but no more tokens. When its connection ends
+// after the call's timeout, ten minutes here, the entry must not resume reading for
+// another ten minutes: the stream must end as partial.
 func TestPromise1TimeoutBoundsAllConnections(t *testing.T) {
-	w := newWorld(2, 1, "1000.00")
-	c := w.ask("entry-0", "depot-key", "endless", true)
-	w.settle(10*time.Minute + time.Second)
-	for _, l := range w.engines["engine-0"].links {
-		w.cut(l)
+	sim := newSimulation(2, 1, "1000.00")
+	c := sim.submit("entry-0", "depot-key", "endless", true)
+	sim.runFor(10*time.Minute + time.Second)
+	for _, l := range sim.engines["engine-0"].links {
+		sim.breakLink(l)
 	}
-	w.settle(time.Second)
+	sim.runFor(time.Second)
 	if c.outcome != core.Partial {
-		t.Errorf("ended %t: %s %s, want partial", c.ended, c.outcome, c.reason)
+		t.Errorf("caller ended %t: outcome %s %s, want partial", c.ended, c.outcome, c.reason)
 	}
 }
 
-// A token is missing, and the many behind it are on their way already. This is
-// one gap: it uses up one resume, and the answer is whole.
+// A token is missing, and many tokens after it are already in transit. This is one
+// gap: it must use one resume only, and the response must be complete.
 func TestPromise1GapUsesOneResume(t *testing.T) {
-	w := newWorld(2, 1, "1000.00")
-	c := w.ask("entry-0", "depot-key", "long", true)
+	sim := newSimulation(2, 1, "1000.00")
+	c := sim.submit("entry-0", "depot-key", "long", true)
 	for len(c.tokens) == 0 {
-		w.pop(w.open("")[0])
+		sim.deliverNext(sim.pending("")[0])
 	}
-	link := w.open("link ")[0]
-	w.channels[link] = w.channels[link][1:]
-	w.settleAll()
-	if bad := w.check(); c.outcome != core.Done || len(bad) != 0 || w.counts["retries_total resume_gap"] != 1 {
-		t.Errorf("%s %s, %v, %d resumes", c.outcome, c.reason, bad, w.counts["retries_total resume_gap"])
+	link := sim.pending("link ")[0]
+	sim.channels[link] = sim.channels[link][1:]
+	sim.runUntilEnded()
+	if violations := sim.check(); c.outcome != core.Done || len(violations) != 0 || sim.counts["retries_total resume_gap"] != 1 {
+		t.Errorf("outcome %s %s, violations %v, %d resumes; want done, none and 1", c.outcome, c.reason, violations, sim.counts["retries_total resume_gap"])
 	}
 }
--- a/internal/prooftest/streams/input_test.go
+++ b/internal/prooftest/streams/input_test.go
@@ -12,10 +12,10 @@
 	"mulberrylug.example/mulberrylug/internal/standin/engine"
 )
 
-// Callers send input that is wrong in every way that we know. Each gets one
-// application/problem+json with the outcome not_run, a reason and a detail that
-// says what is allowed; nothing reaches an engine or a service, and the
-// instance goes on serving.
+// Callers send each known kind of invalid input. Each must get one response of type
+// application/problem+json with its reason, a detail and the outcome not_run, or
+// unknown for an altered handle. Nothing may reach an engine or a service, and the
+// instances must continue to serve.
 func TestBadInputGetsAProblem(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, 1, engine.Settings{})
@@ -44,7 +44,7 @@
 		{name: "unknown service", path: "/v1/services/none/x", body: `{}`, status: 404, reason: "unknown_service"},
 		{name: "engine as plain service", path: "/v1/services/assistant/x", body: `{}`, status: 404, reason: "unknown_service"},
 		{name: "no idempotency key", path: "/v1/services/order-desk/refills", body: `{}`, header: notRepeatable, status: 400, reason: "idempotency_key_missing"},
-		{name: "mark that is no boolean", path: "/v1/services/order-desk/refills", body: `{}`, header: map[string]string{"X-Not-Repeatable": "yes"}, status: 400, reason: "bad_body"},
+		{name: "X-Not-Repeatable is no boolean", path: "/v1/services/order-desk/refills", body: `{}`, header: map[string]string{"X-Not-Repeatable": "yes"}, status: 400, reason: "bad_body"},
 		{name: "unknown path", path: "/v2/completions", body: good, status: 404, reason: "unknown_path"},
 		{name: "wrong method", method: http.MethodGet, path: path, status: 405, reason: "wrong_method"},
 		{name: "wrong method for a resume", path: "/v1/stream", body: `{}`, status: 405, reason: "wrong_method"},
@@ -74,19 +74,20 @@
 		}
 	}
 	if got := len(f.engines[0].Records()); got != ran {
-		t.Errorf("%d generations ran, want none", got-ran)
+		t.Errorf("%d generations ran, want 0", got-ran)
 	}
 	for _, s := range f.Services {
 		if calls := s.Calls(); len(calls) != 0 {
-			t.Errorf("services ran %v, want nothing", calls)
+			t.Errorf("service ran calls %v, want none", calls)
 		}
 	}
 	f.waitServing(t)
 }
 
-// checkProblem sends a request and says what is wrong with its refusal.
+// checkProblem sends a request and describes how its refusal differs from the
+// expected one; it returns "" if it does not differ.
 func checkProblem(req *http.Request, status int, reason, outcome string) string {
-	cl := http.Client{Timeout: patience}
+	cl := http.Client{Timeout: waitTimeout}
 	resp, err := cl.Do(req)
 	if err != nil {
 		return err.Error()
@@ -105,11 +106,11 @@
 	}
 	switch {
 	case resp.StatusCode != status || p.Status != status || p.Reason != reason:
-		return fmt.Sprintf("status %d, %s; want %d %s", resp.StatusCode, raw, status, reason)
+		return fmt.Sprintf("status %d, body %s; want %d with reason %s", resp.StatusCode, raw, status, reason)
 	case resp.Header.Get("Content-Type") != "application/problem+json":
-		return "content type " + resp.Header.Get("Content-Type")
+		return "want content type application/problem+json, got " + resp.Header.Get("Content-Type")
 	case p.Outcome != outcome || resp.Header.Get("X-Outcome") != outcome || p.Detail == "":
-		return fmt.Sprintf("outcome %q, detail %q", p.Outcome, p.Detail)
+		return fmt.Sprintf("outcome %q, detail %q; want the same expected outcome in body and header, and a detail", p.Outcome, p.Detail)
 	}
 	return ""
 }
--- a/internal/prooftest/streams/poison_test.go
+++ b/internal/prooftest/streams/poison_test.go
@@ -17,210 +17,215 @@
 	"mulberrylug.example/mulberrylug/internal/testkit"
 )
 
-// poisonStep is one choice of an order in which a request that crashes its
-// upstream comes again and again, at other instances, among others.
-func (w *world) poisonStep(op, arg uint8) {
-	entry := w.names[int(arg)%len(w.names)]
+// poisonStep runs one step of a generated sequence in which a request that crashes
+// its upstream is repeated at several instances, among other callers' requests.
+func (sim *simulation) poisonStep(op, arg uint8) {
+	entry := sim.names[int(arg)%len(sim.names)]
 	switch op % 16 {
 	case 13:
-		w.ask(entry, "depot-key", "poison", arg%2 == 0)
+		sim.submit(entry, "depot-key", "poison", arg%2 == 0)
 	case 14:
-		w.ask(entry, "press-key", fmt.Sprintf("order-%d", len(w.all)), arg%2 == 0)
+		sim.submit(entry, "press-key", fmt.Sprintf("order-%d", len(sim.allCallers)), arg%2 == 0)
 	case 15:
-		if len(w.names) > 2 && arg < 64 && !w.losesTrace(entry) {
-			w.kill(entry)
+		if len(sim.names) > 2 && arg < 64 && !sim.losesCopyCount(entry) {
+			sim.kill(entry)
 		}
 	case 10, 11, 12:
-		w.drain("peer ") // else a home would count as silent, and there were two
-		w.drain("table ")
-		w.tick(time.Duration(arg) * time.Millisecond)
+		sim.deliverAll("peer ") // otherwise a home would be marked as silent, and there would be two homes
+		sim.deliverAll("table ")
+		sim.tick(time.Duration(arg) * time.Millisecond)
 	default:
-		w.step(0, arg)
+		sim.step(0, arg)
 	}
 }
 
-// losesTrace reports whether an instance is the home of the pool while a request
-// that crashes upstreams runs. The next home then does not know how many copies
-// run at once; docs/STREAMS.md lists this case as not covered.
-func (w *world) losesTrace(name string) bool {
-	return w.home() == name && slices.ContainsFunc(w.all, func(c *caller) bool {
+// losesCopyCount reports whether an instance is the home of the pool while a request
+// that crashes upstreams runs. If that home were killed, the next home would have no
+// record of how many copies are running; docs/STREAMS.md lists this case as not
+// covered.
+func (sim *simulation) losesCopyCount(name string) bool {
+	return sim.home() == name && slices.ContainsFunc(sim.allCallers, func(c *caller) bool {
 		return c.poison && !c.ended
 	})
 }
 
 // home returns the home of the pool.
-func (w *world) home() string {
-	view := membership.NewView(w.member(w.names[0]))
+func (sim *simulation) home() string {
+	view := membership.NewView(sim.member(sim.names[0]))
 	var list []membership.Member
-	for _, n := range w.names {
-		list = append(list, w.member(n))
+	for _, n := range sim.names {
+		list = append(list, sim.member(n))
 	}
-	view.Update(w.now, list)
-	return view.Homes(w.now, "pool/assistant@kerala-south", 1, func(string) int { return 0 })[0]
+	view.Update(sim.now, list)
+	return view.Homes(sim.now, "pool/assistant@kerala-south", 1, func(string) int { return 0 })[0]
 }
 
-// away returns an instance that is not the home of the pool.
-func (w *world) away() string {
-	home := w.home()
-	return w.names[slices.IndexFunc(w.names, func(n string) bool { return n != home })]
+// nonHome returns an instance that is not the home of the pool.
+func (sim *simulation) nonHome() string {
+	home := sim.home()
+	return sim.names[slices.IndexFunc(sim.names, func(n string) bool { return n != home })]
 }
 
-// A caller sends one request that crashes each engine that runs it, again and
-// again under new ids at all instances, also at once, while others ask beside
-// it and instances (homes among them) die. At most two engines crash, those
-// who asked beside it are served (a stream that had begun ends as partial), and
-// in the end it is refused.
+// A caller repeats a request that crashes each engine that runs it, under new ids at
+// all instances and also concurrently, while other callers send requests and
+// instances (including homes) are killed. At most two engines may crash, the other
+// callers must be served (a stream that had begun may end as partial), and in the
+// end the request must be refused.
 func TestPoisonPropertyTwoCrashesInnocentsServed(t *testing.T) {
 	params := testkit.Parameters()
-	params.MinSize = 70 // short orders never get as far as a second crash
+	params.MinSize = 70 // short sequences never reach a second crash
 	props := gopter.NewProperties(params)
-	props.Property("two crashes at most, innocents served", prop.ForAll(
-		func(order []uint16) string {
-			w := newWorld(4, 4, "1000.00")
-			for _, choice := range order {
-				w.poisonStep(uint8(choice>>8), uint8(choice))
+	props.Property("at most two crashes, other callers are served", prop.ForAll(
+		func(steps []uint16) string {
+			sim := newSimulation(4, 4, "1000.00")
+			for _, choice := range steps {
+				sim.poisonStep(uint8(choice>>8), uint8(choice))
 			}
-			w.settleAll()
+			sim.runUntilEnded()
 			for range 3 {
-				for _, entry := range w.names {
-					w.ask(entry, "depot-key", "poison", true)
-					w.settleAll()
+				for _, entry := range sim.names {
+					sim.submit(entry, "depot-key", "poison", true)
+					sim.runUntilEnded()
 				}
 			}
-			return strings.Join(append(w.check(), w.checkPoison()...), "\n")
+			return strings.Join(append(sim.check(), sim.checkPoison()...), "\n")
 		},
 		gen.SliceOf(gen.UInt16()),
 	))
 	props.TestingRun(t)
 }
 
-func (w *world) checkPoison() []string {
-	var bad []string
-	if w.crashes > 2 {
-		bad = append(bad, fmt.Sprintf("%d crashes", w.crashes))
-	}
-	for n, c := range w.all {
-		// A stream that had begun can't go on from another generation, and
-		// where polls are held up no upstream is known for a while.
-		cut := c.outcome == core.Partial && len(c.tokens) > 0 || c.reason == "connection_lost"
-		if !c.poison && c.outcome != core.Done && !cut && c.reason != placement.ReasonNoUpstream {
-			bad = append(bad, fmt.Sprintf("innocent %d: %s %s", n, c.outcome, c.reason))
+// checkPoison verifies the number of crashes, that other callers were served and
+// that the last crashing request was refused; it returns the violations found.
+func (sim *simulation) checkPoison() []string {
+	var violations []string
+	if sim.crashes > 2 {
+		violations = append(violations, fmt.Sprintf("%d crashes, want at most 2", sim.crashes))
+	}
+	for n, c := range sim.allCallers {
+		// A stream that had begun can't be continued by another generation, and
+		// while polls are delayed a home has no upstream to place work on.
+		brokenOff := c.outcome == core.Partial && len(c.tokens) > 0 || c.reason == "connection_lost"
+		if !c.poison && c.outcome != core.Done && !brokenOff && c.reason != placement.ReasonNoUpstream {
+			violations = append(violations, fmt.Sprintf("caller %d, not sending the crashing request: %s %s, want done", n, c.outcome, c.reason))
 		}
 	}
-	if last := w.all[len(w.all)-1]; last.reason != core.ReasonPoison || last.retryAfter <= 0 {
-		bad = append(bad, fmt.Sprintf("last poisoned request: %s %s", last.outcome, last.reason))
+	if last := sim.allCallers[len(sim.allCallers)-1]; last.reason != core.ReasonPoison || last.retryAfter <= 0 {
+		violations = append(violations, fmt.Sprintf("last crashing request: %s %s, want reason poison and a time to retry", last.outcome, last.reason))
 	}
-	return bad
+	return violations
 }
 
-// An instance that starts after the crashes refuses the request too: it asks
-// its peers for their strikes. The strikes lapse after ten minutes.
-func TestPoisonKnownToLateInstance(t *testing.T) {
-	w := newWorld(2, 4, "1000.00")
+// An instance that starts after the crashes must refuse the request too, as it
+// requests its peers' strikes. The strikes must expire; the test checks this after
+// eleven minutes, as their TTL is ten minutes.
+func TestPoisonRefusedByNewInstance(t *testing.T) {
+	sim := newSimulation(2, 4, "1000.00")
 	for range 2 {
-		w.ask("entry-0", "depot-key", "poison", true)
-		w.settleAll()
-	}
-	w.start("entry-9")
-	w.settle(2 * time.Second)
-	w.kill("entry-0")
-	w.kill("entry-1")
-	c := w.ask("entry-9", "depot-key", "poison", true)
-	w.settleAll()
-	if w.crashes != 2 || c.reason != core.ReasonPoison || c.outcome != core.NotRun {
-		t.Errorf("crashes = %d, outcome %s %s; want 2, not_run poison", w.crashes, c.outcome, c.reason)
-	}
-	w.settle(11 * time.Minute)
-	w.warm()
-	w.ask("entry-9", "depot-key", "poison", true)
-	w.settleAll()
-	if w.crashes <= 2 {
-		t.Errorf("crashes = %d after the strikes had lapsed, want more than 2", w.crashes)
+		sim.submit("entry-0", "depot-key", "poison", true)
+		sim.runUntilEnded()
+	}
+	sim.start("entry-9")
+	sim.runFor(2 * time.Second)
+	sim.kill("entry-0")
+	sim.kill("entry-1")
+	c := sim.submit("entry-9", "depot-key", "poison", true)
+	sim.runUntilEnded()
+	if sim.crashes != 2 || c.reason != core.ReasonPoison || c.outcome != core.NotRun {
+		t.Errorf("crashes = %d, outcome %s, reason %s; want 2, not_run, poison", sim.crashes, c.outcome, c.reason)
+	}
+	sim.runFor(11 * time.Minute)
+	sim.warmUp()
+	sim.submit("entry-9", "depot-key", "poison", true)
+	sim.runUntilEnded()
+	if sim.crashes <= 2 {
+		t.Errorf("crashes = %d after the strikes had expired, want more than 2", sim.crashes)
 	}
 }
 
-// The home of the pool dies while the request runs, before it crashes its
-// engine. The next home has never heard of it; it learns from the entry's retry
-// which run of which engine failed, and finds that run gone.
+// The home of the pool is killed while the request runs, before the request crashes
+// its engine. The next home has no record of the request. It receives from the
+// entry's retry which boot of which engine failed, and detects that this boot has
+// ended, so that it records a strike.
 func TestPoisonHomeDiesBeforeTheCrash(t *testing.T) {
-	w := newWorld(4, 4, "1000.00")
-	w.ask(w.away(), "depot-key", "poison", true)
-	for len(w.open("link ")) == 0 {
-		w.pop(w.open("")[0])
+	sim := newSimulation(4, 4, "1000.00")
+	sim.submit(sim.nonHome(), "depot-key", "poison", true)
+	for len(sim.pending("link ")) == 0 {
+		sim.deliverNext(sim.pending("")[0])
 	}
-	w.kill(w.home())
-	w.settle(200 * time.Millisecond)
+	sim.kill(sim.home())
+	sim.runFor(200 * time.Millisecond)
 	for range 4 {
-		for _, entry := range w.names {
-			w.ask(entry, "depot-key", "poison", true)
-			w.settleAll()
+		for _, entry := range sim.names {
+			sim.submit(entry, "depot-key", "poison", true)
+			sim.runUntilEnded()
 		}
 	}
-	if w.crashes != 2 {
-		t.Errorf("%d crashes, want 2", w.crashes)
+	if sim.crashes != 2 {
+		t.Errorf("crashes = %d, want 2", sim.crashes)
 	}
 }
 
-// Two engines run a copy each, which were granted before the first crash; one
-// of them also runs an innocent request. When that one crashes, the innocent
-// must not go to where the other copy still runs: after a second crash beside
-// it, it would be refused.
-func TestPoisonInnocentIsKeptFromTheSecondCopy(t *testing.T) {
-	w := newWorld(2, 2, "1000.00")
-	innocent := w.ask("entry-0", "press-key", "endless-order", false)
-	w.settle(3 * time.Second) // past the home's first seconds, in which suspects wait
-	var held string           // the first copy's connection
+// Two engines each run a copy of a crashing request, both granted before the first
+// crash; one of them also runs another caller's request. When that engine crashes,
+// the other caller's request must not be placed on the engine that runs the second
+// copy: after a second crash it would have two strikes and be refused.
+func TestPoisonBystanderIsKeptFromTheSecondCopy(t *testing.T) {
+	sim := newSimulation(2, 2, "1000.00")
+	bystander := sim.submit("entry-0", "press-key", "endless-order", false)
+	sim.runFor(3 * time.Second) // past the home's first seconds, in which requests with a strike wait
+	var held string             // channel of the first copy's connection
 	for range 2 {
-		c := w.ask("entry-0", "depot-key", "poison", false)
+		c := sim.submit("entry-0", "depot-key", "poison", false)
 		link := "link entry-0 " + c.request + "/1 1"
-		for len(w.channels[link]) == 0 {
-			w.pop(append(w.open("peer "), w.open("table ")...)[0])
+		for len(sim.channels[link]) == 0 {
+			sim.deliverNext(append(sim.pending("peer "), sim.pending("table ")...)[0])
 		}
 		if held == "" {
 			held = link
 		}
 	}
-	rest := w.channels[held]
-	w.channels[held] = nil
-	w.settle(4 * time.Second) // the crashed engine is back
-	w.channels[held] = rest
-	w.settle(8 * time.Second)
-	if w.crashes != 2 || innocent.ended || w.counts["strikes_total"] != 3 {
-		t.Errorf("%d crashes, %d strikes; innocent ended %t: %s %s", w.crashes, w.counts["strikes_total"], innocent.ended, innocent.outcome, innocent.reason)
+	events := sim.channels[held]
+	sim.channels[held] = nil
+	sim.runFor(4 * time.Second) // until the crashed engine has restarted
+	sim.channels[held] = events
+	sim.runFor(8 * time.Second)
+	if sim.crashes != 2 || bystander.ended || sim.counts["strikes_total"] != 3 {
+		t.Errorf("%d crashes, %d strikes; other caller ended %t: %s %s; want 2, 3 and not ended", sim.crashes, sim.counts["strikes_total"], bystander.ended, bystander.outcome, bystander.reason)
 	}
 }
 
-// An engine that freezes or is cut off is not a crash: its requests are tried
-// elsewhere, and nothing gets a strike.
+// An engine that freezes or can't be reached has not crashed: its requests must be
+// retried elsewhere and get no strike.
 func TestPoisonFrozenEngineIsNoCrash(t *testing.T) {
-	w := newWorld(2, 2, "1000.00")
+	sim := newSimulation(2, 2, "1000.00")
 	var all []*caller
 	for n := range 6 {
-		all = append(all, w.ask("entry-0", "depot-key", fmt.Sprintf("order-%d", n), false))
+		all = append(all, sim.submit("entry-0", "depot-key", fmt.Sprintf("order-%d", n), false))
 	}
 	for range 100 {
 		for _, channel := range []string{"peer ", "table ", "poll "} {
-			for _, ch := range w.open(channel) {
-				w.pop(ch)
+			for _, ch := range sim.pending(channel) {
+				sim.deliverNext(ch)
 			}
 		}
 	}
-	if got := len(w.open("link ")); got != len(all) {
+	if got := len(sim.pending("link ")); got != len(all) {
 		t.Fatalf("%d connections to engines, want %d", got, len(all))
 	}
-	for _, ch := range w.open("link ") {
-		w.channels[ch] = nil // every connection goes silent for good
+	for _, ch := range sim.pending("link ") {
+		sim.channels[ch] = nil // every connection becomes silent permanently
 	}
-	w.engines["engine-0"].frozen = true
-	w.settle(3 * time.Second)
-	w.engines["engine-0"].frozen = false
-	w.settleAll()
+	sim.engines["engine-0"].frozen = true
+	sim.runFor(3 * time.Second)
+	sim.engines["engine-0"].frozen = false
+	sim.runUntilEnded()
 	for n, c := range all {
 		if c.outcome != core.Done {
-			t.Errorf("caller %d: %s %s, want done", n, c.outcome, c.reason)
+			t.Errorf("caller %d: outcome %s %s, want done", n, c.outcome, c.reason)
 		}
 	}
-	if w.counts["strikes_total"] != 0 {
-		t.Errorf("strikes = %d, want none", w.counts["strikes_total"])
+	if sim.counts["strikes_total"] != 0 {
+		t.Errorf("strikes = %d, want 0", sim.counts["strikes_total"])
 	}
 }
--- a/internal/prooftest/streams/promise1_sockets_test.go
+++ b/internal/prooftest/streams/promise1_sockets_test.go
@@ -16,10 +16,11 @@
 	"mulberrylug.example/mulberrylug/internal/testkit"
 )
 
-var ask = client.Completion{Model: "dispatch-7b", Prompt: "Which cylinders go to the semen bank today?"}
+var exampleCompletion = client.Completion{Model: "dispatch-7b", Prompt: "Which cylinders go to the semen bank today?"}
 
-// whole asks an instance for a whole answer over plain HTTP.
-func (f *fleet) whole(t *testing.T, address, key string, c client.Completion) (status int, text, outcome string) {
+// completeUnstreamed sends an unstreamed completion request to an instance over
+// plain HTTP.
+func (f *fleet) completeUnstreamed(t *testing.T, address, key string, c client.Completion) (status int, text, outcome string) {
 	t.Helper()
 	raw, err := json.Marshal(c)
 	if err != nil {
@@ -48,23 +49,23 @@
 	return resp.StatusCode, text, resp.Header.Get("X-Outcome")
 }
 
-// The link to the engine goes wrong in the middle of an answer: it stalls, is
-// cut again and again, goes silent for good while new connections work, brings
-// tokens twice or leaves some out, or the engine passes the permitted length.
-// The entry reads on from a new connection; streamed and whole answers are
-// complete, each token once.
+// The connection to the engine fails during a generation: it stalls, breaks
+// repeatedly, becomes silent permanently while new connections work, or delivers
+// tokens twice or leaves some out; or the engine exceeds max_tokens. The entry must
+// resume reading over a new connection, so that streamed and unstreamed responses
+// are complete and have each token once.
 func TestPromise1EngineLink(t *testing.T) {
 	t.Parallel()
 	cases := map[string]struct {
 		faults engine.StreamFaults
-		harm   func(f *fleet)
+		inject func(f *fleet)
 	}{
 		"stalls":                {faults: engine.StreamFaults{StallAfter: 20}},
 		"cut after every 15":    {faults: engine.StreamFaults{CutAfter: 15}},
 		"tokens twice":          {faults: engine.StreamFaults{Duplicate: 3}},
 		"tokens left out":       {faults: engine.StreamFaults{Gap: 7}},
-		"silent for good":       {harm: func(f *fleet) { f.engines[0].relay.Silence() }},
-		"cut":                   {harm: func(f *fleet) { f.engines[0].relay.Cut() }},
+		"silent for good":       {inject: func(f *fleet) { f.engines[0].relay.Silence() }},
+		"cut":                   {inject: func(f *fleet) { f.engines[0].relay.Cut() }},
 		"longer than permitted": {faults: engine.StreamFaults{IgnoreMax: true}},
 	}
 	for name, c := range cases {
@@ -72,41 +73,41 @@
 			t.Parallel()
 			f := startFleet(t, 1, engine.Settings{})
 			f.engines[0].SetFaults(c.faults)
-			req := ask
+			req := exampleCompletion
 			if c.faults.IgnoreMax {
 				req.MaxTokens = 25
 			}
-			answered := make(chan struct{})
+			unstreamedDone := make(chan struct{})
 			go func() {
-				defer close(answered)
-				status, text, outcome := f.whole(t, f.Instances[1].CallerAddress(), demo.APIKey, req)
+				defer close(unstreamedDone)
+				status, text, outcome := f.completeUnstreamed(t, f.Instances[1].CallerAddress(), demo.APIKey, req)
 				if status != http.StatusOK || outcome != "done" {
-					t.Errorf("whole answer: status %d outcome %s", status, outcome)
+					t.Errorf("unstreamed response: status %d, outcome %s; want 200 and done", status, outcome)
 				}
 				f.checkTokens(t, text, !c.faults.IgnoreMax)
 			}()
 			var n atomic.Int64
 			res, err := f.client(t, 0).Stream(context.Background(), req, func(string) {
-				if n.Add(1) == 20 && c.harm != nil {
-					c.harm(f)
+				if n.Add(1) == 20 && c.inject != nil {
+					c.inject(f)
 				}
 			})
-			<-answered
+			<-unstreamedDone
 			if err != nil {
-				t.Fatalf("streamed answer: %v after %d tokens", err, res.Tokens)
+				t.Fatalf("streamed response: error = %v after %d tokens, want nil", err, res.Tokens)
 			}
 			if c.faults.IgnoreMax && res.Tokens != req.MaxTokens {
-				t.Errorf("%d tokens, want the permitted %d", res.Tokens, req.MaxTokens)
+				t.Errorf("got %d tokens, want %d as in max_tokens", res.Tokens, req.MaxTokens)
 			}
 			f.checkTokens(t, res.Text, !c.faults.IgnoreMax)
 		})
 	}
 }
 
-// The connection between caller and entry is cut or goes silent for good in
-// the middle of a stream, or the entry is killed. The caller resumes at another
-// entry with its last event id and gets the rest of the same generation; the
-// engine has produced the answer once.
+// During a stream the connection between caller and entry breaks or becomes silent
+// permanently, or the entry is killed. The caller must resume at another entry with
+// its last event id and get the remaining tokens of the same generation, and must
+// have sent its request only once.
 func TestPromise1CallerLink(t *testing.T) {
 	t.Parallel()
 	cases := map[string]func(f *fleet){
@@ -136,20 +137,20 @@
 			f := startFleet(t, 2, engine.Settings{Median: 150})
 			cl := f.client(t, 0)
 			var n atomic.Int64
-			res, err := cl.Stream(context.Background(), ask, func(string) {
+			res, err := cl.Stream(context.Background(), exampleCompletion, func(string) {
 				if n.Add(1) == 20 {
 					breakLink(f)
 				}
 			})
 			if err != nil {
-				t.Fatalf("%v after %d tokens, %d resumes", err, res.Tokens, res.Resumes)
+				t.Fatalf("stream: error = %v after %d tokens and %d resumes, want nil", err, res.Tokens, res.Resumes)
 			}
 			if res.Resumes == 0 || res.Sends != 1 {
-				t.Errorf("resumes = %d, sends = %d; want some and 1", res.Resumes, res.Sends)
+				t.Errorf("resumes = %d, sends = %d; want at least 1 and exactly 1", res.Resumes, res.Sends)
 			}
 			f.checkTokens(t, res.Text, true)
 			for _, i := range f.Instances {
-				testkit.Eventually(t, patience, "no instance follows the request", func() bool {
+				testkit.Eventually(t, waitTimeout, "no instance tracks the request", func() bool {
 					ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 					defer cancel()
 					st, err := i.Status(ctx)
@@ -160,10 +161,11 @@
 	}
 }
 
-// An engine dies before the first token: the request runs again on another and
-// the caller sees a whole answer. It dies after the first token: a whole answer
-// still comes from another; a stream ends as partial, even if the engine runs
-// the generation again under its old id once it is back, with other tokens.
+// If an engine crashes before the first token, the request must run again and the
+// caller must get a complete response. If it crashes after the first token, an
+// unstreamed request must still get a complete response, while a stream must end as
+// partial, even if the restarted engine runs the generation again under its old id
+// with other tokens.
 func TestPromise1EngineDies(t *testing.T) {
 	t.Parallel()
 	t.Run("before the first token", func(t *testing.T) {
@@ -173,7 +175,7 @@
 			e.SetFaults(engine.StreamFaults{FirstDelay: time.Second})
 		}
 		time.AfterFunc(400*time.Millisecond, f.engines[0].crash)
-		res, err := f.client(t, 0).Stream(context.Background(), ask, nil)
+		res, err := f.client(t, 0).Stream(context.Background(), exampleCompletion, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -184,26 +186,26 @@
 		f := startFleet(t, 1, engine.Settings{})
 		e := f.engines[0]
 		e.SetFaults(engine.StreamFaults{RerunLost: true})
-		wholeDone := make(chan struct{})
+		unstreamedDone := make(chan struct{})
 		go func() {
-			defer close(wholeDone)
-			_, text, outcome := f.whole(t, f.Instances[1].CallerAddress(), demo.APIKey, client.Completion{Model: "dispatch-7b", Prompt: "another"})
+			defer close(unstreamedDone)
+			_, text, outcome := f.completeUnstreamed(t, f.Instances[1].CallerAddress(), demo.APIKey, client.Completion{Model: "dispatch-7b", Prompt: "another"})
 			if outcome != "done" {
-				t.Errorf("whole answer: %s", outcome)
+				t.Errorf("unstreamed response: outcome %s, want done", outcome)
 			}
 			f.checkTokens(t, text, true)
 		}()
 		var n atomic.Int64
-		res, err := f.client(t, 0).Stream(context.Background(), ask, func(string) {
+		res, err := f.client(t, 0).Stream(context.Background(), exampleCompletion, func(string) {
 			if n.Add(1) == 20 {
 				e.crash()
-				e.up(t)
+				e.reopen(t)
 			}
 		})
-		<-wholeDone
+		<-unstreamedDone
 		var p *client.Problem
 		if !errors.As(err, &p) || p.Outcome != client.Partial {
-			t.Errorf("streamed answer: %v after %d tokens, want partial", err, res.Tokens)
+			t.Errorf("streamed response: error = %v after %d tokens, want outcome partial", err, res.Tokens)
 		}
 		f.checkTokens(t, res.Text, false)
 	})
--- a/internal/prooftest/streams/promise2_sockets_test.go
+++ b/internal/prooftest/streams/promise2_sockets_test.go
@@ -17,14 +17,14 @@
 	"mulberrylug.example/mulberrylug/internal/standin/service"
 )
 
-// Two organisations ask at once at all instances, streamed and whole, all under
-// the same request id of their own, while the answers of one engine come late.
-// Each caller gets the answer to its own prompt, all of it.
+// Callers of two organisations send streamed and unstreamed requests to all
+// instances at the same time, while the responses of one engine are delayed. Each
+// caller must get the complete response to its own prompt.
 func TestPromise2AnswersToTheRightCaller(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, 2, engine.Settings{})
 	f.engines[0].relay.Delay(30 * time.Millisecond)
-	prompts := map[string]int{} // the length of the answer tells the prompt apart
+	generations := map[string]int{} // callers by generation; max_tokens differs for each prompt
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for n := range 24 {
@@ -34,34 +34,34 @@
 		wg.Go(func() {
 			text := ""
 			if n%3 == 0 {
-				_, text, _ = f.whole(t, f.Instances[n%3].CallerAddress(), key, req)
+				_, text, _ = f.completeUnstreamed(t, f.Instances[n%3].CallerAddress(), key, req)
 			} else {
 				res, err := cl.Stream(context.Background(), req, nil)
 				if err != nil {
-					t.Errorf("caller %d: %v", n, err)
+					t.Errorf("caller %d: error = %v, want nil", n, err)
 				}
 				text = res.Text
 			}
 			f.checkTokens(t, text, true)
 			if got := len(strings.Fields(text)); got != req.MaxTokens {
-				t.Errorf("caller %d: %d tokens, want the %d that it asked for", n, got, req.MaxTokens)
+				t.Errorf("caller %d: got %d tokens, want %d as in its max_tokens", n, got, req.MaxTokens)
 			}
 			mu.Lock()
 			defer mu.Unlock()
 			hash, _, _ := strings.Cut(text, "-")
-			prompts[hash]++
+			generations[hash]++
 		})
 	}
 	wg.Wait()
-	if len(prompts) != 24 {
-		t.Errorf("%d different generations, want one for each of 24 callers", len(prompts))
+	if len(generations) != 24 {
+		t.Errorf("%d different generations, want one for each of 24 callers", len(generations))
 	}
 }
 
-// Two organisations book under the same idempotency key. Each is run, and a
-// repeat gets the outcome of its own organisation's booking. A booking whose
-// answer comes after the timeout is unknown, and stays so when the late answer
-// has come in.
+// Two organisations book under the same idempotency key. One booking of each must
+// run, and a repeat must get the outcome of its own organisation's booking. A
+// booking whose response arrives after the timeout must get the outcome unknown, and
+// a repeat must get it too after the late response has arrived.
 func TestPromise2SameKeyOfTwoOrganisationsAndLateAnswer(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, 1, engine.Settings{})
@@ -72,7 +72,7 @@
 	}
 	for _, key := range []string{demo.APIKey, pressKey, demo.APIKey, pressKey} {
 		if _, err := book(key, `{"from":"`+key+`"}`); err != nil {
-			t.Errorf("%s: %v", key, err)
+			t.Errorf("booking with API key %s: error = %v, want nil", key, err)
 		}
 	}
 	bodies := map[string]int{}
@@ -82,7 +82,7 @@
 		}
 	}
 	if len(bodies) != 2 || bodies[`{"from":"`+pressKey+`"}`] != 1 {
-		t.Errorf("executed %v, want one booking of each organisation", bodies)
+		t.Errorf("executed bookings by body = %v, want one of each organisation", bodies)
 	}
 	for _, s := range f.Services {
 		s.SetFaults(service.Faults{Delay: 4 * time.Second}) // the timeout is 3 s
@@ -92,15 +92,15 @@
 		_, err := f.client(t, 0).Do(context.Background(), late)
 		var p *client.Problem
 		if !errors.As(err, &p) || p.Outcome != client.Unknown {
-			t.Errorf("late booking: %v, want unknown", err)
+			t.Errorf("booking with a late response: %v, want outcome unknown", err)
 		}
-		time.Sleep(2 * time.Second) // the late answer arrives in between
+		time.Sleep(2 * time.Second) // until the late response has arrived
 	}
 }
 
-// A caller resumes with a handle that it altered, with one of another
-// organisation, or with none: it is refused and learns nothing, and the rightful
-// caller still gets its whole stream.
+// A caller resumes with an altered handle, with a handle of another organisation, or
+// without one. It must be refused with reason bad_handle, and the caller that owns
+// the handle must still get its complete stream.
 func TestPromise2HandleOfAnotherOrganisation(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, 1, engine.Settings{})
@@ -115,16 +115,16 @@
 	} {
 		status, body := f.resume(t, c.key, c.id)
 		if status != http.StatusBadRequest || !strings.Contains(body, `"reason":"bad_handle"`) {
-			t.Errorf("%s: status %d, %s", name, status, body)
+			t.Errorf("handle %s: status %d, body %s; want 400 with reason bad_handle", name, status, body)
 		}
 	}
 	status, body := f.resume(t, demo.APIKey, id)
 	if status != http.StatusOK || !strings.Contains(body, `"outcome":"done"`) || strings.Count(body, "event: end") != 1 {
-		t.Errorf("rightful caller: status %d, %s", status, body)
+		t.Errorf("caller that owns the handle: status %d, body %s; want 200 with outcome done and one end event", status, body)
 	}
 }
 
-// firstEventID starts a stream, reads its first event and leaves.
+// firstEventID starts a stream, reads the id of its first event and disconnects.
 func (f *fleet) firstEventID(t *testing.T) string {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodPost, "http://"+f.Instances[0].CallerAddress()+"/v1/completions",
@@ -147,7 +147,7 @@
 			return strings.TrimPrefix(line, "id: ")
 		}
 		if err != nil {
-			t.Fatalf("no event: %v in %q", err, buf)
+			t.Fatalf("stream ended before its first event: error = %v, body %q", err, buf)
 		}
 	}
 }
--- a/internal/prooftest/streams/simulation.go
+++ b/internal/prooftest/streams/simulation.go
@@ -1,8 +1,9 @@
-// Package streams proves what callers are promised about answers: every token
-// once, in order, from one generation, to the right caller; requests that crash
-// upstreams are stopped; retries stay within their budgets. The properties
-// drive core.Instance.Handle through fakes with virtual time, in orders that
-// gopter draws and shrinks; the other tests use real sockets.
+// Package streams tests the guarantees to callers about responses: every token
+// arrives once, in order, from one generation, at the right caller; requests that
+// crash upstreams are stopped; retries stay within their budgets. The tests without
+// sockets drive core.Instance.Handle through fakes with virtual time; properties do
+// so with sequences of steps that gopter generates and shrinks. The tests in files
+// named *_sockets_test.go and input_test.go use real sockets.
 package streams
 
 import (
@@ -21,7 +22,7 @@
 	"mulberrylug.example/mulberrylug/internal/core/table"
 )
 
-const worldConfig = `deployment:
+const simulationConfig = `deployment:
   name: world
   regions: {kerala-south: [kochi-a]}
   stream_key: a-key-that-is-long-enough-to-sign-with
@@ -34,27 +35,29 @@
 upstreams:
 `
 
-// world is a few instances with fakes for everything round them. Each channel
-// is a queue whose events arrive in order; the order between channels is free.
-type world struct {
-	now       time.Time
-	instances map[string]*core.Instance
-	names     []string
-	engines   map[string]*fakeEngine
-	channels  map[string][]func()
-	table     *memtable.Table
-	objects   map[string][]byte
-	callers   map[string]*caller // by request id
-	all       []*caller
-	counts    map[string]int
-	ids       int
-	crashes   int
-	// loses drops messages between instances.
-	loses  func(msg.Message) bool
-	faults []string
+// simulation is a set of instances with fakes for all other systems. Each channel
+// is a queue of events that are delivered in order; events of different channels
+// may be delivered in any order.
+type simulation struct {
+	now          time.Time
+	instances    map[string]*core.Instance
+	names        []string
+	engines      map[string]*fakeEngine
+	channels     map[string][]func()
+	table        *memtable.Table
+	objects      map[string][]byte
+	callers      map[string]*caller // by request id
+	allCallers   []*caller
+	counts       map[string]int
+	requestCount int
+	crashes      int
+	// dropMessage, unless nil, reports whether a message between instances is lost.
+	dropMessage func(msg.Message) bool
+	violations  []string
 }
 
-// link is one connection from an instance to an engine.
+// link is one connection from an instance to an engine. endless is set if its
+// generation sends keep-alives until it is cancelled.
 type link struct {
 	channel  string
 	instance string
@@ -62,7 +65,7 @@
 	endless  bool
 }
 
-// caller is one caller with its present connection.
+// caller is one caller with its present connection to an entry.
 type caller struct {
 	key, body, entry, request string
 	stream, poison            bool
@@ -72,47 +75,47 @@
 	outcome                   core.Outcome
 	reason                    string
 	retryAfter                time.Duration
-	resumeAt                  time.Time
+	reconnectAt               time.Time
 	ended                     bool
-	// repeats is how often it comes back after a refusal, again is set while
-	// it waits to.
-	repeats int
-	again   bool
+	// retriesLeft is the number of retries left after refusals; retryPending is
+	// set while the caller waits for its next retry.
+	retriesLeft  int
+	retryPending bool
 }
 
-func newWorld(instances, engines int, spend string) *world {
-	w := &world{
+func newSimulation(instances, engines int, spend string) *simulation {
+	sim := &simulation{
 		now: time.Unix(1_800_000_000, 0), instances: map[string]*core.Instance{}, engines: map[string]*fakeEngine{},
 		channels: map[string][]func(){}, table: memtable.New(), objects: map[string][]byte{},
 		callers: map[string]*caller{}, counts: map[string]int{},
 	}
-	text := fmt.Sprintf(worldConfig, config.HashKey("depot-key"), spend, config.HashKey("press-key"))
+	text := fmt.Sprintf(simulationConfig, config.HashKey("depot-key"), spend, config.HashKey("press-key"))
 	for n := range engines {
 		name := fmt.Sprintf("engine-%d", n)
-		w.engines[name] = &fakeEngine{name: name, gens: map[string]*generation{}}
+		sim.engines[name] = &fakeEngine{name: name, gens: map[string]*generation{}}
 		text += fmt.Sprintf("  - {name: %s, service: assistant, data_centre: kochi-a}\n", name)
 	}
-	w.publish(text)
+	sim.publish(text)
 	for n := range instances {
-		w.start(fmt.Sprintf("entry-%d", n))
+		sim.start(fmt.Sprintf("entry-%d", n))
 	}
-	w.settle(2 * time.Second)
-	w.warm()
-	return w
+	sim.runFor(2 * time.Second)
+	sim.warmUp()
+	return sim
 }
 
-// warm makes the home of the pool learn of its upstreams: one that has just
-// begun refuses until the first reports are in.
-func (w *world) warm() {
-	before := len(w.all)
+// warmUp makes the home of the pool poll its upstreams: a home that has just started
+// refuses requests until it has received the first reports.
+func (sim *simulation) warmUp() {
+	before := len(sim.allCallers)
 	for range 2 {
-		w.ask(w.names[0], "press-key", "warm", false)
-		w.settleAll()
+		sim.submit(sim.names[0], "press-key", "warm", false)
+		sim.runUntilEnded()
 	}
-	w.all = w.all[:before]
+	sim.allCallers = sim.allCallers[:before]
 }
 
-func (w *world) publish(text string) {
+func (sim *simulation) publish(text string) {
 	cfg, err := config.Parse([]config.File{{Name: "world.yaml", Data: []byte(text)}})
 	if err != nil {
 		panic(err)
@@ -121,154 +124,160 @@
 	if err != nil {
 		panic(err)
 	}
-	w.objects[hash] = object
-	w.table.Write(table.Write{Key: core.ConfigRow, Value: fmt.Appendf(nil, `{"number":1,"hash":%q}`, hash)})
+	sim.objects[hash] = object
+	sim.table.Write(table.Write{Key: core.ConfigRow, Value: fmt.Appendf(nil, `{"number":1,"hash":%q}`, hash)})
 }
 
-func (w *world) member(name string) membership.Member {
+func (sim *simulation) member(name string) membership.Member {
 	return membership.Member{
 		Name: name, Role: membership.RoleEntry, DataCentre: "kochi-a", State: membership.Live,
 		Address: name + ":1", PeerAddress: name + ":2",
 	}
 }
 
-func (w *world) start(name string) {
-	w.names = append(w.names, name)
-	w.instances[name] = core.New(core.Options{Self: w.member(name), Boot: "b", Seed: uint64(len(w.names))})
-	w.tellList()
+func (sim *simulation) start(name string) {
+	sim.names = append(sim.names, name)
+	sim.instances[name] = core.New(core.Options{Self: sim.member(name), Boot: "b", Seed: uint64(len(sim.names))})
+	sim.announceList()
 }
 
-// kill ends an instance; the list drops it at once and its callers see a cut.
-func (w *world) kill(name string) {
-	w.names = slices.DeleteFunc(w.names, func(n string) bool { return n == name })
-	delete(w.instances, name)
-	w.tellList()
-	for _, c := range w.all {
+// kill stops an instance. The instance list drops it at once, and the connections
+// of its callers break.
+func (sim *simulation) kill(name string) {
+	sim.names = slices.DeleteFunc(sim.names, func(n string) bool { return n == name })
+	delete(sim.instances, name)
+	sim.announceList()
+	for _, c := range sim.allCallers {
 		if c.entry == name && !c.ended {
-			w.cutCaller(c, false)
+			sim.disconnect(c, false)
 		}
 	}
 }
 
-func (w *world) tellList() {
+func (sim *simulation) announceList() {
 	var list []membership.Member
-	for _, name := range w.names {
-		list = append(list, w.member(name))
+	for _, name := range sim.names {
+		list = append(list, sim.member(name))
 	}
-	for name := range w.engines {
+	for name := range sim.engines {
 		list = append(list, membership.Member{Name: name, Role: "assistant", DataCentre: "kochi-a", State: membership.Live, Address: name})
 	}
-	for _, name := range w.names {
-		w.handle(name, core.InstanceList{Members: list})
+	for _, name := range sim.names {
+		sim.handle(name, core.InstanceList{Members: list})
 	}
 }
 
-func (w *world) handle(name string, ev core.Event) {
-	inst := w.instances[name]
+func (sim *simulation) handle(name string, ev core.Event) {
+	inst := sim.instances[name]
 	if inst == nil {
 		return
 	}
-	for _, a := range inst.Handle(w.now, ev) {
-		w.do(name, a)
+	for _, a := range inst.Handle(sim.now, ev) {
+		sim.perform(name, a)
 	}
 }
 
-func (w *world) later(channel string, f func()) {
-	w.channels[channel] = append(w.channels[channel], f)
+func (sim *simulation) enqueue(channel string, f func()) {
+	sim.channels[channel] = append(sim.channels[channel], f)
 }
 
-func (w *world) do(name string, a core.Action) {
+func (sim *simulation) perform(name string, a core.Action) {
 	switch a := a.(type) {
 	case core.Send:
-		if w.loses != nil && w.loses(a.Msg) {
+		if sim.dropMessage != nil && sim.dropMessage(a.Msg) {
 			return
 		}
-		w.later("peer "+name+" "+a.To, func() { w.handle(a.To, core.PeerMessage{From: name, Msg: a.Msg}) })
+		sim.enqueue("peer "+name+" "+a.To, func() { sim.handle(a.To, core.PeerMessage{From: name, Msg: a.Msg}) })
 	case core.Commit:
-		res := w.table.Apply(a.Tx)
-		w.later("table "+name, func() { w.handle(name, core.CommitResult{Op: a.Op, Result: res}) })
+		res := sim.table.Apply(a.Tx)
+		sim.enqueue("table "+name, func() { sim.handle(name, core.CommitResult{Op: a.Op, Result: res}) })
 	case core.Read:
 		var rows []table.Row
 		for _, k := range a.Keys {
-			rows = append(rows, w.table.Row(k))
+			rows = append(rows, sim.table.Row(k))
 		}
-		w.later("table "+name, func() { w.handle(name, core.ReadResult{Op: a.Op, OK: true, Rows: rows}) })
+		sim.enqueue("table "+name, func() { sim.handle(name, core.ReadResult{Op: a.Op, OK: true, Rows: rows}) })
 	case core.Fetch:
-		w.later("table "+name, func() { w.handle(name, core.ObjectResult{Hash: a.Hash, OK: true, Data: w.objects[a.Hash]}) })
+		sim.enqueue("table "+name, func() { sim.handle(name, core.ObjectResult{Hash: a.Hash, OK: true, Data: sim.objects[a.Hash]}) })
 	case core.Poll:
-		asked := w.now
-		w.later("poll "+name+" "+a.Upstream, func() { w.report(name, a.Upstream, asked) })
+		asked := sim.now
+		sim.enqueue("poll "+name+" "+a.Upstream, func() { sim.sendReport(name, a.Upstream, asked) })
 	case core.Dispatch:
-		w.dispatch(name, a)
+		sim.dispatch(name, a)
 	case core.Cancel:
-		w.later("cancel "+a.Address, func() { w.engines[a.Address].cancel(a.Attempt) })
+		sim.enqueue("cancel "+a.Address, func() { sim.engines[a.Address].cancel(a.Attempt) })
 	case core.Deliver:
-		w.deliver(a)
+		sim.deliver(a)
 	case core.Finish:
-		w.finish(a)
+		sim.finish(a)
 	case core.Count:
-		w.counts[a.Group]++
-		w.counts[a.Group+" "+a.Name]++
+		sim.counts[a.Group]++
+		sim.counts[a.Group+" "+a.Name]++
 	}
 }
 
-// open lists the channels that have something, in a fixed order.
-func (w *world) open(prefix string) []string {
-	var out []string
-	for name, q := range w.channels {
+// pending returns the channels with the given prefix that have events, sorted by
+// name.
+func (sim *simulation) pending(prefix string) []string {
+	var names []string
+	for name, q := range sim.channels {
 		if len(q) > 0 && strings.HasPrefix(name, prefix) {
-			out = append(out, name)
+			names = append(names, name)
 		}
 	}
-	sort.Strings(out)
-	return out
+	sort.Strings(names)
+	return names
 }
 
-func (w *world) pop(channel string) {
-	q := w.channels[channel]
-	w.channels[channel] = q[1:]
+// deliverNext delivers the first event of a channel.
+func (sim *simulation) deliverNext(channel string) {
+	q := sim.channels[channel]
+	sim.channels[channel] = q[1:]
 	q[0]()
 }
 
-// drain lets everything in some channels arrive.
-func (w *world) drain(prefix string) {
-	for open := w.open(prefix); len(open) > 0; open = w.open(prefix) {
-		w.pop(open[0])
+// deliverAll delivers all events of the channels with the given prefix.
+func (sim *simulation) deliverAll(prefix string) {
+	for open := sim.pending(prefix); len(open) > 0; open = sim.pending(prefix) {
+		sim.deliverNext(open[0])
 	}
 }
 
-// tick lets time pass and lets callers that lost their connection come back.
-func (w *world) tick(d time.Duration) {
-	w.now = w.now.Add(d)
-	w.keepAlive()
-	for _, name := range slices.Clone(w.names) {
-		w.handle(name, core.Tick{})
+// tick advances virtual time by d, sends a tick to every instance, and reconnects
+// the callers whose time to reconnect has come.
+func (sim *simulation) tick(d time.Duration) {
+	sim.now = sim.now.Add(d)
+	sim.keepAlive()
+	for _, name := range slices.Clone(sim.names) {
+		sim.handle(name, core.Tick{})
 	}
-	for _, c := range w.all {
-		if !c.resumeAt.IsZero() && !w.now.Before(c.resumeAt) {
-			w.resume(c)
+	for _, c := range sim.allCallers {
+		if !c.reconnectAt.IsZero() && !sim.now.Before(c.reconnectAt) {
+			sim.reconnect(c)
 		}
 	}
 }
 
-// settle lets everything arrive for a while, without further faults.
-func (w *world) settle(span time.Duration) {
-	for end := w.now.Add(span); w.now.Before(end); w.tick(50 * time.Millisecond) {
-		for open := w.open(""); len(open) > 0; open = w.open("") {
+// runFor advances virtual time by span and delivers all events, without further
+// faults.
+func (sim *simulation) runFor(span time.Duration) {
+	for end := sim.now.Add(span); sim.now.Before(end); sim.tick(50 * time.Millisecond) {
+		for open := sim.pending(""); len(open) > 0; open = sim.pending("") {
 			for _, ch := range open {
-				if len(w.channels[ch]) > 0 {
-					w.pop(ch)
+				if len(sim.channels[ch]) > 0 {
+					sim.deliverNext(ch)
 				}
 			}
 		}
 	}
 }
 
-// settleAll lets everything arrive until each caller has its end.
-func (w *world) settleAll() {
+// runUntilEnded delivers all events until every caller has its outcome, but for at
+// most 5 min of virtual time.
+func (sim *simulation) runUntilEnded() {
 	const limit = 5 * time.Minute
 	waiting := func(c *caller) bool { return !c.ended }
-	for end := w.now.Add(limit); w.now.Before(end) && slices.ContainsFunc(w.all, waiting); {
-		w.settle(100 * time.Millisecond)
+	for end := sim.now.Add(limit); sim.now.Before(end) && slices.ContainsFunc(sim.allCallers, waiting); {
+		sim.runFor(100 * time.Millisecond)
 	}
 }
