--- a/internal/prooftest/bookings/bookings_test.go
+++ b/internal/prooftest/bookings/bookings_test.go
@@ -75,7 +75,7 @@
 	start := time.Now()
 	wantResponse(t, "the first caller", post(t, f.Instances[0].CallerAddress(), "late", "{}"), "not_run", "store_unavailable")
 	wantRuns(t, f, "late", 0)
-	testkit.Eventually(t, waitTimeout, "the late write has been attempted", func() bool { return time.Since(start) > 3*time.Second })
+	testkit.Eventually(t, waitTimeout, "the time of the late write has passed", func() bool { return time.Since(start) > 3*time.Second })
 	wantResponse(t, "the repeat", post(t, f.Instances[1].CallerAddress(), "late", "{}"), "done", "")
 	wantRuns(t, f, "late", 1)
 }
@@ -159,10 +159,10 @@
 		t.Run(name, func(t *testing.T) {
 			f := startFleet(t, 2, "")
 			f.Services[0].SetFaults(serviceFaults{Delay: c.delay})
-			victim := f.Instances[0]
+			killedEntry := f.Instances[0]
 			killed := make(chan struct{})
 			kill := func() {
-				victim.Kill()
+				killedEntry.Kill()
 				close(killed)
 			}
 			if c.runs == 0 {
@@ -176,7 +176,7 @@
 				})
 				f.Services[0].SetFaults(serviceFaults{Hang: 1})
 			}
-			go post(t, victim.CallerAddress(), "killed", "{}")
+			go post(t, killedEntry.CallerAddress(), "killed", "{}")
 			<-killed
 			repeat := post(t, f.Instances[1].CallerAddress(), "killed", "{}")
 			wantResponse(t, "the repeat", repeat, "unknown", "earlier_attempt_in_progress")
--- a/internal/prooftest/config/config_test.go
+++ b/internal/prooftest/config/config_test.go
@@ -268,7 +268,7 @@
 	}
 	waitInForce(t, f, 1)
 	if p, err := apply.Apply(context.Background(), client, req); err != nil || p.Number != 2 {
-		t.Fatalf("repeated apply = %+v, %v, want version 2", p, err)
+		t.Fatalf("repeated apply = %+v, error = %v; want version 2", p, err)
 	}
 	waitInForce(t, f, 2)
 }
--- a/internal/prooftest/config/cordon_test.go
+++ b/internal/prooftest/config/cordon_test.go
@@ -40,7 +40,7 @@
 					return
 				default:
 				}
-				req := client.Completion{Model: "dispatch-7b", Prompt: fmt.Sprintf("caller %d, request %d", n, k), MaxTokens: 50}
+				req := client.Completion{Model: "dispatch-7b", Prompt: fmt.Sprintf("%d asks %d", n, k), MaxTokens: 50}
 				_, _ = c.Stream(context.Background(), req, nil) // the test checks the engine's records, not the result
 			}
 		})
--- a/internal/prooftest/drain/drain_test.go
+++ b/internal/prooftest/drain/drain_test.go
@@ -60,7 +60,7 @@
 	l := &load{stop: make(chan struct{})}
 	for n := range streamers {
 		c := client.New(client.Options{Seeds: f.Seeds(), APIKey: demo.APIKey, Retries: 5})
-		l.repeat(func(k int) { l.stream(c, fmt.Sprintf("caller %d, request %d", n, k)) })
+		l.repeat(func(k int) { l.stream(c, fmt.Sprintf("caller %d asks %d", n, k)) })
 	}
 	for n := range bookers {
 		c := client.New(client.Options{Seeds: f.Seeds(), APIKey: demo.APIKey, Retries: 5})
--- a/internal/prooftest/members/fleet.go
+++ b/internal/prooftest/members/fleet.go
@@ -34,7 +34,7 @@
 	// Until muteUntil it returns no reports; until failingUntil its calls fail.
 	muteUntil    time.Time
 	failingUntil time.Time
-	newWork      int
+	newWork      int // number of generations and calls sent to it
 }
 
 // fleetInstance is one instance with the events that are held back while it is
@@ -45,7 +45,7 @@
 	boot        int
 	frozenUntil time.Time
 	heldEvents  []core.Event
-	requests    int
+	requests    int // number of callers' requests to it
 }
 
 // fleet is a simulation of instances and fake upstreams with a table that always
@@ -62,8 +62,8 @@
 	// listLagsUntil.
 	list          []membership.Member
 	listLagsUntil time.Time
-	dispatched    int
-	violation     string
+	dispatched    int    // number of generations and calls sent to upstreams
+	violation     string // new work sent to a leaving upstream too late, "" if none
 	// grants holds the replies that granted an attempt, in the order of sending.
 	grants []msg.GrantAnswer
 	// firstAsks holds each entry's first request for a grant, with the home that it
@@ -86,6 +86,8 @@
   - {name: d2, service: desk, data_centre: a}
 `
 
+// newFleet starts three instances and the upstreams of fleetConfig and runs them for
+// 3 s of virtual time.
 func newFleet() *fleet {
 	f := &fleet{now: time.Unix(1000, 0), table: memtable.New(), objects: map[string][]byte{}, firstAsks: map[string]core.Send{}}
 	cfg, err := config.Parse([]config.File{{Name: "f.yaml", Data: fmt.Appendf(nil, fleetConfig, config.HashKey("k"))}})
@@ -140,6 +142,7 @@
 	}
 }
 
+// after schedules do to run when virtual time has advanced by d.
 func (f *fleet) after(d time.Duration, do func()) {
 	sequence++
 	heap.Push(&f.queue, event{at: f.now.Add(d), seq: sequence, do: do})
@@ -152,6 +155,8 @@
 	})
 }
 
+// run advances virtual time by d. It runs no further events once a violation is
+// recorded.
 func (f *fleet) run(d time.Duration) {
 	until := f.now.Add(d)
 	for f.violation == "" && len(f.queue) > 0 && !f.queue[0].at.After(until) {
@@ -174,6 +179,8 @@
 	f.handle(n, core.Tick{})
 }
 
+// deliver passes an event to the instance, or holds it back while the instance is
+// frozen or has not yet handled earlier held events.
 func (f *fleet) deliver(n *fleetInstance, ev core.Event) {
 	if f.now.Before(n.frozenUntil) || len(n.heldEvents) > 0 {
 		n.heldEvents = append(n.heldEvents, ev)
@@ -312,6 +319,8 @@
 	fleetStepCount
 )
 
+// step runs one step of a generated sequence: code selects the kind, the instance or
+// upstream that it affects, and its duration.
 func (f *fleet) step(code int) {
 	n := f.instances[code/fleetStepCount%len(f.instances)]
 	up := f.upstreams[code/fleetStepCount%len(f.upstreams)]
--- a/internal/prooftest/members/follow_test.go
+++ b/internal/prooftest/members/follow_test.go
@@ -180,8 +180,8 @@
 }
 
 // A reader stops responding while the instance list still reports it as live.
-// Instances whose requests to it time out must omit it from the entries that they
-// return to callers within three seconds.
+// Within three seconds, instances whose requests to it time out must omit it from the
+// entries that they return to callers.
 func TestEntriesOmitUnresponsivePeers(t *testing.T) {
 	omitted := 0
 	for dead := range 3 {
--- a/internal/prooftest/members/simulation.go
+++ b/internal/prooftest/members/simulation.go
@@ -57,8 +57,8 @@
 	tableDownUntil   time.Time // the table responds to no instance
 	linksSlowUntil   time.Time // messages between instances are delayed
 	partitionedUntil time.Time // no messages between the two data centres
-	reads            int
-	violation        string
+	reads            int       // reads of the configuration row by all instances
+	violation        string    // the last broken guarantee found, "" if none
 }
 
 type event struct {
@@ -84,11 +84,14 @@
 
 var sequence int
 
+// after schedules do to run when virtual time has advanced by d.
 func (sim *simulation) after(d time.Duration, do func()) {
 	sequence++
 	heap.Push(&sim.queue, event{at: sim.now.Add(d), seq: sequence, do: do})
 }
 
+// newSimulation starts perDC instances in each of the data centres dcs, by default
+// "a" and "b".
 func newSimulation(perDC int, dcs ...string) *simulation {
 	sim := &simulation{now: time.Unix(1000, 0), objects: map[string][]byte{}, accepted: map[int64]time.Time{}, cordoned: map[int64][]string{}}
 	if len(dcs) == 0 {
@@ -127,6 +130,7 @@
 	return membership.Member{Name: f.name, Role: membership.RoleEntry, DataCentre: f.dc, State: membership.Live, Address: f.name, PeerAddress: f.name}
 }
 
+// start starts the instance, or restarts it with a new boot.
 func (sim *simulation) start(f *follower) {
 	f.boot++
 	f.lastNumber, f.heldEvents = 0, nil
@@ -208,6 +212,7 @@
 	sim.handle(f, ev)
 }
 
+// handle passes an event to the instance and performs the resulting actions.
 func (sim *simulation) handle(f *follower, ev core.Event) {
 	boot := f.boot
 	for _, a := range f.inst.Handle(sim.now, ev) {
@@ -264,6 +269,8 @@
 	}
 }
 
+// run advances virtual time by d. It runs no further events once a violation is
+// recorded.
 func (sim *simulation) run(d time.Duration) {
 	until := sim.now.Add(d)
 	for sim.violation == "" && len(sim.queue) > 0 && !sim.queue[0].at.After(until) {
@@ -289,6 +296,7 @@
 	stepCount
 )
 
+// step runs one step of a generated sequence, as encoded by code.
 func (sim *simulation) step(code int) {
 	f := sim.followers[code/stepCount%len(sim.followers)]
 	until := sim.now.Add(time.Duration(1+code/100%6) * time.Second)
--- a/internal/prooftest/orders/orders_test.go
+++ b/internal/prooftest/orders/orders_test.go
@@ -61,7 +61,7 @@
 	}
 	events := callOrder(t, e, core.SendOrder{Fence: 4, Version: "v4", Before: time.Now().Add(time.Second)})
 	if len(events) != 1 || events[0] != (core.OrderAnswer{Upstream: "engine-1", Fence: 4, Refused: true}) {
-		t.Errorf("events = %+v, want one refusal of fence 4", events)
+		t.Errorf("events = %+v, want one refusal of fencing number 4", events)
 	}
 	if got := e.Orders(); len(got) != 1 {
 		t.Errorf("accepted orders = %+v, want only order 5", got)
--- a/internal/prooftest/streams/callers.go
+++ b/internal/prooftest/streams/callers.go
@@ -70,6 +70,7 @@
 	sim.violations = append(sim.violations, fmt.Sprintf(format, args...))
 }
 
+// deliver gives a token to its caller.
 func (sim *simulation) deliver(a core.Deliver) {
 	c := sim.callers[a.Request]
 	switch {
@@ -83,6 +84,8 @@
 	}
 }
 
+// finish gives an outcome to its caller, which retries some refusals instead of
+// ending.
 func (sim *simulation) finish(f core.Finish) {
 	c := sim.callers[f.Request]
 	switch {
@@ -124,6 +127,7 @@
 	return violations
 }
 
+// check returns the violation in the caller's response, or "" if there is none.
 func (c *caller) check() string {
 	if !c.ended {
 		return "no end"
--- a/internal/prooftest/streams/engine.go
+++ b/internal/prooftest/streams/engine.go
@@ -19,11 +19,12 @@
 	links     []*link
 	// rerunLost makes the engine run lost generations again under their old ids.
 	rerunLost    bool
-	failuresLeft int // number of new generations to fail
-	frozen       bool
-	runs         int
+	failuresLeft int  // number of new generations to fail
+	frozen       bool // the engine returns no reports
+	runs         int  // generations started, including the failed ones
 }
 
+// generation is one generation of a fake engine with tokenCount tokens in all.
 type generation struct {
 	boot, body string
 	tokenCount int
@@ -107,6 +108,8 @@
 	})
 }
 
+// generation returns the generation of an attempt and starts it unless the dispatch
+// is a resume. It returns nil for a resume of an unknown generation.
 func (e *fakeEngine) generation(d core.Dispatch) *generation {
 	if g := e.gens[d.Attempt]; g != nil {
 		return g
--- a/internal/prooftest/streams/follow_test.go
+++ b/internal/prooftest/streams/follow_test.go
@@ -92,7 +92,7 @@
 		step()
 		sim.runFor(15 * time.Second)
 		if g.cancelled || c.ended {
-			t.Fatalf("step %d: cancelled %t, caller ended %t %s; want false and false", n, g.cancelled, c.ended, c.reason)
+			t.Fatalf("step %d: cancelled = %t, caller ended = %t with reason %q; want both false", n, g.cancelled, c.ended, c.reason)
 		}
 		if got := sim.trackedRequests(); got != 1 {
 			t.Errorf("step %d: %d instances track the request, want 1", n, got)
@@ -125,7 +125,7 @@
 				sim.submit(sim.home(), "press-key", "other", false) // so that the home stays active
 			}
 			if sim.generation(t, "endless").cancelled || c.ended {
-				t.Errorf("cancelled a stream that its entry tracks, want it kept; caller ended %t %s", c.ended, c.reason)
+				t.Errorf("cancelled a stream that its entry tracks, want it kept; caller ended = %t, reason %q", c.ended, c.reason)
 			}
 		})
 	}
@@ -164,7 +164,7 @@
 			c := sim.submit("entry-2", "depot-key", "second", false)
 			sim.runUntilEnded()
 			if c.outcome != core.Done {
-				t.Errorf("second request: outcome %s %s, want done", c.outcome, c.reason)
+				t.Errorf("second request: outcome %s, reason %q; want done", c.outcome, c.reason)
 			}
 		})
 	}
@@ -185,7 +185,7 @@
 	e.downUntil = sim.now.Add(time.Hour)
 	sim.runUntilEnded()
 	if c.outcome != core.Unknown || c.reason == core.ReasonUpstreamCut {
-		t.Errorf("outcome %s %s, want unknown because of a refused placement", c.outcome, c.reason)
+		t.Errorf("outcome %s, reason %q; want unknown because of a refused placement", c.outcome, c.reason)
 	}
 }
 
@@ -209,7 +209,7 @@
 	}
 	sim.runFor(4 * time.Second)
 	if c.ended {
-		t.Fatalf("caller ended before the second attempt: %s %s", c.outcome, c.reason)
+		t.Fatalf("caller ended before the second attempt: outcome %s, reason %q", c.outcome, c.reason)
 	}
 	sim.channels[link] = late[:10]
 	sim.runFor(100 * time.Millisecond)
@@ -218,7 +218,7 @@
 	sim.runFor(time.Second)
 	violations := sim.check()
 	if c.outcome != core.Done || len(violations) != 0 || !strings.Contains(c.text, "/2|") {
-		t.Errorf("outcome %s %s, violations %v, text %.60q; want done with tokens of attempt 2", c.outcome, c.reason, violations, c.text)
+		t.Errorf("outcome %s, reason %q, violations %v, text %.60q; want done with tokens of attempt 2", c.outcome, c.reason, violations, c.text)
 	}
 	if got := sim.counts["late_answers_total token"] + sim.counts["late_answers_total old_link_token"]; got != len(late)-1 {
 		t.Errorf("counted %d late tokens, want %d", got, len(late)-1)
@@ -237,7 +237,7 @@
 	}
 	sim.runFor(time.Second)
 	if c.outcome != core.Partial {
-		t.Errorf("caller ended %t: outcome %s %s, want partial", c.ended, c.outcome, c.reason)
+		t.Errorf("caller ended = %t, outcome %s, reason %q; want partial", c.ended, c.outcome, c.reason)
 	}
 }
 
@@ -253,6 +253,6 @@
 	sim.channels[link] = sim.channels[link][1:]
 	sim.runUntilEnded()
 	if violations := sim.check(); c.outcome != core.Done || len(violations) != 0 || sim.counts["retries_total resume_gap"] != 1 {
-		t.Errorf("outcome %s %s, violations %v, %d resumes; want done, none and 1", c.outcome, c.reason, violations, sim.counts["retries_total resume_gap"])
+		t.Errorf("outcome %s, reason %q, violations %v, resumes %d; want done, none and 1", c.outcome, c.reason, violations, sim.counts["retries_total resume_gap"])
 	}
 }
--- a/internal/prooftest/streams/poison_test.go
+++ b/internal/prooftest/streams/poison_test.go
@@ -107,11 +107,11 @@
 		// while polls are delayed a home has no upstream to place work on.
 		brokenOff := c.outcome == core.Partial && len(c.tokens) > 0 || c.reason == "connection_lost"
 		if !c.poison && c.outcome != core.Done && !brokenOff && c.reason != placement.ReasonNoUpstream {
-			violations = append(violations, fmt.Sprintf("caller %d, not sending the crashing request: %s %s, want done", n, c.outcome, c.reason))
+			violations = append(violations, fmt.Sprintf("caller %d, not sending the crashing request: outcome %s, reason %q; want done", n, c.outcome, c.reason))
 		}
 	}
 	if last := sim.allCallers[len(sim.allCallers)-1]; last.reason != core.ReasonPoison || last.retryAfter <= 0 {
-		violations = append(violations, fmt.Sprintf("last crashing request: %s %s, want reason poison and a time to retry", last.outcome, last.reason))
+		violations = append(violations, fmt.Sprintf("last crashing request: outcome %s, reason %q; want reason poison and a time to retry", last.outcome, last.reason))
 	}
 	return violations
 }
@@ -191,7 +191,7 @@
 	sim.channels[held] = events
 	sim.runFor(8 * time.Second)
 	if sim.crashes != 2 || bystander.ended || sim.counts["strikes_total"] != 3 {
-		t.Errorf("%d crashes, %d strikes; other caller ended %t: %s %s; want 2, 3 and not ended", sim.crashes, sim.counts["strikes_total"], bystander.ended, bystander.outcome, bystander.reason)
+		t.Errorf("crashes = %d, strikes = %d, other caller ended = %t with outcome %s, reason %q; want 2, 3 and not ended", sim.crashes, sim.counts["strikes_total"], bystander.ended, bystander.outcome, bystander.reason)
 	}
 }
 
@@ -222,7 +222,7 @@
 	sim.runUntilEnded()
 	for n, c := range all {
 		if c.outcome != core.Done {
-			t.Errorf("caller %d: outcome %s %s, want done", n, c.outcome, c.reason)
+			t.Errorf("caller %d: outcome %s, reason %q; want done", n, c.outcome, c.reason)
 		}
 	}
 	if sim.counts["strikes_total"] != 0 {
--- a/internal/prooftest/streams/promise1_sockets_test.go
+++ b/internal/prooftest/streams/promise1_sockets_test.go
@@ -60,13 +60,13 @@
 		faults engine.StreamFaults
 		inject func(f *fleet)
 	}{
-		"stalls":                {faults: engine.StreamFaults{StallAfter: 20}},
-		"cut after every 15":    {faults: engine.StreamFaults{CutAfter: 15}},
-		"tokens twice":          {faults: engine.StreamFaults{Duplicate: 3}},
-		"tokens left out":       {faults: engine.StreamFaults{Gap: 7}},
-		"silent for good":       {inject: func(f *fleet) { f.engines[0].relay.Silence() }},
-		"cut":                   {inject: func(f *fleet) { f.engines[0].relay.Cut() }},
-		"longer than permitted": {faults: engine.StreamFaults{IgnoreMax: true}},
+		"stalls":                 {faults: engine.StreamFaults{StallAfter: 20}},
+		"broken every 15 tokens": {faults: engine.StreamFaults{CutAfter: 15}},
+		"tokens twice":           {faults: engine.StreamFaults{Duplicate: 3}},
+		"tokens missing":         {faults: engine.StreamFaults{Gap: 7}},
+		"silent permanently":     {inject: func(f *fleet) { f.engines[0].relay.Silence() }},
+		"broken once":            {inject: func(f *fleet) { f.engines[0].relay.Cut() }},
+		"longer than permitted":  {faults: engine.StreamFaults{IgnoreMax: true}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -111,12 +111,12 @@
 func TestPromise1CallerLink(t *testing.T) {
 	t.Parallel()
 	cases := map[string]func(f *fleet){
-		"cut": func(f *fleet) {
+		"connection broken": func(f *fleet) {
 			for _, r := range f.relays {
 				r.Cut()
 			}
 		},
-		"silent for good": func(f *fleet) {
+		"connection silent permanently": func(f *fleet) {
 			for _, r := range f.relays {
 				r.Silence()
 			}
--- a/internal/prooftest/streams/simulation.go
+++ b/internal/prooftest/streams/simulation.go
@@ -41,23 +41,23 @@
 type simulation struct {
 	now          time.Time
 	instances    map[string]*core.Instance
-	names        []string
+	names        []string // names of the live instances
 	engines      map[string]*fakeEngine
 	channels     map[string][]func()
 	table        *memtable.Table
 	objects      map[string][]byte
 	callers      map[string]*caller // by request id
 	allCallers   []*caller
-	counts       map[string]int
-	requestCount int
-	crashes      int
+	counts       map[string]int // counters by group, and by group and name
+	requestCount int            // request ids used so far
+	crashes      int            // engine crashes
 	// dropMessage, unless nil, reports whether a message between instances is lost.
 	dropMessage func(msg.Message) bool
-	violations  []string
+	violations  []string // broken guarantees found while callers got events
 }
 
-// link is one connection from an instance to an engine. endless is set if its
-// generation sends keep-alives until it is cancelled.
+// link is one connection from an instance to an engine, opened by d. endless is set
+// if its generation sends keep-alives until it is cancelled.
 type link struct {
 	channel  string
 	instance string
@@ -65,12 +65,13 @@
 	endless  bool
 }
 
-// caller is one caller with its present connection to an entry.
+// caller is one caller with its present connection to an entry; request is "" while
+// it has none.
 type caller struct {
 	key, body, entry, request string
 	stream, poison            bool
 	tokens                    []string
-	lastID                    string
+	lastID                    string // id of the last event received
 	text                      string
 	outcome                   core.Outcome
 	reason                    string
@@ -115,6 +116,7 @@
 	sim.allCallers = sim.allCallers[:before]
 }
 
+// publish writes a configuration to the table and the object store as version 1.
 func (sim *simulation) publish(text string) {
 	cfg, err := config.Parse([]config.File{{Name: "world.yaml", Data: []byte(text)}})
 	if err != nil {
@@ -177,10 +179,12 @@
 	}
 }
 
+// enqueue adds an event to a channel.
 func (sim *simulation) enqueue(channel string, f func()) {
 	sim.channels[channel] = append(sim.channels[channel], f)
 }
 
+// perform carries out an action of an instance; its results are queued.
 func (sim *simulation) perform(name string, a core.Action) {
 	switch a := a.(type) {
 	case core.Send:
