--- a/internal/proctest/deployment_test.go
+++ b/internal/proctest/deployment_test.go
@@ -9,6 +9,7 @@
 	"os"
 	"os/exec"
 	"path/filepath"
+	"strings"
 	"testing"
 	"time"
 
@@ -38,12 +39,21 @@
 	service   *process
 	instances []*process
 	base      string
+	builds    builds
+	// logLevel is the log level of the instances, "" for the default.
+	logLevel string
 }
 
 // deploy starts everything and waits until each instance serves.
 func deploy(t *testing.T) *deployment {
 	t.Helper()
-	d := &deployment{dir: t.TempDir()}
+	return (&deployment{}).start(t)
+}
+
+// start starts the processes of a deployment and waits until each instance serves.
+func (d *deployment) start(t *testing.T) *deployment {
+	t.Helper()
+	d.dir = t.TempDir()
 	d.platform = start(t, "platform", "standin", "platform")
 	d.base = "http://" + d.platform.value(t, "address")
 	for n := range engines {
@@ -68,7 +78,16 @@
 
 func (d *deployment) apply(t *testing.T) {
 	t.Helper()
-	text := demo.Configuration(demo.FleetOptions{Engines: engines, Services: 1})
+	d.applyText(t, d.configuration())
+}
+
+func (d *deployment) configuration() string {
+	return demo.Configuration(demo.FleetOptions{Engines: engines, Services: 1})
+}
+
+// applyText applies a configuration and returns its number.
+func (d *deployment) applyText(t *testing.T, text string) (number int64) {
+	t.Helper()
 	if err := os.WriteFile(filepath.Join(d.dir, "deployment.yaml"), []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -76,17 +95,27 @@
 	if err != nil {
 		t.Fatalf("apply: %v\n%s", err, out)
 	}
+	for line := range strings.Lines(string(out)) {
+		if _, err := fmt.Sscanf(line, "version %d was applied", &number); err == nil {
+			return number
+		}
+	}
+	t.Fatalf("apply printed %q, want the number of the version", out)
+	return 0
 }
 
 func (d *deployment) instance(t *testing.T, name string) *process {
 	t.Helper()
 	settings := fmt.Sprintf("name: %s\ndata_centre: %s\nplatform: %s\ncaller_address: 127.0.0.1:0\npeer_address: 127.0.0.1:0\noperator_address: 127.0.0.1:0\n",
 		name, dataCentre, d.base)
+	if d.logLevel != "" {
+		settings += "log_level: " + d.logLevel + "\n"
+	}
 	file := filepath.Join(d.dir, name+".settings")
 	if err := os.WriteFile(file, []byte(settings), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	p := start(t, name, "serve", "-settings", file)
+	p := startWith(t, d.builds.next(), name, nil, "serve", "-settings", file)
 	p.value(t, "caller_address")
 	return p
 }
--- a/internal/proctest/hosted_world_test.go
+++ b/internal/proctest/hosted_world_test.go
@@ -32,18 +32,25 @@
 	procs    []*process
 	pool     []*hosting.Worker
 	desk     []*hosting.Worker
+	builds   builds
 }
 
 // settle starts a platform, its workers and instances, and waits until each
 // instance is ready.
 func settle(t *testing.T) *world {
+	t.Helper()
+	return settleBuild(t, "")
+}
+
+// settleBuild is settle with instances of one build; "" alternates between the builds.
+func settleBuild(t *testing.T, build string) *world {
 	t.Helper()
 	base, err := hosting.NewWorld(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(base.Close)
-	w := &world{World: base}
+	w := &world{World: base, builds: builds{fixed: build}}
 	base.Configure(nil)
 	for k := range poolSize {
 		w.pool = append(w.pool, w.worker(t, fmt.Sprintf("engine-%d", k), hosting.Pool, func(k *hosting.Worker) {
@@ -123,7 +130,7 @@
 
 func (w *world) run(t *testing.T, m hosting.Machine) *process {
 	t.Helper()
-	return startWith(t, m.Name, []string{"MULBERRYLUG_SETTINGS=" + m.Settings}, "serve")
+	return startWith(t, w.builds.next(), m.Name, []string{"MULBERRYLUG_SETTINGS=" + m.Settings}, "serve")
 }
 
 // ready reports whether a machine says that it is.
--- a/internal/proctest/process_test.go
+++ b/internal/proctest/process_test.go
@@ -67,13 +67,13 @@
 // start starts the binary; the process is gone when the test ends.
 func start(t *testing.T, name string, args ...string) *process {
 	t.Helper()
-	return startWith(t, name, nil, args...)
+	return startWith(t, binary, name, nil, args...)
 }
 
-// startWith starts the binary with more variables in its environment.
-func startWith(t *testing.T, name string, environment []string, args ...string) *process {
+// startWith starts a build of the command with more variables in its environment.
+func startWith(t *testing.T, build, name string, environment []string, args ...string) *process {
 	t.Helper()
-	p := &process{name: name, cmd: exec.Command(binary, args...), ended: make(chan struct{})}
+	p := &process{name: name, cmd: exec.Command(build, args...), ended: make(chan struct{})}
 	p.cmd.Env = append(os.Environ(), environment...)
 	p.line = sync.NewCond(&p.mu)
 	r, w := io.Pipe()
@@ -178,6 +178,12 @@
 	if err := p.signal(syscall.SIGTERM); err != nil {
 		t.Error(err)
 	}
+	p.awaitExit(t)
+}
+
+// awaitExit waits for the clean exit of a process that has received SIGTERM.
+func (p *process) awaitExit(t *testing.T) {
+	t.Helper()
 	select {
 	case <-p.ended:
 	case <-time.After(startWithin):
--- a/internal/proctest/soak_test.go
+++ b/internal/proctest/soak_test.go
@@ -20,6 +20,8 @@
 // fixed seed belongs to every test run; more, by hand:
 //
 //	go test ./internal/proctest -run Soak -soak.seed=7 -soak.seeds=50 -soak.for=10s -timeout 60m
+//
+// This and all other tests can run with instances of two builds: see -proctest.other.
 var (
 	soakSeed  = flag.Uint64("soak.seed", 1, "first seed of the soak")
 	soakSeeds = flag.Int("soak.seeds", 1, "number of seeds, one after the other")
@@ -340,7 +342,7 @@
 			s.t.Errorf("%s was told %d, but it ran", id, a.got.status)
 		}
 		if a.got.status == http.StatusOK && !a.got.cut {
-			s.checkWhole(id, a, list)
+			checkSuccess(s.t, a, list)
 		}
 		s.mu.Lock()
 		gone, taken := s.revoked[a.key]
@@ -364,18 +366,19 @@
 	}
 }
 
-// checkWhole checks that a success is one worker's whole answer.
-func (s *soak) checkWhole(id string, a asked, list []hosting.Arrival) {
+// checkSuccess checks that a success is one worker's whole answer.
+func checkSuccess(t *testing.T, a asked, list []hosting.Arrival) {
+	t.Helper()
 	if strings.HasPrefix(a.path, hosting.PathDraft) || strings.HasPrefix(a.path, hosting.PathBrief) {
-		if a.got.body != events(id) {
-			s.t.Errorf("%s: the stream looks whole but is not: %d events", id, strings.Count(a.got.body, "\n\n"))
+		if a.got.body != events(a.id) {
+			t.Errorf("%s: the stream looks whole but is not: %d events", a.id, strings.Count(a.got.body, "\n\n"))
 		}
 		return
 	}
 	for _, arrival := range list {
-		if a.got.body == hosting.Body(id, arrival.Worker) && a.got.header.Get("Response-Seal") == "seal-"+id {
+		if a.got.body == hosting.Body(a.id, arrival.Worker) && a.got.header.Get("Response-Seal") == "seal-"+a.id {
 			return
 		}
 	}
-	s.t.Errorf("%s got %q with seal %q", id, a.got.body, a.got.header.Get("Response-Seal"))
+	t.Errorf("%s got %q with seal %q", a.id, a.got.body, a.got.header.Get("Response-Seal"))
 }
