--- a/internal/proctest/deployment_test.go
+++ b/internal/proctest/deployment_test.go
@@ -23,12 +23,12 @@
 )
 
 const (
-	instances  = 3
-	engines    = 3
+	instanceCount  = 3
+	engineCount    = 3
 	dataCentre = "kochi-a"
-	// median is the median answer in tokens: at 10 ms a token, streams run
+	// medianTokens is the medianTokens answer in tokens: at 10 ms a token, streams run
 	// for seconds, longer than an entry answer is kept.
-	median = "250"
+	medianTokens = "250"
 )
 
 // deployment is a whole one in processes of its own.
@@ -38,7 +38,7 @@
 	engines   []*process
 	service   *process
 	instances []*process
-	base      string
+	platformURL      string
 	builds    builds
 	// logLevel is the log level of the instances, "" for the default.
 	logLevel string
@@ -55,23 +55,23 @@
 	t.Helper()
 	d.dir = t.TempDir()
 	d.platform = start(t, "platform", "standin", "platform")
-	d.base = "http://" + d.platform.value(t, "address")
-	for n := range engines {
-		d.engines = append(d.engines, d.upstream(t, fmt.Sprintf("engine-%d", n+1), "assistant", "engine"))
+	d.platformURL = "http://" + d.platform.value(t, "address")
+	for n := range engineCount {
+		d.engines = append(d.engines, d.startUpstream(t, fmt.Sprintf("engine-%d", n+1), "assistant", "engine"))
 	}
-	d.service = d.upstream(t, "desk-1", "order-desk", "service")
+	d.service = d.startUpstream(t, "desk-1", "order-desk", "service")
 	d.apply(t)
-	for n := range instances {
-		d.instances = append(d.instances, d.instance(t, fmt.Sprintf("entry-%d", n+1)))
+	for n := range instanceCount {
+		d.instances = append(d.instances, d.startInstance(t, fmt.Sprintf("entry-%d", n+1)))
 	}
 	d.waitReady(t)
 	return d
 }
 
-func (d *deployment) upstream(t *testing.T, name, role, kind string) *process {
+func (d *deployment) startUpstream(t *testing.T, name, role, kind string) *process {
 	t.Helper()
-	p := start(t, name, "standin", "-platform", d.base, "-name", name, "-role", role, "-data-centre", dataCentre,
-		"-median", median, "-sigma", "0.3", kind)
+	p := start(t, name, "standin", "-platform", d.platformURL, "-name", name, "-role", role, "-data-centre", dataCentre,
+		"-median", medianTokens, "-sigma", "0.3", kind)
 	p.value(t, "address")
 	return p
 }
@@ -82,7 +82,7 @@
 }
 
 func (d *deployment) configuration() string {
-	return demo.Configuration(demo.FleetOptions{Engines: engines, Services: 1})
+	return demo.Configuration(demo.FleetOptions{Engines: engineCount, Services: 1})
 }
 
 // applyText applies a configuration and returns its number.
@@ -91,7 +91,7 @@
 	if err := os.WriteFile(filepath.Join(d.dir, "deployment.yaml"), []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	out, err := exec.Command(binary, "apply", "-f", d.dir, "-platform", d.base, "-operator", "test").CombinedOutput()
+	out, err := exec.Command(binary, "apply", "-f", d.dir, "-platform", d.platformURL, "-operator", "test").CombinedOutput()
 	if err != nil {
 		t.Fatalf("apply: %v\n%s", err, out)
 	}
@@ -104,10 +104,10 @@
 	return 0
 }
 
-func (d *deployment) instance(t *testing.T, name string) *process {
+func (d *deployment) startInstance(t *testing.T, name string) *process {
 	t.Helper()
 	settings := fmt.Sprintf("name: %s\ndata_centre: %s\nplatform: %s\ncaller_address: 127.0.0.1:0\npeer_address: 127.0.0.1:0\noperator_address: 127.0.0.1:0\n",
-		name, dataCentre, d.base)
+		name, dataCentre, d.platformURL)
 	if d.logLevel != "" {
 		settings += "log_level: " + d.logLevel + "\n"
 	}
@@ -124,9 +124,9 @@
 func (d *deployment) waitReady(t *testing.T) {
 	t.Helper()
 	for _, p := range d.instances {
-		testkit.Eventually(t, startWithin, p.name+" is ready", func() bool {
+		testkit.Eventually(t, waitTimeout, p.name+" is ready", func() bool {
 			var st daemon.Status
-			err := get("http://"+p.value(t, "operator_address")+"/v1/status", &st)
+			err := getJSON("http://"+p.value(t, "operator_address")+"/v1/status", &st)
 			return err == nil && st.ConfigNumber > 0 && st.Instances == len(d.instances)
 		})
 	}
@@ -141,14 +141,14 @@
 	return client.New(client.Options{Seeds: seeds, APIKey: demo.APIKey, Retries: 5})
 }
 
-// faults sets the switches of the platform.
-func (d *deployment) faults(t *testing.T, f platform.Faults) {
+// setFaults sets the switches of the platform.
+func (d *deployment) setFaults(t *testing.T, f platform.Faults) {
 	t.Helper()
 	raw, err := json.Marshal(f)
 	if err != nil {
 		t.Fatal(err)
 	}
-	resp, err := http.Post(d.base+"/faults", "application/json", bytes.NewReader(raw))
+	resp, err := http.Post(d.platformURL+"/faults", "application/json", bytes.NewReader(raw))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -161,7 +161,7 @@
 	out := map[string]engine.Record{}
 	for _, p := range d.engines {
 		var list []engine.Record
-		if err := get("http://"+p.value(t, "address")+"/records", &list); err != nil {
+		if err := getJSON("http://"+p.value(t, "address")+"/records", &list); err != nil {
 			t.Fatal(err)
 		}
 		for _, r := range list {
@@ -171,11 +171,11 @@
 	return out
 }
 
-// calls returns how often the service ran each key.
-func (d *deployment) calls(t *testing.T) map[string]int {
+// callCounts returns how often the service ran each key.
+func (d *deployment) callCounts(t *testing.T) map[string]int {
 	t.Helper()
 	var list []service.Call
-	if err := get("http://"+d.service.value(t, "address")+"/calls", &list); err != nil {
+	if err := getJSON("http://"+d.service.value(t, "address")+"/calls", &list); err != nil {
 		t.Fatal(err)
 	}
 	out := map[string]int{}
@@ -185,7 +185,7 @@
 	return out
 }
 
-func get(url string, v any) error {
+func getJSON(url string, v any) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
--- a/internal/proctest/hosted_move_test.go
+++ b/internal/proctest/hosted_move_test.go
@@ -14,36 +14,36 @@
 	"mulberrylug.example/mulberrylug/internal/testkit"
 )
 
-// slowDrafts is the time between the events of drafts in the tests of moves: a
+// slowEventInterval is the time between the events of drafts in the tests of moves: a
 // draft then takes two and a half seconds, and is in mid-stream while the test
 // breaks something.
-const slowDrafts = 60 * time.Millisecond
+const slowEventInterval = 60 * time.Millisecond
 
-// moving is a world whose drafts are in mid-stream when one engine leaves.
-type moving struct {
-	*world
+// moveFixture is a world whose drafts are in mid-stream when one engine leaves.
+type moveFixture struct {
+	*fixture
 	results []result
 	wg      sync.WaitGroup
 }
 
-// drafts starts drafts at all instances and waits until they run.
-func drafts(t *testing.T, n int) *moving {
+// startGenerations starts startGenerations at all instances and waits until they run.
+func startGenerations(t *testing.T, n int) *moveFixture {
 	t.Helper()
-	m := &moving{world: settle(t), results: make([]result, n)}
+	m := &moveFixture{fixture: newFixture(t), results: make([]result, n)}
 	for _, k := range m.pool {
-		k.EventEvery = slowDrafts
+		k.EventEvery = slowEventInterval
 	}
 	for k := range n {
-		m.wg.Go(func() { m.results[k] = m.do(m.machines[k%len(m.machines)], draft(m.id(k))) })
+		m.wg.Go(func() { m.results[k] = m.do(m.machines[k%len(m.machines)], generation(m.id(k))) })
 	}
 	time.Sleep(500 * time.Millisecond)
 	return m
 }
 
-func (m *moving) id(k int) string { return fmt.Sprintf("m%d", k) }
+func (m *moveFixture) id(k int) string { return fmt.Sprintf("m%d", k) }
 
-// home returns the index of the instance that is the pool's home.
-func (m *moving) home(t *testing.T) int {
+// homeIndex returns the index of the instance that is the pool's homeIndex.
+func (m *moveFixture) homeIndex(t *testing.T) int {
 	t.Helper()
 	for k, p := range m.procs {
 		if strings.Contains(p.output(), "event=home_began") {
@@ -56,48 +56,48 @@
 
 // check waits for all drafts: each ran once, and its caller got every event once
 // and in order, up to the end or to an honest break. It returns how many are whole.
-func (m *moving) check(t *testing.T) (whole int) {
+func (m *moveFixture) check(t *testing.T) (whole int) {
 	t.Helper()
 	m.wg.Wait()
-	time.Sleep(draftSteps * slowDrafts) // what nobody stopped makes its last events
+	time.Sleep(streamEvents * slowEventInterval) // what nobody stopped makes its last events
 	arrivals := m.Arrivals()
 	for k, r := range m.results {
 		id := m.id(k)
-		if n := runs(arrivals[id]); n != 1 {
+		if n := countRuns(arrivals[id]); n != 1 {
 			t.Errorf("%s was begun %d times, want once", id, n)
 		}
-		if !strings.HasPrefix(events(id), r.body) {
+		if !strings.HasPrefix(streamBody(id), r.body) {
 			t.Errorf("%s: events are missing, double or out of order: %q", id, r.body)
 		}
 		made := 0
 		for _, a := range arrivals[id] {
 			made += a.Events
 		}
-		if made > draftSteps+lostMost {
-			t.Errorf("%s: %d events were made of %d: it ran on at two engines", id, made, draftSteps)
+		if made > streamEvents+maxRepeatedEvents {
+			t.Errorf("%s: %d events were made of %d: it ran on at two engines", id, made, streamEvents)
 		}
 		switch {
-		case r.status == http.StatusOK && !r.cut && r.body == events(id):
+		case r.status == http.StatusOK && !r.truncated && r.body == streamBody(id):
 			whole++
-		case r.status == http.StatusOK && !r.cut:
+		case r.status == http.StatusOK && !r.truncated:
 			t.Errorf("%s looks whole and is not", id)
 		}
 	}
 	return whole
 }
 
-// lostMost is how many events of a draft may be made twice at most: those that the
+// maxRepeatedEvents is how many events of a draft may be made twice at most: those that the
 // source had made and that had not reached the entry when its connection ended.
-const lostMost = 2
+const maxRepeatedEvents = 2
 
 // An engine announces that it leaves, and the home freezes for longer than the
 // notice just as it gives its orders. Another instance takes the role over, learns
 // from the entries what runs there, and moves it; when the first wakes, two give
 // orders. No draft runs twice, and most are whole.
-func TestHostedHomeFreezesInMidMove(t *testing.T) {
+func TestHostedHomePausedDuringMove(t *testing.T) {
 	t.Parallel()
-	m := drafts(t, 12)
-	home := m.home(t)
+	m := startGenerations(t, 12)
+	home := m.homeIndex(t)
 	m.pool[0].Leave()
 	time.Sleep(20 * time.Millisecond)
 	if err := m.procs[home].signal(syscall.SIGSTOP); err != nil {
@@ -116,7 +116,7 @@
 // Two engines get notice at the very moment at which the store fails, and crash a second
 // and a half later. The list says nothing in time, or late: the home asks the engines.
 // Every draft is whole, whatever the store does.
-func TestHostedNoticesWhileTheStoreFails(t *testing.T) {
+func TestHostedUpstreamsLeaveDuringStoreOutage(t *testing.T) {
 	t.Parallel()
 	for name, fail := range map[string]func(*hosting.Table){
 		"silent":            func(t *hosting.Table) { t.Set(hosting.Silent) },
@@ -127,7 +127,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			m := drafts(t, 12)
+			m := startGenerations(t, 12)
 			fail(m.Table)
 			for _, k := range m.pool[:2] {
 				k.Leave()
@@ -142,9 +142,9 @@
 
 // Engines announce that they leave, and stay: a scale-in that was called off. What runs
 // there is moved or ends there, and no draft is cut.
-func TestHostedEnginesThatStay(t *testing.T) {
+func TestHostedEnginesAnnounceLeavingButStay(t *testing.T) {
 	t.Parallel()
-	m := drafts(t, 12)
+	m := startGenerations(t, 12)
 	for _, k := range m.pool[:2] {
 		k.Leave()
 	}
@@ -155,10 +155,10 @@
 
 // The home drains, and half a second later two engines get notice. Its successor has been
 // told what runs there and moves all of it; what was entered at the home ends there.
-func TestHostedHomeDrainsBeforeANotice(t *testing.T) {
+func TestHostedHomeDrainsBeforeUpstreamsLeave(t *testing.T) {
 	t.Parallel()
-	m := drafts(t, 12)
-	if err := m.procs[m.home(t)].signal(syscall.SIGTERM); err != nil {
+	m := startGenerations(t, 12)
+	if err := m.procs[m.homeIndex(t)].signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(500 * time.Millisecond)
@@ -173,10 +173,10 @@
 
 // The home dies with orders in hand. The others go on with what it has begun, and
 // its successor moves the rest. Only the drafts that were entered there are lost.
-func TestHostedHomeDiesInMidMove(t *testing.T) {
+func TestHostedHomeKilledDuringMove(t *testing.T) {
 	t.Parallel()
-	m := drafts(t, 12)
-	home := m.home(t)
+	m := startGenerations(t, 12)
+	home := m.homeIndex(t)
 	m.pool[0].Leave()
 	time.Sleep(40 * time.Millisecond)
 	m.procs[home].kill()
@@ -189,10 +189,10 @@
 // An entry freezes while it makes a move: the run has been copied, perhaps stopped,
 // and its caller sees nothing for a while. When the entry wakes the engine is gone.
 // What was copied goes on; what was not ends honestly; nothing runs twice.
-func TestHostedEntryFreezesInMidMove(t *testing.T) {
+func TestHostedEntryPausedDuringMove(t *testing.T) {
 	t.Parallel()
-	m := drafts(t, 12)
-	entry := (m.home(t) + 1) % len(m.procs)
+	m := startGenerations(t, 12)
+	entry := (m.homeIndex(t) + 1) % len(m.procs)
 	m.pool[0].Leave()
 	time.Sleep(50 * time.Millisecond)
 	time.AfterFunc(900*time.Millisecond, m.pool[0].Crash)
@@ -205,9 +205,9 @@
 // Every engine but two leaves; one of the two takes the copies and crashes before
 // they are picked up. The source has stopped and kept what it had, so the drafts go
 // on there, or are moved once more.
-func TestHostedDestinationCrashesInMidMove(t *testing.T) {
+func TestHostedDestinationCrashesDuringMove(t *testing.T) {
 	t.Parallel()
-	m := drafts(t, 8)
+	m := startGenerations(t, 8)
 	m.pool[1].SetFault(hosting.NoCopies)
 	m.pool[0].Leave()
 	time.Sleep(40 * time.Millisecond)
@@ -219,9 +219,9 @@
 // Copies lapse at their destinations before they are used. The upstream answers
 // that it has not run the request, and the run goes on at its source, which keeps
 // the memory of what it stopped.
-func TestHostedCopiesLapse(t *testing.T) {
+func TestHostedCopiesExpire(t *testing.T) {
 	t.Parallel()
-	m := drafts(t, 12)
+	m := startGenerations(t, 12)
 	for _, k := range m.pool[1:] {
 		k.SetFault(hosting.NoCopies)
 	}
@@ -234,9 +234,9 @@
 // The engine that leaves stops the runs that it is told to move, copies them, and
 // its answers are lost. The entries know the copies from their first, running copy,
 // and go on from there.
-func TestHostedAnswersOfMovesAreLost(t *testing.T) {
+func TestHostedMoveResponsesLost(t *testing.T) {
 	t.Parallel()
-	m := drafts(t, 12)
+	m := startGenerations(t, 12)
 	m.pool[0].SetFault(hosting.LostMove)
 	m.pool[0].Leave()
 	time.AfterFunc(2*time.Second, m.pool[0].Crash)
@@ -248,12 +248,12 @@
 // A process is killed. Callers who ask where to connect are sent to it until the
 // others notice; by its silence that takes 1.3 s. Its connections end at once, and
 // new ones are refused, so that it is noticed within a fraction of that.
-func TestHostedKilledInstanceIsNoLongerNamed(t *testing.T) {
+func TestHostedDirectoryDropsKilledInstance(t *testing.T) {
 	t.Parallel()
-	w := settle(t)
+	w := newFixture(t)
 	w.procs[0].kill()
 	killed := time.Now()
-	for slices.Contains(w.named(w.machines[1]), w.machines[0].Callers) {
+	for slices.Contains(w.resolve(w.machines[1]), w.machines[0].Callers) {
 		if time.Since(killed) > 900*time.Millisecond {
 			t.Fatal("still named 0.9 s after it was killed")
 		}
@@ -264,13 +264,13 @@
 // Drafts end at their engine while it copies them to others, as it is about to leave.
 // Nobody goes on from those copies. Left behind, each takes memory at its destination
 // for seconds, where the next prompts then wait, unread.
-func TestHostedCopiesOfEndedRunsAreFreed(t *testing.T) {
+func TestHostedCopiesOfEndedGenerationsAreFreed(t *testing.T) {
 	t.Parallel()
-	m := drafts(t, 12)
+	m := startGenerations(t, 12)
 	for _, k := range m.pool {
 		k.CopyTime = 600 * time.Millisecond
 	}
-	time.Sleep(draftSteps*slowDrafts - 900*time.Millisecond)
+	time.Sleep(streamEvents*slowEventInterval - 900*time.Millisecond)
 	m.pool[0].Leave()
 	if whole := m.check(t); whole != 12 {
 		t.Errorf("%d of 12 drafts are whole", whole)
--- a/internal/proctest/hosted_raw_test.go
+++ b/internal/proctest/hosted_raw_test.go
@@ -13,8 +13,8 @@
 	"mulberrylug.example/mulberrylug/internal/standin/hosting"
 )
 
-// raw sends bytes on one connection and returns what comes back within a second.
-func raw(t *testing.T, address, bytes string) string {
+// sendRaw sends bytes on one connection and returns what comes back within a second.
+func sendRaw(t *testing.T, address, bytes string) string {
 	t.Helper()
 	c, err := net.DialTimeout("tcp", address, time.Second)
 	if err != nil {
@@ -31,7 +31,7 @@
 	return string(got)
 }
 
-func head(id string) string {
+func bookingHead(id string) string {
 	return "POST " + hosting.PathBooking + "b HTTP/1.1\r\nHost: " + hosting.Host + "\r\nAttempt-Id: " + id +
 		"\r\nDeadline-Ms: 3000\r\nCredential: " + hosting.Key + "\r\n"
 }
@@ -41,8 +41,8 @@
 // first as one request, or nothing; never the hidden one.
 func TestHostedSmuggledRequests(t *testing.T) {
 	t.Parallel()
-	w := settle(t)
-	hidden := head("hidden") + "Content-Length: 0\r\n\r\n"
+	w := newFixture(t)
+	hidden := bookingHead("hidden") + "Content-Length: 0\r\n\r\n"
 	chunked := fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", len(hidden), hidden)
 	for name, bytes := range map[string]string{
 		"both lengths":        "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n" + chunked,
@@ -56,7 +56,7 @@
 		"bare newline header": "X-A: b\nContent-Length: 0\n\n",
 		"chunk in chunk":      "Transfer-Encoding: chunked\r\n\r\n" + fmt.Sprintf("%x;a=\n%s\r\n0\r\n\r\n", len(hidden), hidden),
 	} {
-		raw(t, w.machines[0].Callers, head("outer")+bytes)
+		sendRaw(t, w.machines[0].Callers, bookingHead("outer")+bytes)
 		for id, list := range w.Arrivals() {
 			if id == "hidden" {
 				t.Errorf("%s: the hidden request reached %s", name, list[0].Worker)
@@ -69,7 +69,7 @@
 // connection is kept: nothing that one leaves behind may disturb the next.
 func TestHostedKeptConnection(t *testing.T) {
 	t.Parallel()
-	w := settle(t)
+	w := newFixture(t)
 	c, err := net.Dial("tcp", w.machines[0].Callers)
 	if err != nil {
 		t.Fatal(err)
@@ -79,9 +79,9 @@
 	for k := range 12 {
 		id := fmt.Sprintf("kept-%d", k)
 		body := strings.Repeat("x", k*100)
-		text := head(id) + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(body), body)
+		text := bookingHead(id) + fmt.Sprintf("Content-Length: %d\r\n\r\n%s", len(body), body)
 		if k%3 == 1 {
-			text = head(id) + fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(body), body)
+			text = bookingHead(id) + fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(body), body)
 		}
 		if _, err := io.WriteString(c, text); err != nil {
 			t.Fatal(err)
--- a/internal/proctest/hosted_test.go
+++ b/internal/proctest/hosted_test.go
@@ -17,12 +17,12 @@
 // On a calm day every request is served whole, runs once, and reaches its
 // upstream as its caller sent it, with the organisation's name in place of the
 // key.
-func TestHostedCalmRun(t *testing.T) {
+func TestHostedWithoutFaults(t *testing.T) {
 	t.Parallel()
-	w := settle(t)
+	w := newFixture(t)
 	var calls []call
 	for k := range 30 {
-		calls = append(calls, draft(fmt.Sprintf("d%d", k)), booking(fmt.Sprintf("b%d", k)), lookUp(fmt.Sprintf("l%d", k)))
+		calls = append(calls, generation(fmt.Sprintf("d%d", k)), booking(fmt.Sprintf("b%d", k)), lookUp(fmt.Sprintf("l%d", k)))
 	}
 	results := make([]result, len(calls))
 	var wg sync.WaitGroup
@@ -33,7 +33,7 @@
 	arrivals := w.Arrivals()
 	for k, c := range calls {
 		r, got := results[k], arrivals[c.id]
-		if r.status != http.StatusOK || r.cut || r.header.Get("Response-Seal") != "seal-"+c.id || r.header.Get("Attempt-Id") != c.id {
+		if r.status != http.StatusOK || r.truncated || r.header.Get("Response-Seal") != "seal-"+c.id || r.header.Get("Attempt-Id") != c.id {
 			t.Errorf("%s: %+v, want a signed success", c.id, r)
 			continue
 		}
@@ -44,7 +44,7 @@
 		checkArrival(t, c, got[0])
 		want := hosting.Body(c.id, got[0].Worker)
 		if strings.HasPrefix(c.path, hosting.PathDraft) {
-			want = events(c.id)
+			want = streamBody(c.id)
 		}
 		if r.body != want {
 			t.Errorf("%s: body %.80q, want %.80q", c.id, r.body, want)
@@ -74,7 +74,7 @@
 // not hidden behind Connection, which would take the caller's own headers away.
 func TestHostedReservedHeaders(t *testing.T) {
 	t.Parallel()
-	w := settle(t)
+	w := newFixture(t)
 	c := booking("reserved")
 	c.header = map[string]string{
 		"Tenant": "other", "Hold": "h", "Pin-Ms": "9", "Kv-From": "1.2.3.4:5/x", "Kv-Backup": "1.2.3.4:5", "Kv-Fetch": "1.2.3.4:5",
@@ -98,14 +98,14 @@
 // Two upstreams announce that they leave, and crash two seconds later, while
 // each runs several drafts. A draft may not run twice. All are moved, and the
 // callers see every event once, in order, as if nothing had happened.
-func TestHostedDraftsOutliveTheirUpstreams(t *testing.T) {
+func TestHostedGenerationsMoveBeforeUpstreamsCrash(t *testing.T) {
 	t.Parallel()
-	w := settle(t)
+	w := newFixture(t)
 	const drafts = 12
 	results := make([]result, drafts)
 	var wg sync.WaitGroup
 	for k := range drafts {
-		wg.Go(func() { results[k] = w.do(w.machines[k%len(w.machines)], draft(fmt.Sprintf("m%d", k))) })
+		wg.Go(func() { results[k] = w.do(w.machines[k%len(w.machines)], generation(fmt.Sprintf("m%d", k))) })
 	}
 	time.Sleep(300 * time.Millisecond)
 	w.pool[0].Leave()
@@ -117,7 +117,7 @@
 	arrivals, moved := w.Arrivals(), 0
 	for k := range drafts {
 		id := fmt.Sprintf("m%d", k)
-		checkWhole(t, id, results[k], arrivals[id])
+		checkComplete(t, id, results[k], arrivals[id])
 		if len(arrivals[id]) > 1 {
 			moved++
 		}
@@ -131,24 +131,24 @@
 // answer must not look whole. A brief may be resumed, and is.
 func TestHostedUpstreamCrash(t *testing.T) {
 	t.Parallel()
-	w := settle(t)
+	w := newFixture(t)
 	for _, k := range w.pool {
 		k.SetFault(hosting.Cuts)
 	}
-	if r := w.do(w.machines[0], draft("cut")); !r.cut {
+	if r := w.do(w.machines[0], generation("cut")); !r.truncated {
 		t.Errorf("status %d, body of %d bytes: a cut draft must not look whole", r.status, len(r.body))
 	}
-	if n := runs(w.Arrivals()["cut"]); n != 1 {
+	if n := countRuns(w.Arrivals()["cut"]); n != 1 {
 		t.Errorf("the draft was begun %d times", n)
 	}
 	for _, k := range w.pool[1:] {
 		k.SetFault(hosting.None)
 	}
 	for k := range 8 {
-		c := draft(fmt.Sprintf("brief%d", k))
+		c := generation(fmt.Sprintf("brief%d", k))
 		c.path = hosting.PathBrief + "x"
-		if r := w.do(w.machines[k%3], c); r.cut || r.body != events(c.id) {
-			t.Errorf("%s: status %d cut %v, %d events", c.id, r.status, r.cut, strings.Count(r.body, "\n\n"))
+		if r := w.do(w.machines[k%3], c); r.truncated || r.body != streamBody(c.id) {
+			t.Errorf("%s: status %d cut %v, %d events", c.id, r.status, r.truncated, strings.Count(r.body, "\n\n"))
 		}
 	}
 }
@@ -156,9 +156,9 @@
 // Each way in which a booking's upstream can spoil its answer. A caller that is
 // told "not run" asks again, so that may only be said where it is true; and no
 // success may be passed on that the upstream did not sign whole.
-func TestHostedSpoiledAnswers(t *testing.T) {
+func TestHostedInvalidUpstreamResponses(t *testing.T) {
 	t.Parallel()
-	w := settle(t)
+	w := newFixture(t)
 	for _, c := range []struct {
 		fault hosting.Fault
 		// served tells that the caller gets the answer all the same.
@@ -181,16 +181,16 @@
 			id := fmt.Sprintf("%s-%d", c.fault, n)
 			r := w.do(w.machines[0], booking(id))
 			list := w.Arrivals()[id]
-			if runs(list) > 1 {
-				t.Errorf("%s ran %d times", id, runs(list))
+			if countRuns(list) > 1 {
+				t.Errorf("%s ran %d times", id, countRuns(list))
 			}
-			if refusedHonestly(r.status) && runs(list) > 0 {
+			if refusedNotRun(r.status) && countRuns(list) > 0 {
 				t.Errorf("%s was told %d, but it ran", id, r.status)
 			}
-			if r.status == http.StatusOK && !r.cut && r.body != hosting.Body(id, list[0].Worker) {
+			if r.status == http.StatusOK && !r.truncated && r.body != hosting.Body(id, list[0].Worker) {
 				t.Errorf("%s got the body %q", id, r.body)
 			}
-			if got := r.status == http.StatusOK && !r.cut; got != c.served {
+			if got := r.status == http.StatusOK && !r.truncated; got != c.served {
 				t.Errorf("%s: %+v, served should be %v", id, r, c.served)
 			}
 		}
@@ -199,14 +199,14 @@
 
 // Look-ups fail at one upstream of three: they are tried elsewhere once, and
 // the callers notice nothing.
-func TestHostedLookUpsAreTriedElsewhere(t *testing.T) {
+func TestHostedLookUpsAreRetried(t *testing.T) {
 	t.Parallel()
-	w := settle(t)
+	w := newFixture(t)
 	for _, fault := range []hosting.Fault{hosting.Fails, hosting.LostAnswer, hosting.Cuts, hosting.Full, hosting.Unsigned} {
 		w.desk[0].SetFault(fault)
 		for n := range 6 {
 			id := fmt.Sprintf("look-%s-%d", fault, n)
-			if r := w.do(w.machines[n%3], lookUp(id)); r.status != http.StatusOK || r.cut {
+			if r := w.do(w.machines[n%3], lookUp(id)); r.status != http.StatusOK || r.truncated {
 				t.Errorf("%s: %+v", id, r)
 			}
 		}
@@ -219,7 +219,7 @@
 // young enough, and accepted again after the store's return.
 func TestHostedRevocation(t *testing.T) {
 	t.Parallel()
-	w := settle(t)
+	w := newFixture(t)
 	cut := w.machines[0]
 	w.Table.SetFor(cut.IP, hosting.Silent)
 	time.Sleep(500 * time.Millisecond)
@@ -248,7 +248,7 @@
 		}
 	}
 	w.Table.Set(hosting.Well)
-	testkit.Eventually(t, startWithin, "all are ready again", func() bool {
+	testkit.Eventually(t, waitTimeout, "all are ready again", func() bool {
 		return w.ready(w.machines[1]) && w.ready(w.machines[2])
 	})
 }
@@ -256,9 +256,9 @@
 // A machine is suspended for longer than the bound on revocation, and a key is
 // taken away meanwhile. A clock that stands still in the meantime would call
 // the confirmation fresh when the machine wakes.
-func TestHostedWakesWithOldKeys(t *testing.T) {
+func TestHostedSuspendedInstanceRefusesRevokedKey(t *testing.T) {
 	t.Parallel()
-	w := settle(t)
+	w := newFixture(t)
 	if err := w.procs[0].signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
@@ -281,10 +281,10 @@
 // and what it serves is served to the end.
 func TestHostedDrain(t *testing.T) {
 	t.Parallel()
-	w := settle(t)
+	w := newFixture(t)
 	done := make(chan result, 3)
 	for k := range 3 {
-		go func() { done <- w.do(w.machines[0], draft(fmt.Sprintf("drain-%d", k))) }()
+		go func() { done <- w.do(w.machines[0], generation(fmt.Sprintf("drain-%d", k))) }()
 	}
 	time.Sleep(300 * time.Millisecond)
 	ended := make(chan struct{})
@@ -296,7 +296,7 @@
 	if w.ready(w.machines[0]) {
 		t.Error("a leaving instance says that it is ready")
 	}
-	for _, a := range w.named(w.machines[1]) {
+	for _, a := range w.resolve(w.machines[1]) {
 		if a == w.machines[0].Callers {
 			t.Error("a leaving instance is still named")
 		}
@@ -304,11 +304,11 @@
 	if r := w.do(w.machines[0], booking("late")); r.status != http.StatusOK {
 		t.Errorf("a caller with an old answer: %+v", r)
 	}
-	if r := w.do(w.machines[0], draft("late-draft")); !refusedHonestly(r.status) {
+	if r := w.do(w.machines[0], generation("late-draft")); !refusedNotRun(r.status) {
 		t.Errorf("a draft that could not end in time: %+v", r)
 	}
 	for range 3 {
-		if r := <-done; r.cut || r.status != http.StatusOK {
+		if r := <-done; r.truncated || r.status != http.StatusOK {
 			t.Errorf("a draft was cut by the drain: %+v", r)
 		}
 	}
@@ -318,17 +318,17 @@
 // All instances lose power at once. Their callers are served again as soon as
 // they are back, and until one knows a configuration it says so: an answer such
 // as "unknown key" would end the caller's tries.
-func TestHostedAllStartAgain(t *testing.T) {
+func TestHostedAllInstancesRestart(t *testing.T) {
 	t.Parallel()
-	w := settle(t)
+	w := newFixture(t)
 	for _, p := range w.procs {
 		p.kill()
 	}
 	w.Table.Set(hosting.Busy)
 	for k, m := range w.machines {
-		w.procs[k] = w.run(t, m)
+		w.procs[k] = w.startInstance(t, m)
 	}
-	testkit.Eventually(t, startWithin, "an instance without a configuration refuses", func() bool {
+	testkit.Eventually(t, waitTimeout, "an instance without a configuration refuses", func() bool {
 		return w.do(w.machines[0], booking("early")).status == http.StatusServiceUnavailable
 	})
 	w.Table.Set(hosting.Well)
@@ -340,7 +340,7 @@
 	if r := w.do(w.machines[0], booking("back")); r.status != http.StatusOK {
 		t.Errorf("%+v", r)
 	}
-	if n := runs(w.Arrivals()["early"]); n != 0 {
+	if n := countRuns(w.Arrivals()["early"]); n != 0 {
 		t.Error("a request that was refused has run")
 	}
 }
@@ -350,12 +350,12 @@
 // refuse everything until the store is back.
 func TestHostedRestartsWhileTheStoreIsSilent(t *testing.T) {
 	t.Parallel()
-	w := settle(t)
+	w := newFixture(t)
 	last := len(w.machines) - 1
 	w.procs[last].kill()
 	w.Table.Set(hosting.Silent)
 	defer w.Table.Set(hosting.Well)
-	w.procs[last] = w.run(t, w.machines[last])
+	w.procs[last] = w.startInstance(t, w.machines[last])
 	testkit.Eventually(t, hosting.RevokeWithin/2, "the instance is ready", func() bool { return w.ready(w.machines[last]) })
 	if r := w.do(w.machines[last], booking("meanwhile")); r.status != http.StatusOK {
 		t.Errorf("%+v", r)
@@ -365,15 +365,15 @@
 // Many instances join a fleet at once. Were each to read from the store who else does, and then
 // the configuration and all upstreams, the calls would grow with the fleet, and the store
 // takes writes to one part of a table one after another.
-func TestHostedAStartAsksTheStoreLittle(t *testing.T) {
+func TestHostedStoreCallsPerStart(t *testing.T) {
 	t.Parallel()
-	w := settle(t)
+	w := newFixture(t)
 	time.Sleep(2 * time.Second) // those that run are the fleet by now
 	before := w.Table.Calls("/v1/rows-get") + w.Table.Calls("/v1/rows-tx") + w.Table.Calls("/v1/rows-feed")
 	began := time.Now()
 	const more = 9
 	for k := range more {
-		w.machine(t, fmt.Sprintf("later-%d", k))
+		w.addInstance(t, fmt.Sprintf("later-%d", k))
 	}
 	w.waitReady(t)
 	calls := w.Table.Calls("/v1/rows-get") + w.Table.Calls("/v1/rows-tx") + w.Table.Calls("/v1/rows-feed") - before
@@ -385,9 +385,9 @@
 
 // The store forgets its history, and writes are done without an answer. What
 // was known stays in force, and what is new arrives all the same.
-func TestHostedStoreForgets(t *testing.T) {
+func TestHostedStoreLosesHistory(t *testing.T) {
 	t.Parallel()
-	w := settle(t)
+	w := newFixture(t)
 	w.Table.Forget()
 	w.Configure(func(c map[string]any) {
 		c["tenants"] = []map[string]any{{"name": hosting.Owner, "api_keys": []string{hosting.Key, "key-three"}}}
@@ -395,7 +395,7 @@
 	w.Table.Forget()
 	c := booking("forgotten")
 	c.key = "key-three"
-	testkit.Eventually(t, startWithin, "the new key works everywhere", func() bool {
+	testkit.Eventually(t, waitTimeout, "the new key works everywhere", func() bool {
 		c.id += "."
 		for _, m := range w.machines {
 			if w.do(m, c).status != http.StatusOK {
@@ -409,19 +409,19 @@
 // An upstream answers a long body before it has read it. The caller gets the
 // answer, and the rest of that body follows on the same connection: nothing
 // else may stand there.
-func TestHostedEarlyAnswerToALongBody(t *testing.T) {
+func TestHostedResponseBeforeLongBodyIsRead(t *testing.T) {
 	t.Parallel()
-	w := settle(t)
+	w := newFixture(t)
 	for _, k := range w.desk {
 		k.SetFault(hosting.Early)
 	}
 	c := booking("long")
 	c.body = strings.Repeat("0123456789abcdef", 32<<10) // 512 KB: longer than what is held
 	r := w.do(w.machines[0], c)
-	if r.status != http.StatusOK || r.cut {
-		t.Errorf("%d cut %v error %v", r.status, r.cut, r.err)
+	if r.status != http.StatusOK || r.truncated {
+		t.Errorf("%d cut %v error %v", r.status, r.truncated, r.err)
 	}
-	testkit.Eventually(t, startWithin, "the upstream has read what came", func() bool { return len(w.Arrivals()["long"]) == 1 })
+	testkit.Eventually(t, waitTimeout, "the upstream has read what came", func() bool { return len(w.Arrivals()["long"]) == 1 })
 	if got := w.Arrivals()["long"][0].Body; !strings.HasPrefix(c.body, got) {
 		t.Errorf("the rest of the body was not that body: %d bytes", len(got))
 	}
@@ -431,9 +431,9 @@
 // and a place that others wait for.
 func TestHostedCallerLeaves(t *testing.T) {
 	t.Parallel()
-	w := settle(t)
-	c := draft("left")
-	c.patience = 200*time.Millisecond - 5*time.Second // the client ends after 0.2 s
+	w := newFixture(t)
+	c := generation("left")
+	c.timeout = 200*time.Millisecond - 5*time.Second // the client ends after 0.2 s
 	w.do(w.machines[0], c)
 	testkit.Eventually(t, 5*time.Second, "the upstream notices", func() bool {
 		list := w.Arrivals()["left"]
@@ -446,15 +446,15 @@
 // that it serves. A file that can't be read leaves the settings as they are.
 func TestHostedReload(t *testing.T) {
 	t.Parallel()
-	w := settle(t)
+	w := newFixture(t)
 	p, m := w.procs[0], w.machines[0]
 	done := make(chan result)
-	go func() { done <- w.do(m, draft("hup")) }()
+	go func() { done <- w.do(m, generation("hup")) }()
 	time.Sleep(200 * time.Millisecond)
 	if err := p.signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Eventually(t, startWithin, "the reload is logged", func() bool { return strings.Contains(p.output(), "event=reloaded") })
+	testkit.Eventually(t, waitTimeout, "the reload is logged", func() bool { return strings.Contains(p.output(), "event=reloaded") })
 	good, err := os.ReadFile(m.Settings)
 	if err != nil {
 		t.Fatal(err)
@@ -462,13 +462,13 @@
 	if err := os.WriteFile(m.Settings, []byte("node_name: ["), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Eventually(t, startWithin, "the bad file is told", func() bool { return strings.Contains(p.output(), "event=reload_failed") })
+	testkit.Eventually(t, waitTimeout, "the bad file is told", func() bool { return strings.Contains(p.output(), "event=reload_failed") })
 	changed := strings.Replace(string(good), "retry_budget_slack: 100", "retry_budget_slack: 50", 1)
 	if err := os.WriteFile(m.Settings, []byte(changed), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Eventually(t, startWithin, "the new bound is in force", func() bool { return strings.Contains(p.output(), "retry_slack=50") })
-	if r := <-done; r.status != http.StatusOK || r.cut {
+	testkit.Eventually(t, waitTimeout, "the new bound is in force", func() bool { return strings.Contains(p.output(), "retry_slack=50") })
+	if r := <-done; r.status != http.StatusOK || r.truncated {
 		t.Errorf("the draft: %+v", r)
 	}
 	if p.hasEnded() {
@@ -480,7 +480,7 @@
 // again, to other instances. After two crashes no further upstream is lost.
 func TestHostedRequestsThatCrashUpstreams(t *testing.T) {
 	t.Parallel()
-	w := settle(t)
+	w := newFixture(t)
 	crashed := 0
 	for k := range 5 {
 		id := fmt.Sprintf("bad-%d", k)
@@ -502,7 +502,7 @@
 		}
 		r := <-done
 		time.Sleep(200 * time.Millisecond)
-		if k >= 2 && !refusedHonestly(r.status) {
+		if k >= 2 && !refusedNotRun(r.status) {
 			t.Errorf("%s: %+v, want a refusal", id, r)
 		}
 	}
@@ -513,9 +513,9 @@
 
 // Many callers send bodies of 4 MB at once to an instance on a machine of 120 MB.
 // Held whole, they would end the process; they are passed on as they come.
-func TestHostedLongBodiesKeepWithinMemory(t *testing.T) {
+func TestHostedLongBodiesAreNotBuffered(t *testing.T) {
 	t.Parallel()
-	w := settle(t)
+	w := newFixture(t)
 	const callers, most = 30, 60 << 10
 	body := strings.Repeat("0123456789abcdef", 256<<10)
 	var wg sync.WaitGroup
@@ -523,7 +523,7 @@
 		wg.Go(func() {
 			c := booking(fmt.Sprintf("large-%d", k))
 			c.body = body
-			if r := w.do(w.machines[0], c); r.status != http.StatusOK && !refusedHonestly(r.status) {
+			if r := w.do(w.machines[0], c); r.status != http.StatusOK && !refusedNotRun(r.status) {
 				t.Errorf("%s: %d %v", c.id, r.status, r.err)
 			}
 		})
@@ -538,7 +538,7 @@
 			served++
 		}
 	}
-	peak := w.procs[0].peakKB(t)
+	peak := w.procs[0].peakMemoryKB(t)
 	t.Logf("served=%d peak_kb=%d", served, peak)
 	if served == 0 || peak > most {
 		t.Errorf("%d bodies passed, peak of %d KB, want at most %d", served, peak, most)
--- a/internal/proctest/hosted_world_test.go
+++ b/internal/proctest/hosted_world_test.go
@@ -18,15 +18,15 @@
 
 // Sizes of the worlds: small, as several run beside each other.
 const (
-	hostedInstances = 3
-	poolSize        = 4
-	deskSize        = 3
-	draftSteps      = 40
+	hostedInstanceCount = 3
+	poolUpstreams        = 4
+	deskUpstreams        = 3
+	streamEvents      = 40
 	briefSteps      = 5
 )
 
-// world is a hosting platform with instances in processes of their own.
-type world struct {
+// fixture is a hosting platform with instances in processes of their own.
+type fixture struct {
 	*hosting.World
 	machines []hosting.Machine
 	procs    []*process
@@ -35,41 +35,41 @@
 	builds   builds
 }
 
-// settle starts a platform, its workers and instances, and waits until each
+// newFixture starts a platform, its workers and instances, and waits until each
 // instance is ready.
-func settle(t *testing.T) *world {
+func newFixture(t *testing.T) *fixture {
 	t.Helper()
-	return settleBuild(t, "")
+	return newFixtureOfBuild(t, "")
 }
 
-// settleBuild is settle with instances of one build; "" alternates between the builds.
-func settleBuild(t *testing.T, build string) *world {
+// newFixtureOfBuild is settle with instances of one build; "" alternates between the builds.
+func newFixtureOfBuild(t *testing.T, build string) *fixture {
 	t.Helper()
 	base, err := hosting.NewWorld(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(base.Close)
-	w := &world{World: base, builds: builds{fixed: build}}
+	w := &fixture{World: base, builds: builds{fixed: build}}
 	base.Configure(nil)
-	for k := range poolSize {
-		w.pool = append(w.pool, w.worker(t, fmt.Sprintf("engine-%d", k), hosting.Pool, func(k *hosting.Worker) {
-			k.EventEvery, k.EventCount, k.CopyTime = 25*time.Millisecond, draftSteps, 30*time.Millisecond
+	for k := range poolUpstreams {
+		w.pool = append(w.pool, w.addUpstream(t, fmt.Sprintf("engine-%d", k), hosting.Pool, func(k *hosting.Worker) {
+			k.EventEvery, k.EventCount, k.CopyTime = 25*time.Millisecond, streamEvents, 30*time.Millisecond
 		}))
 	}
-	for k := range deskSize {
-		w.desk = append(w.desk, w.worker(t, fmt.Sprintf("desk-%d", k), hosting.Desk, func(k *hosting.Worker) {
+	for k := range deskUpstreams {
+		w.desk = append(w.desk, w.addUpstream(t, fmt.Sprintf("desk-%d", k), hosting.Desk, func(k *hosting.Worker) {
 			k.Work = 10 * time.Millisecond
 		}))
 	}
-	for k := range hostedInstances {
-		w.machine(t, fmt.Sprintf("entry-%d", k))
+	for k := range hostedInstanceCount {
+		w.addInstance(t, fmt.Sprintf("entry-%d", k))
 	}
 	w.waitReady(t)
 	return w
 }
 
-func (w *world) worker(t *testing.T, id, service string, shape func(*hosting.Worker)) *hosting.Worker {
+func (w *fixture) addUpstream(t *testing.T, id, service string, shape func(*hosting.Worker)) *hosting.Worker {
 	t.Helper()
 	k, err := w.Add(id, service, shape)
 	if err != nil {
@@ -78,10 +78,10 @@
 	return k
 }
 
-// settleZones starts a platform whose data centres, by their regions, have some engines,
+// newFixtureWithDataCentres starts a platform whose data centres, by their regions, have some engines,
 // plain services and instances each, and waits until each instance is ready. prepare may
 // change the platform before its first configuration.
-func settleZones(t *testing.T, zones map[string]string, each int, prepare func(*hosting.World)) *world {
+func newFixtureWithDataCentres(t *testing.T, zones map[string]string, each int, prepare func(*hosting.World)) *fixture {
 	t.Helper()
 	base, err := hosting.NewWorld(t.TempDir())
 	if err != nil {
@@ -89,52 +89,52 @@
 	}
 	t.Cleanup(base.Close)
 	base.Zones = zones
-	w := &world{World: base}
+	w := &fixture{World: base}
 	if prepare != nil {
 		prepare(base)
 	}
 	base.Configure(nil)
 	for _, zone := range slices.Sorted(maps.Keys(zones)) {
 		for k := range each {
-			w.pool = append(w.pool, w.worker(t, fmt.Sprintf("engine-%s-%d", zone, k), hosting.Pool, func(k *hosting.Worker) {
-				k.Zone, k.EventEvery, k.EventCount, k.CopyTime = zone, 25*time.Millisecond, draftSteps, 30*time.Millisecond
+			w.pool = append(w.pool, w.addUpstream(t, fmt.Sprintf("engine-%s-%d", zone, k), hosting.Pool, func(k *hosting.Worker) {
+				k.Zone, k.EventEvery, k.EventCount, k.CopyTime = zone, 25*time.Millisecond, streamEvents, 30*time.Millisecond
 			}))
-			w.desk = append(w.desk, w.worker(t, fmt.Sprintf("desk-%s-%d", zone, k), hosting.Desk, func(k *hosting.Worker) {
+			w.desk = append(w.desk, w.addUpstream(t, fmt.Sprintf("desk-%s-%d", zone, k), hosting.Desk, func(k *hosting.Worker) {
 				k.Zone, k.Work = zone, 10*time.Millisecond
 			}))
-			w.machineIn(t, fmt.Sprintf("entry-%s-%d", zone, k), zone)
+			w.addInstanceIn(t, fmt.Sprintf("entry-%s-%d", zone, k), zone)
 		}
 	}
 	for _, m := range w.machines {
-		testkit.Eventually(t, startWithin, m.Name+" is ready and knows the others", func() bool {
-			return w.ready(m) && len(w.namedTo(m, "elsewhere", "elsewhere")) == len(w.machines)
+		testkit.Eventually(t, waitTimeout, m.Name+" is ready and knows the others", func() bool {
+			return w.ready(m) && len(w.resolveFrom(m, "elsewhere", "elsewhere")) == len(w.machines)
 		})
 	}
 	return w
 }
 
-func (w *world) machine(t *testing.T, name string) {
+func (w *fixture) addInstance(t *testing.T, name string) {
 	t.Helper()
-	w.machineIn(t, name, hosting.DefaultZone)
+	w.addInstanceIn(t, name, hosting.DefaultZone)
 }
 
-func (w *world) machineIn(t *testing.T, name, zone string) {
+func (w *fixture) addInstanceIn(t *testing.T, name, zone string) {
 	t.Helper()
 	m, err := w.MachineIn(name, zone)
 	if err != nil {
 		t.Fatal(err)
 	}
 	w.machines = append(w.machines, m)
-	w.procs = append(w.procs, w.run(t, m))
+	w.procs = append(w.procs, w.startInstance(t, m))
 }
 
-func (w *world) run(t *testing.T, m hosting.Machine) *process {
+func (w *fixture) startInstance(t *testing.T, m hosting.Machine) *process {
 	t.Helper()
 	return startWith(t, w.builds.next(), m.Name, []string{"MULBERRYLUG_SETTINGS=" + m.Settings}, "serve")
 }
 
 // ready reports whether a machine says that it is.
-func (w *world) ready(m hosting.Machine) bool {
+func (w *fixture) ready(m hosting.Machine) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+m.Ready+"/v1/readyz", nil)
@@ -149,28 +149,28 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// named returns the addresses that a machine tells callers of the default data centre to use.
-func (w *world) named(m hosting.Machine) []string {
-	return w.namedTo(m, hosting.DefaultRegion, hosting.DefaultZone)
+// resolve returns the addresses that a machine tells callers of the default data centre to use.
+func (w *fixture) resolve(m hosting.Machine) []string {
+	return w.resolveFrom(m, hosting.DefaultRegion, hosting.DefaultZone)
 }
 
-// namedTo returns the addresses that a machine tells callers of a data centre to use.
-func (w *world) namedTo(m hosting.Machine, region, zone string) []string {
+// resolveFrom returns the addresses that a machine tells callers of a data centre to use.
+func (w *fixture) resolveFrom(m hosting.Machine, region, zone string) []string {
 	var out struct {
 		Addresses []string `json:"addresses"`
 	}
 	url := "http://" + m.Entries + "/v1/resolve?name=" + hosting.Host + "&region=" + region + "&zone=" + zone
-	if err := get(url, &out); err != nil {
+	if err := getJSON(url, &out); err != nil {
 		return nil
 	}
 	return out.Addresses
 }
 
-func (w *world) waitReady(t *testing.T) {
+func (w *fixture) waitReady(t *testing.T) {
 	t.Helper()
 	for _, m := range w.machines {
-		testkit.Eventually(t, startWithin, m.Name+" is ready and knows the others", func() bool {
-			return w.ready(m) && len(w.named(m)) == len(w.machines)
+		testkit.Eventually(t, waitTimeout, m.Name+" is ready and knows the others", func() bool {
+			return w.ready(m) && len(w.resolve(m)) == len(w.machines)
 		})
 	}
 }
@@ -179,7 +179,7 @@
 type call struct {
 	id, method, path, key, body string
 	header                      map[string]string
-	patience                    time.Duration
+	timeout                    time.Duration
 }
 
 // result is what the caller saw.
@@ -187,19 +187,19 @@
 	status int
 	header http.Header
 	body   string
-	// cut is set if the answer broke off.
-	cut bool
+	// truncated is set if the answer broke off.
+	truncated bool
 	err error
 }
 
 // do makes a request on a connection of its own.
-func (w *world) do(m hosting.Machine, c call) result {
+func (w *fixture) do(m hosting.Machine, c call) result {
 	return w.doOn(&http.Transport{DisableKeepAlives: true, DisableCompression: true}, m, c)
 }
 
 // doOn makes a request on a transport's connections.
-func (w *world) doOn(transport http.RoundTripper, m hosting.Machine, c call) result {
-	ctx, cancel := context.WithTimeout(context.Background(), c.patience+5*time.Second)
+func (w *fixture) doOn(transport http.RoundTripper, m hosting.Machine, c call) result {
+	ctx, cancel := context.WithTimeout(context.Background(), c.timeout+5*time.Second)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, c.method, "http://"+m.Callers+c.path, bytes.NewBufferString(c.body))
 	if err != nil {
@@ -207,7 +207,7 @@
 	}
 	req.Host = hosting.Host
 	req.Header.Set("Attempt-Id", c.id)
-	req.Header.Set("Deadline-Ms", fmt.Sprint(c.patience.Milliseconds()))
+	req.Header.Set("Deadline-Ms", fmt.Sprint(c.timeout.Milliseconds()))
 	if c.key != "" {
 		req.Header.Set("Credential", c.key)
 	}
@@ -220,40 +220,40 @@
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
-	return result{status: resp.StatusCode, header: resp.Header, body: string(body), cut: err != nil, err: err}
+	return result{status: resp.StatusCode, header: resp.Header, body: string(body), truncated: err != nil, err: err}
 }
 
-func draft(id string) call {
+func generation(id string) call {
 	return call{
-		id: id, method: http.MethodPost, path: hosting.PathDraft + "d?x=%2F", key: hosting.Key, body: "prompt of " + id, patience: 20 * time.Second,
-		header: map[string]string{"Token-Counts": fmt.Sprintf("1000,%d", 4*draftSteps), "Model": "m"},
+		id: id, method: http.MethodPost, path: hosting.PathDraft + "d?x=%2F", key: hosting.Key, body: "prompt of " + id, timeout: 20 * time.Second,
+		header: map[string]string{"Token-Counts": fmt.Sprintf("1000,%d", 4*streamEvents), "Model": "m"},
 	}
 }
 
 func booking(id string) call {
-	return call{id: id, method: http.MethodPost, path: hosting.PathBooking + "b", key: hosting.Key, body: "book " + id, patience: 3 * time.Second}
+	return call{id: id, method: http.MethodPost, path: hosting.PathBooking + "b", key: hosting.Key, body: "book " + id, timeout: 3 * time.Second}
 }
 
 func lookUp(id string) call {
-	return call{id: id, method: http.MethodGet, path: hosting.PathLookUp + "l?q=1", key: hosting.Key, patience: 3 * time.Second}
+	return call{id: id, method: http.MethodGet, path: hosting.PathLookUp + "l?q=1", key: hosting.Key, timeout: 3 * time.Second}
 }
 
-// events returns a whole stream of a request.
-func events(id string) string {
+// streamBody returns a whole stream of a request.
+func streamBody(id string) string {
 	var b strings.Builder
-	for n := 1; n <= draftSteps; n++ {
+	for n := 1; n <= streamEvents; n++ {
 		b.WriteString(hosting.Event(id, n))
 	}
 	return b.String()
 }
 
-// refusedHonestly reports whether a status promises that nothing ran.
-func refusedHonestly(status int) bool {
+// refusedNotRun reports whether a status promises that nothing ran.
+func refusedNotRun(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
 
-// runs counts how often a request was begun anew.
-func runs(list []hosting.Arrival) (n int) {
+// countRuns counts how often a request was begun anew.
+func countRuns(list []hosting.Arrival) (n int) {
 	for _, a := range list {
 		if a.Ran && !a.Resumed {
 			n++
@@ -262,13 +262,13 @@
 	return n
 }
 
-// checkWhole checks that a draft ran once, and that its caller saw every event of it.
-func checkWhole(t *testing.T, id string, r result, arrivals []hosting.Arrival) {
+// checkComplete checks that a draft ran once, and that its caller saw every event of it.
+func checkComplete(t *testing.T, id string, r result, arrivals []hosting.Arrival) {
 	t.Helper()
-	if r.status != http.StatusOK || r.cut || r.body != events(id) {
-		t.Errorf("%s: status %d cut %v error %v, %d events of %d", id, r.status, r.cut, r.err, strings.Count(r.body, "\n\n"), draftSteps)
+	if r.status != http.StatusOK || r.truncated || r.body != streamBody(id) {
+		t.Errorf("%s: status %d cut %v error %v, %d events of %d", id, r.status, r.truncated, r.err, strings.Count(r.body, "\n\n"), streamEvents)
 	}
-	if n := runs(arrivals); n != 1 {
+	if n := countRuns(arrivals); n != 1 {
 		t.Errorf("%s was begun %d times, want once", id, n)
 	}
 }
--- a/internal/proctest/load_test.go
+++ b/internal/proctest/load_test.go
@@ -17,7 +17,7 @@
 
 // answer is what one caller got.
 type answer struct {
-	what    string
+	name    string
 	key     string // of a booking
 	result  client.Result
 	outcome client.Outcome
@@ -30,7 +30,7 @@
 	cl     *client.Client
 	wg     sync.WaitGroup
 	tokens atomic.Int64
-	begun  atomic.Int64 // streams with a first token
+	firstTokens  atomic.Int64 // streams with a first token
 
 	mu      sync.Mutex
 	answers []answer
@@ -48,10 +48,10 @@
 		var first sync.Once
 		prompt := fmt.Sprintf("%s: delivery schedule %d", l.t.Name(), n)
 		res, err := l.cl.Stream(ctx, client.Completion{Model: "dispatch-7b", Prompt: prompt}, func(string) {
-			first.Do(func() { l.begun.Add(1) })
+			first.Do(func() { l.firstTokens.Add(1) })
 			l.tokens.Add(1)
 		})
-		l.add(answer{what: fmt.Sprintf("stream %d", n), result: res, outcome: outcomeOf(err), err: err})
+		l.add(answer{name: fmt.Sprintf("stream %d", n), result: res, outcome: outcomeOf(err), err: err})
 	})
 }
 
@@ -63,7 +63,7 @@
 		_, err := l.cl.Do(ctx, client.Call{
 			Service: "order-desk", Path: "/refills", Body: []byte(`{"cylinders":1}`), Key: key, NotRepeatable: true,
 		})
-		l.add(answer{what: "booking " + key, key: key, outcome: outcomeOf(err), err: err})
+		l.add(answer{name: "booking " + key, key: key, outcome: outcomeOf(err), err: err})
 	})
 }
 
@@ -85,10 +85,10 @@
 	l.answers = append(l.answers, a)
 }
 
-// untilBegun waits until that many streams have their first token.
-func (l *load) untilBegun(n int64) {
+// waitForFirstTokens waits until that many streams have their first token.
+func (l *load) waitForFirstTokens(n int64) {
 	l.t.Helper()
-	testkit.Eventually(l.t, startWithin, fmt.Sprintf("%d streams have begun", n), func() bool { return l.begun.Load() >= n })
+	testkit.Eventually(l.t, waitTimeout, fmt.Sprintf("%d streams have begun", n), func() bool { return l.firstTokens.Load() >= n })
 }
 
 // wait waits for every caller and returns the answers.
@@ -97,40 +97,40 @@
 	return l.answers
 }
 
-// judge compares every answer with what engines and service recorded: tokens
+// checkAnswers compares every answer with what engines and service recorded: tokens
 // exactly once, in order, from one generation, all of them if it says done;
 // bookings at most once, and never if it says not run.
-func judge(t *testing.T, d *deployment, answers []answer) (resumes int) {
+func checkAnswers(t *testing.T, d *deployment, answers []answer) (resumes int) {
 	t.Helper()
-	generations, calls := d.generations(t), d.calls(t)
+	generations, calls := d.generations(t), d.callCounts(t)
 	for _, a := range answers {
 		resumes += a.result.Resumes
 		if a.key != "" {
-			judgeBooking(t, a, calls[a.key])
+			checkBooking(t, a, calls[a.key])
 		} else {
-			judgeTokens(t, a, generations)
+			checkTokens(t, a, generations)
 		}
 	}
 	return resumes
 }
 
-func judgeBooking(t *testing.T, a answer, runs int) {
+func checkBooking(t *testing.T, a answer, runs int) {
 	t.Helper()
 	switch {
 	case runs > 1:
-		t.Errorf("%s ran %d times", a.what, runs)
+		t.Errorf("%s ran %d times", a.name, runs)
 	case a.outcome == client.NotRun && runs != 0:
-		t.Errorf("%s was told not run (%v) but ran", a.what, a.err)
+		t.Errorf("%s was told not run (%v) but ran", a.name, a.err)
 	case a.outcome == client.Done && runs != 1:
-		t.Errorf("%s was told done but ran %d times", a.what, runs)
+		t.Errorf("%s was told done but ran %d times", a.name, runs)
 	}
 }
 
-func judgeTokens(t *testing.T, a answer, generations map[string]engine.Record) {
+func checkTokens(t *testing.T, a answer, generations map[string]engine.Record) {
 	t.Helper()
 	if a.result.Text == "" {
 		if a.outcome == client.Done {
-			t.Errorf("%s is done without a token", a.what)
+			t.Errorf("%s is done without a token", a.name)
 		}
 		return
 	}
@@ -143,19 +143,19 @@
 			continue
 		}
 		if a.outcome == client.Done && a.result.Text != whole.String() {
-			t.Errorf("%s is done with %d of %d tokens", a.what, a.result.Tokens, rec.Tokens)
+			t.Errorf("%s is done with %d of %d tokens", a.name, a.result.Tokens, rec.Tokens)
 		}
 		return
 	}
-	t.Errorf("%s (%s, %v) got %d tokens that are no generation's first ones in order", a.what, a.outcome, a.err, a.result.Tokens)
+	t.Errorf("%s (%s, %v) got %d tokens that are no generation's first ones in order", a.name, a.outcome, a.err, a.result.Tokens)
 }
 
-// mustDone fails for every answer that is not done.
-func mustDone(t *testing.T, answers []answer) {
+// requireDone fails for every answer that is not done.
+func requireDone(t *testing.T, answers []answer) {
 	t.Helper()
 	for _, a := range answers {
 		if a.outcome != client.Done {
-			t.Errorf("%s: %s, %v", a.what, a.outcome, a.err)
+			t.Errorf("%s: %s, %v", a.name, a.outcome, a.err)
 		}
 	}
 }
--- a/internal/proctest/process_test.go
+++ b/internal/proctest/process_test.go
@@ -17,26 +17,26 @@
 	"time"
 )
 
-// startWithin bounds a process's start and any other wait for a condition. It
+// waitTimeout bounds a process's start and any other wait for a condition. It
 // is generous: a busy machine must not change a verdict.
-const startWithin = 40 * time.Second
+const waitTimeout = 40 * time.Second
 
 // binary is the path of the built command.
 var binary string
 
-// deploymentsAtOnce bounds the tests that run in parallel: each has eight
+// maxParallelTests bounds the tests that run in parallel: each has eight
 // processes.
-const deploymentsAtOnce = "6"
+const maxParallelTests = "6"
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	if err := flag.Set("test.parallel", deploymentsAtOnce); err != nil {
+	if err := flag.Set("test.parallel", maxParallelTests); err != nil {
 		panic(err) // the flag is the testing package's own
 	}
-	os.Exit(run(m))
+	os.Exit(buildAndRun(m))
 }
 
-func run(m *testing.M) int {
+func buildAndRun(m *testing.M) int {
 	dir, err := os.MkdirTemp("", "proctest")
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -60,8 +60,8 @@
 
 	mu   sync.Mutex
 	out  bytes.Buffer
-	line *sync.Cond
-	exit error
+	outputChanged *sync.Cond
+	exitErr error
 }
 
 // start starts the binary; the process is gone when the test ends.
@@ -75,7 +75,7 @@
 	t.Helper()
 	p := &process{name: name, cmd: exec.Command(build, args...), ended: make(chan struct{})}
 	p.cmd.Env = append(os.Environ(), environment...)
-	p.line = sync.NewCond(&p.mu)
+	p.outputChanged = sync.NewCond(&p.mu)
 	r, w := io.Pipe()
 	p.cmd.Stdout, p.cmd.Stderr = w, w
 	if err := p.cmd.Start(); err != nil {
@@ -86,10 +86,10 @@
 		err := p.cmd.Wait()
 		w.Close()
 		p.mu.Lock()
-		p.exit = err
+		p.exitErr = err
 		p.mu.Unlock()
 		close(p.ended)
-		p.line.Broadcast()
+		p.outputChanged.Broadcast()
 	}()
 	t.Cleanup(func() {
 		p.kill()
@@ -106,7 +106,7 @@
 		p.mu.Lock()
 		p.out.WriteString(sc.Text() + "\n")
 		p.mu.Unlock()
-		p.line.Broadcast()
+		p.outputChanged.Broadcast()
 	}
 }
 
@@ -119,7 +119,7 @@
 // value waits until the process has printed key=value and returns the value.
 func (p *process) value(t *testing.T, key string) string {
 	t.Helper()
-	deadline := time.Now().Add(startWithin)
+	deadline := time.Now().Add(waitTimeout)
 	for time.Now().Before(deadline) {
 		for _, field := range strings.Fields(p.output()) {
 			if v, ok := strings.CutPrefix(field, key+"="); ok {
@@ -186,18 +186,18 @@
 	t.Helper()
 	select {
 	case <-p.ended:
-	case <-time.After(startWithin):
-		t.Fatalf("%s did not end within %s of SIGTERM", p.name, startWithin)
+	case <-time.After(waitTimeout):
+		t.Fatalf("%s did not end within %s of SIGTERM", p.name, waitTimeout)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.exit != nil {
-		t.Errorf("%s ended with %v after SIGTERM, want exit code 0", p.name, p.exit)
+	if p.exitErr != nil {
+		t.Errorf("%s ended with %v after SIGTERM, want exit code 0", p.name, p.exitErr)
 	}
 }
 
-// peakKB returns the most memory that the process has had resident, in KB.
-func (p *process) peakKB(t *testing.T) (kb int) {
+// peakMemoryKB returns the most memory that the process has had resident, in KB.
+func (p *process) peakMemoryKB(t *testing.T) (kb int) {
 	t.Helper()
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
 	if err != nil {
--- a/internal/proctest/promise_test.go
+++ b/internal/proctest/promise_test.go
@@ -19,18 +19,18 @@
 	d := deploy(t)
 	l := newLoad(t, d)
 	stop := make(chan struct{})
-	busy := l.keepBusy(stop)
-	l.untilBegun(10)
+	busy := l.startTraffic(stop)
+	l.waitForFirstTokens(10)
 	for n := range d.instances {
 		d.instances[n].drain(t)
-		d.instances[n] = d.instance(t, fmt.Sprintf("entry-%d-new", n+1))
+		d.instances[n] = d.startInstance(t, fmt.Sprintf("entry-%d-new", n+1))
 		d.waitReady(t)
 	}
 	close(stop)
 	<-busy
 	answers := l.wait()
-	resumes := judge(t, d, answers)
-	mustDone(t, answers)
+	resumes := checkAnswers(t, d, answers)
+	requireDone(t, answers)
 	t.Logf("answers=%d resumes=%d", len(answers), resumes)
 	if resumes != 0 {
 		t.Errorf("%d streams were cut by the restarts", resumes)
@@ -49,9 +49,9 @@
 		l.book(fmt.Sprintf("refill-%d", n))
 	}
 	answers := l.wait()
-	judge(t, d, answers)
-	mustDone(t, answers)
-	if got := len(d.calls(t)); got != each {
+	checkAnswers(t, d, answers)
+	requireDone(t, answers)
+	if got := len(d.callCounts(t)); got != each {
 		t.Errorf("the service ran %d keys, want %d", got, each)
 	}
 }
@@ -68,11 +68,11 @@
 	for n := range streams {
 		l.stream(n)
 	}
-	l.untilBegun(streams)
+	l.waitForFirstTokens(streams)
 	d.instances[0].kill()
 	answers := l.wait()
-	resumes := judge(t, d, answers)
-	mustDone(t, answers)
+	resumes := checkAnswers(t, d, answers)
+	requireDone(t, answers)
 	t.Logf("streams=%d resumes=%d", streams, resumes)
 	if resumes == 0 {
 		t.Error("no stream was resumed: the killed instance served none")
@@ -91,23 +91,23 @@
 	for n := range streams {
 		l.stream(n)
 	}
-	l.untilBegun(streams)
+	l.waitForFirstTokens(streams)
 	d.instances[1].freeze(t, 6*time.Second)
 	for n := range streams {
 		l.stream(streams + n)
 	}
-	l.untilBegun(2 * streams)
+	l.waitForFirstTokens(2 * streams)
 	d.engines[0].freeze(t, 2*time.Second)
 	answers := l.wait()
-	resumes := judge(t, d, answers)
-	mustDone(t, answers)
+	resumes := checkAnswers(t, d, answers)
+	requireDone(t, answers)
 	t.Logf("streams=%d resumes=%d", 2*streams, resumes)
 }
 
 // Instances get kill -9 and freeze while callers book. A key runs at most once
 // and never after "not run": the claim in the table is the only permission to
 // dispatch, and only the attempt that inserted it has it.
-func TestPromise4BookingsWhileInstancesDie(t *testing.T) {
+func TestPromise4BookingsWhileInstancesFail(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
 	l := newLoad(t, d)
@@ -123,7 +123,7 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	answers := l.wait()
-	judge(t, d, answers)
+	checkAnswers(t, d, answers)
 	counts := map[client.Outcome]int{}
 	for _, a := range answers {
 		counts[a.outcome]++
@@ -134,8 +134,8 @@
 	}
 }
 
-// keepBusy starts a caller every few milliseconds until stop is closed.
-func (l *load) keepBusy(stop <-chan struct{}) (ended chan struct{}) {
+// startTraffic starts a caller every few milliseconds until stop is closed.
+func (l *load) startTraffic(stop <-chan struct{}) (ended chan struct{}) {
 	ended = make(chan struct{})
 	go func() {
 		defer close(ended)
@@ -160,14 +160,14 @@
 	d := deploy(t)
 	l := newLoad(t, d)
 	stop := make(chan struct{})
-	busy := l.keepBusy(stop)
-	l.untilBegun(10)
+	busy := l.startTraffic(stop)
+	l.waitForFirstTokens(10)
 	d.instances[0].drain(t)
 	close(stop)
 	<-busy
 	answers := l.wait()
-	resumes := judge(t, d, answers)
-	mustDone(t, answers)
+	resumes := checkAnswers(t, d, answers)
+	requireDone(t, answers)
 	if resumes != 0 {
 		t.Errorf("%d streams were cut by the drain", resumes)
 	}
@@ -177,14 +177,14 @@
 // good. Streams within what is debited go on; a booking is told at once that it
 // did not run and when to come back, and is run after the outage; an instance
 // still drains without the platform.
-func TestOutageOfPlatform(t *testing.T) {
+func TestPlatformOutage(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
 	l := newLoad(t, d)
 	l.stream(0) // debits a chunk
 	l.book("before")
 	l.wait()
-	d.faults(t, platform.Faults{Down: true})
+	d.setFaults(t, platform.Faults{Down: true})
 	impatient := newLoad(t, d)
 	impatient.cl = client.New(client.Options{Seeds: []string{d.instances[1].value(t, "caller_address")}, APIKey: "demo-key"})
 	impatient.book("during")
@@ -197,14 +197,14 @@
 		l.stream(1 + n)
 	}
 	l.wait()
-	d.faults(t, platform.Faults{})
+	d.setFaults(t, platform.Faults{})
 	l.book("after")
 	l.wait()
 	d.platform.kill()
 	l.stream(10)
 	l.wait()
-	judge(t, d, append(l.answers, impatient.answers...))
-	mustDone(t, l.answers)
+	checkAnswers(t, d, append(l.answers, impatient.answers...))
+	requireDone(t, l.answers)
 	d.instances[2].drain(t)
 }
 
@@ -216,11 +216,11 @@
 	l := newLoad(t, d)
 	l.stream(0)
 	answers := l.wait()
-	mustDone(t, answers)
+	requireDone(t, answers)
 	id := answers[0].result.RequestID
 	for _, p := range d.instances {
 		var lines []string
-		if err := get("http://"+p.value(t, "operator_address")+"/v1/explain/"+id, &lines); err != nil || len(lines) < 3 {
+		if err := getJSON("http://"+p.value(t, "operator_address")+"/v1/explain/"+id, &lines); err != nil || len(lines) < 3 {
 			t.Errorf("%s explains %s with %q, %v", p.name, id, lines, err)
 		}
 		if err := p.signal(syscall.SIGTERM); err != nil {
--- a/internal/proctest/soak_test.go
+++ b/internal/proctest/soak_test.go
@@ -25,7 +25,7 @@
 var (
 	soakSeed  = flag.Uint64("soak.seed", 1, "first seed of the soak")
 	soakSeeds = flag.Int("soak.seeds", 1, "number of seeds, one after the other")
-	soakFor   = flag.Duration("soak.for", 6*time.Second, "time of troubles of each seed")
+	soakDuration   = flag.Duration("soak.for", 6*time.Second, "time of troubles of each seed")
 )
 
 // soakRegressions are seeds that have failed once, each with its cause.
@@ -34,13 +34,13 @@
 const (
 	// soakCallers ask one request after another.
 	soakCallers = 9
-	// calmWithin is how soon after the last trouble requests must be served.
-	calmWithin = 8 * time.Second
+	// recoveryTimeout is how soon after the last trouble requests must be served.
+	recoveryTimeout = 8 * time.Second
 )
 
 // soak is one run.
 type soak struct {
-	*world
+	*fixture
 	t    *testing.T
 	rand *rand.Rand
 	stop chan struct{}
@@ -50,22 +50,22 @@
 	// restarts counts the instances that are being stopped and started; each
 	// has its turn in free, so that one stays.
 	restarts sync.WaitGroup
-	free     chan int
+	restartable     chan int
 
 	// mu guards what follows, and the world's procs.
 	mu    sync.Mutex
-	asked map[string]asked
+	requests map[string]sentRequest
 	key   string
 	// revoked holds when each key was taken away.
 	revoked map[string]time.Time
 	served  int
 }
 
-// asked is a request and what its caller saw.
-type asked struct {
+// sentRequest is a request and what its caller saw.
+type sentRequest struct {
 	call
 	sent time.Time
-	got  result
+	result  result
 }
 
 func TestSoak(t *testing.T) {
@@ -74,44 +74,44 @@
 		seeds = append(seeds, *soakSeed+uint64(k))
 	}
 	for _, seed := range seeds {
-		t.Run(fmt.Sprintf("seed-%d", seed), func(t *testing.T) { playSoak(t, seed) })
+		t.Run(fmt.Sprintf("seed-%d", seed), func(t *testing.T) { runSoak(t, seed) })
 	}
 }
 
-func playSoak(t *testing.T, seed uint64) {
+func runSoak(t *testing.T, seed uint64) {
 	s := &soak{
-		world: settle(t), t: t, rand: rand.New(rand.NewPCG(seed, seed)), stop: make(chan struct{}),
-		asked: map[string]asked{}, key: hosting.Key, revoked: map[string]time.Time{},
+		fixture: newFixture(t), t: t, rand: rand.New(rand.NewPCG(seed, seed)), stop: make(chan struct{}),
+		requests: map[string]sentRequest{}, key: hosting.Key, revoked: map[string]time.Time{},
 	}
-	s.link()
-	s.free = make(chan int, len(s.procs))
+	s.addRelays()
+	s.restartable = make(chan int, len(s.procs))
 	for n := range len(s.procs) - 1 {
-		s.free <- n
+		s.restartable <- n
 	}
 	var callers sync.WaitGroup
 	for k := range soakCallers {
 		r := rand.New(rand.NewPCG(seed, uint64(k)+100))
-		callers.Go(func() { s.ask(k, r) })
+		callers.Go(func() { s.sendRequests(k, r) })
 	}
-	for end := time.Now().Add(*soakFor); time.Now().Before(end); {
-		s.trouble()
+	for end := time.Now().Add(*soakDuration); time.Now().Before(end); {
+		s.injectFault()
 		time.Sleep(time.Duration(100+s.rand.IntN(500)) * time.Millisecond)
 	}
 	s.restarts.Wait()
-	s.calm()
+	s.waitRecovered()
 	close(s.stop)
 	callers.Wait()
 	s.check()
-	t.Logf("seed=%d requests=%d served=%d", seed, len(s.asked), s.served)
+	t.Logf("seed=%d requests=%d served=%d", seed, len(s.requests), s.served)
 }
 
-// link adds a worker of each service behind a relay.
-func (s *soak) link() {
+// addRelays adds a worker of each service behind a relay.
+func (s *soak) addRelays() {
 	for _, service := range []string{hosting.Pool, hosting.Desk} {
 		k, r, err := s.AddBehindRelay("behind-relay-"+service, service, func(k *hosting.Worker) {
 			k.Work = 10 * time.Millisecond
 			if service == hosting.Pool {
-				k.EventEvery, k.EventCount, k.CopyTime = 25*time.Millisecond, draftSteps, 30*time.Millisecond
+				k.EventEvery, k.EventCount, k.CopyTime = 25*time.Millisecond, streamEvents, 30*time.Millisecond
 			}
 		})
 		if err != nil {
@@ -125,9 +125,9 @@
 	}
 }
 
-// harm makes a link slow, cuts its connections, swallows what they carry both ways
+// disturbLink makes a link slow, cuts its connections, swallows what they carry both ways
 // or one way, or refuses new ones.
-func (s *soak) harm() {
+func (s *soak) disturbLink() {
 	r := s.relays[s.rand.IntN(len(s.relays))]
 	switch s.rand.IntN(5) {
 	case 4:
@@ -143,8 +143,8 @@
 	}
 }
 
-// ask sends requests until the soak ends.
-func (s *soak) ask(caller int, r *rand.Rand) {
+// sendRequests sends requests until the soak ends.
+func (s *soak) sendRequests(caller int, r *rand.Rand) {
 	// Half of the callers use an open connection until the process is gone,
 	// whatever the process says of its end. Look-ups don't: the library sends
 	// them again by itself when a kept connection breaks.
@@ -158,7 +158,7 @@
 		default:
 		}
 		id := fmt.Sprintf("c%d-%d", caller, k)
-		c := draft(id)
+		c := generation(id)
 		switch {
 		case caller%3 == 1:
 			c = booking(id)
@@ -173,15 +173,15 @@
 			c.key = hosting.Key // a caller that has not heard of the new key
 		}
 		s.mu.Unlock()
-		a := asked{call: c, sent: time.Now()}
+		a := sentRequest{call: c, sent: time.Now()}
 		if caller%2 == 0 || caller%3 == 2 {
-			a.got = s.do(s.machines[r.IntN(len(s.machines))], c)
-		} else if a.got = s.doOn(kept, s.machines[at], c); a.got.err != nil {
+			a.result = s.do(s.machines[r.IntN(len(s.machines))], c)
+		} else if a.result = s.doOn(kept, s.machines[at], c); a.result.err != nil {
 			at = r.IntN(len(s.machines))
 		}
 		s.mu.Lock()
-		s.asked[id] = a
-		if a.got.status == http.StatusOK && !a.got.cut {
+		s.requests[id] = a
+		if a.result.status == http.StatusOK && !a.result.truncated {
 			s.served++
 		}
 		s.mu.Unlock()
@@ -189,8 +189,8 @@
 	}
 }
 
-// trouble makes one thing go wrong, or right again.
-func (s *soak) trouble() {
+// injectFault makes one thing go wrong, or right again.
+func (s *soak) injectFault() {
 	n := s.rand.IntN(len(s.procs))
 	worker := append(append([]*hosting.Worker(nil), s.pool...), s.desk...)[s.rand.IntN(len(s.pool)+len(s.desk))]
 	switch s.rand.IntN(14) {
@@ -205,7 +205,7 @@
 	case 4:
 		s.Table.SetFor(s.machines[n].IP, []hosting.Mode{hosting.Busy, hosting.Silent}[s.rand.IntN(2)])
 	case 5, 6:
-		s.mend()
+		s.clearFaults()
 	case 7:
 		s.Table.Forget()
 	case 8:
@@ -215,13 +215,13 @@
 		}
 		worker.SetFault(faults[s.rand.IntN(len(faults))])
 	case 9:
-		s.leave()
+		s.replaceEngine()
 	case 10:
-		s.revoke()
+		s.rotateKey()
 	case 12, 13:
-		s.harm()
+		s.disturbLink()
 	case 11:
-		if err := s.proc(n).signal(syscall.SIGHUP); err != nil {
+		if err := s.process(n).signal(syscall.SIGHUP); err != nil {
 			s.t.Error(err)
 		}
 	}
@@ -232,11 +232,11 @@
 func (s *soak) restart(how syscall.Signal) {
 	var n int
 	select {
-	case n = <-s.free:
+	case n = <-s.restartable:
 	default:
 		return // all but one are
 	}
-	p := s.proc(n)
+	p := s.process(n)
 	if err := p.signal(how); err != nil {
 		s.t.Error(err)
 	}
@@ -247,15 +247,15 @@
 			s.t.Errorf("%s did not end within 10 s of %v", p.name, how)
 			p.kill()
 		}
-		again := s.run(s.t, s.machines[n])
+		again := s.startInstance(s.t, s.machines[n])
 		s.mu.Lock()
 		s.procs[n] = again
 		s.mu.Unlock()
-		s.free <- n
+		s.restartable <- n
 	})
 }
 
-func (s *soak) proc(n int) *process {
+func (s *soak) process(n int) *process {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.procs[n]
@@ -263,7 +263,7 @@
 
 // freeze stops an instance for up to a second and a half.
 func (s *soak) freeze(n int) {
-	p := s.proc(n)
+	p := s.process(n)
 	if err := p.signal(syscall.SIGSTOP); err != nil {
 		s.t.Error(err)
 	}
@@ -273,19 +273,19 @@
 	}
 }
 
-// leave makes an engine announce its end and crash; another takes its place.
-func (s *soak) leave() {
+// replaceEngine makes an engine announce its end and crash; another takes its place.
+func (s *soak) replaceEngine() {
 	k := s.rand.IntN(len(s.pool))
 	w := s.pool[k]
 	w.Leave()
 	time.AfterFunc(700*time.Millisecond, func() { w.Crash(); w.Vanish() })
-	s.pool[k] = s.worker(s.t, fmt.Sprintf("engine-%d-%d", k, s.rand.IntN(1<<20)), hosting.Pool, func(k *hosting.Worker) {
-		k.EventEvery, k.EventCount, k.CopyTime = 25*time.Millisecond, draftSteps, 30*time.Millisecond
+	s.pool[k] = s.addUpstream(s.t, fmt.Sprintf("engine-%d-%d", k, s.rand.IntN(1<<20)), hosting.Pool, func(k *hosting.Worker) {
+		k.EventEvery, k.EventCount, k.CopyTime = 25*time.Millisecond, streamEvents, 30*time.Millisecond
 	})
 }
 
-// revoke takes the key away and gives another.
-func (s *soak) revoke() {
+// rotateKey takes the key away and gives another.
+func (s *soak) rotateKey() {
 	s.mu.Lock()
 	old := s.key
 	s.key = fmt.Sprintf("key-%d", s.rand.IntN(1<<20))
@@ -299,8 +299,8 @@
 	s.mu.Unlock()
 }
 
-// mend ends what lasts: outages of the store and faults of workers.
-func (s *soak) mend() {
+// clearFaults ends what lasts: outages of the store and faults of workers.
+func (s *soak) clearFaults() {
 	s.Table.Set(hosting.Well)
 	for _, r := range s.relays {
 		r.Delay(0)
@@ -314,12 +314,12 @@
 	}
 }
 
-// calm mends everything and waits until each instance serves again.
-func (s *soak) calm() {
-	s.mend()
+// waitRecovered mends everything and waits until each instance serves again.
+func (s *soak) waitRecovered() {
+	s.clearFaults()
 	began := time.Now()
 	for k, m := range s.machines {
-		testkit.Eventually(s.t, calmWithin, m.Name+" serves again", func() bool {
+		testkit.Eventually(s.t, recoveryTimeout, m.Name+" serves again", func() bool {
 			c := booking(fmt.Sprintf("calm-%d-%d", k, time.Since(began)))
 			c.key = s.key
 			return s.do(m, c).status == http.StatusOK
@@ -330,24 +330,24 @@
 // check judges by what callers saw and what reached the workers.
 func (s *soak) check() {
 	arrivals := s.Arrivals()
-	for id, a := range s.asked {
+	for id, a := range s.requests {
 		list := arrivals[id]
 		once := !strings.HasPrefix(a.path, hosting.PathBrief) && !strings.HasPrefix(a.path, hosting.PathLookUp)
-		if n := runs(list); once && n > 1 {
+		if n := countRuns(list); once && n > 1 {
 			s.t.Errorf("%s ran %d times", id, n)
 		} else if n > 2 {
 			s.t.Errorf("%s ran %d times, its route allows two", id, n)
 		}
-		if once && refusedHonestly(a.got.status) && runs(list) > 0 {
-			s.t.Errorf("%s was told %d, but it ran", id, a.got.status)
+		if once && refusedNotRun(a.result.status) && countRuns(list) > 0 {
+			s.t.Errorf("%s was told %d, but it ran", id, a.result.status)
 		}
-		if a.got.status == http.StatusOK && !a.got.cut {
+		if a.result.status == http.StatusOK && !a.result.truncated {
 			checkSuccess(s.t, a, list)
 		}
 		s.mu.Lock()
 		gone, taken := s.revoked[a.key]
 		s.mu.Unlock()
-		if taken && a.sent.After(gone.Add(hosting.RevokeWithin)) && runs(list) > 0 {
+		if taken && a.sent.After(gone.Add(hosting.RevokeWithin)) && countRuns(list) > 0 {
 			s.t.Errorf("%s ran with a key that was taken away %v before", id, a.sent.Sub(gone))
 		}
 		for _, arrival := range list {
@@ -357,7 +357,7 @@
 		}
 	}
 	for id := range arrivals {
-		if _, ok := s.asked[id]; !ok && !strings.HasPrefix(id, "calm-") {
+		if _, ok := s.requests[id]; !ok && !strings.HasPrefix(id, "calm-") {
 			s.t.Errorf("a request that nobody sent reached a worker: %s", id)
 		}
 	}
@@ -367,18 +367,18 @@
 }
 
 // checkSuccess checks that a success is one worker's whole answer.
-func checkSuccess(t *testing.T, a asked, list []hosting.Arrival) {
+func checkSuccess(t *testing.T, a sentRequest, list []hosting.Arrival) {
 	t.Helper()
 	if strings.HasPrefix(a.path, hosting.PathDraft) || strings.HasPrefix(a.path, hosting.PathBrief) {
-		if a.got.body != events(a.id) {
-			t.Errorf("%s: the stream looks whole but is not: %d events", a.id, strings.Count(a.got.body, "\n\n"))
+		if a.result.body != streamBody(a.id) {
+			t.Errorf("%s: the stream looks whole but is not: %d events", a.id, strings.Count(a.result.body, "\n\n"))
 		}
 		return
 	}
 	for _, arrival := range list {
-		if a.got.body == hosting.Body(a.id, arrival.Worker) && a.got.header.Get("Response-Seal") == "seal-"+a.id {
+		if a.result.body == hosting.Body(a.id, arrival.Worker) && a.result.header.Get("Response-Seal") == "seal-"+a.id {
 			return
 		}
 	}
-	t.Errorf("%s got %q with seal %q", a.id, a.got.body, a.got.header.Get("Response-Seal"))
+	t.Errorf("%s got %q with seal %q", a.id, a.result.body, a.result.header.Get("Response-Seal"))
 }
--- a/internal/proctest/upgrade_test.go
+++ b/internal/proctest/upgrade_test.go
@@ -118,12 +118,12 @@
 func awaitServed(t *testing.T, procs []*process, event string) {
 	t.Helper()
 	for _, p := range procs {
-		testkit.Eventually(t, startWithin, p.name+" has served a request", func() bool { return strings.Contains(p.output(), event) })
+		testkit.Eventually(t, waitTimeout, p.name+" has served a request", func() bool { return strings.Contains(p.output(), event) })
 	}
 }
 
-// started is an instance and the version of the configuration in force at its start.
-type started struct {
+// replacement is an instance and the version of the configuration in force at its start.
+type replacement struct {
 	*process
 	version int64
 }
@@ -131,7 +131,7 @@
 // upgrade replaces the instances of a deployment.
 type upgrade struct {
 	*deployment
-	all []started
+	all []replacement
 	// version is the number of the newest configuration.
 	version int64
 }
@@ -145,9 +145,9 @@
 		if err := old.signal(syscall.SIGTERM); err != nil {
 			t.Fatal(err)
 		}
-		p := u.instance(t, fmt.Sprintf("entry-%d-%s", n+1, suffix))
+		p := u.startInstance(t, fmt.Sprintf("entry-%d-%s", n+1, suffix))
 		u.instances[n] = p
-		u.all = append(u.all, started{p, u.version})
+		u.all = append(u.all, replacement{p, u.version})
 		u.waitKnown(t)
 		if n == 0 {
 			u.version = u.applyText(t, text)
@@ -166,11 +166,11 @@
 	}
 	slices.Sort(want)
 	for _, p := range u.instances {
-		testkit.Eventually(t, startWithin, p.name+" is ready and knows the others", func() bool {
+		testkit.Eventually(t, waitTimeout, p.name+" is ready and knows the others", func() bool {
 			var entries struct {
 				Addresses []string `json:"addresses"`
 			}
-			if get("http://"+p.value(t, "caller_address")+"/v1/entries", &entries) != nil {
+			if getJSON("http://"+p.value(t, "caller_address")+"/v1/entries", &entries) != nil {
 				return false
 			}
 			slices.Sort(entries.Addresses)
@@ -184,7 +184,7 @@
 func (u *upgrade) waitVersion(t *testing.T) {
 	t.Helper()
 	for _, p := range u.all {
-		testkit.Eventually(t, startWithin, fmt.Sprintf("version %d is in force at %s", u.version, p.name), func() bool {
+		testkit.Eventually(t, waitTimeout, fmt.Sprintf("version %d is in force at %s", u.version, p.name), func() bool {
 			return p.hasEnded() || u.status(t, p.process).ConfigNumber == u.version
 		})
 	}
@@ -193,7 +193,7 @@
 // status returns an instance's status, or the zero value if it does not respond.
 func (u *upgrade) status(t *testing.T, p *process) (st daemon.Status) {
 	t.Helper()
-	if get("http://"+p.value(t, "operator_address")+"/v1/status", &st) != nil {
+	if getJSON("http://"+p.value(t, "operator_address")+"/v1/status", &st) != nil {
 		return daemon.Status{}
 	}
 	return st
@@ -217,7 +217,7 @@
 	u := &upgrade{deployment: (&deployment{builds: builds{fixed: secondBuild()}, logLevel: "debug"}).start(t)}
 	u.version = u.status(t, u.instances[0]).ConfigNumber
 	for _, p := range u.instances {
-		u.all = append(u.all, started{p, u.version})
+		u.all = append(u.all, replacement{p, u.version})
 	}
 	keys := []string{"kept-1", "kept-2", "kept-3"}
 	kept := u.bookAgain(t, keys...)
@@ -225,8 +225,8 @@
 	stop := make(chan struct{})
 	end := sync.OnceFunc(func() { close(stop) })
 	defer end()
-	busy := l.keepBusy(stop)
-	l.untilBegun(10)
+	busy := l.startTraffic(stop)
+	l.waitForFirstTokens(10)
 	awaitServed(t, u.instances, " event=request ")
 
 	// A drain takes the lifetime of entry answers plus 5 s.
@@ -241,12 +241,12 @@
 	end()
 	<-busy
 	answers := l.wait()
-	for _, p := range u.all[:2*instances] {
+	for _, p := range u.all[:2*instanceCount] {
 		p.awaitExit(t)
 	}
 	u.waitVersion(t)
-	mustDone(t, kept)
-	resumes := judge(t, u.deployment, append(kept, answers...))
+	requireDone(t, kept)
+	resumes := checkAnswers(t, u.deployment, append(kept, answers...))
 	if resumes != 0 {
 		t.Errorf("%d streams were cut by the replacements, want 0", resumes)
 	}
@@ -257,7 +257,7 @@
 		case a.outcome == client.Done:
 			done++
 		case !errors.As(a.err, &refused) || refused.Outcome != client.NotRun || refused.RetryAfter <= 0:
-			t.Errorf("%s: %s, %v; want done, or not run and a time to retry", a.what, a.outcome, a.err)
+			t.Errorf("%s: %s, %v; want done, or not run and a time to retry", a.name, a.outcome, a.err)
 		}
 	}
 	t.Logf("answers=%d done=%d version=%d", len(answers), done, u.version)
@@ -272,8 +272,8 @@
 
 // hostedUpgrade replaces the instances of a hosting platform under traffic.
 type hostedUpgrade struct {
-	*world
-	all     []started
+	*fixture
+	all     []replacement
 	version int64
 	// key is accepted by the newest configuration only, former by the one before only.
 	key, former string
@@ -284,7 +284,7 @@
 	mu sync.Mutex
 	// live are the machines whose directory the callers ask.
 	live  []hosting.Machine
-	asked []asked
+	requests []sentRequest
 }
 
 // call sends requests to instances that a live one's directory names, until stop is closed.
@@ -298,16 +298,16 @@
 		u.mu.Lock()
 		m := u.live[rand.IntN(len(u.live))]
 		u.mu.Unlock()
-		named := u.named(m)
+		named := u.resolve(m)
 		if len(named) == 0 {
 			continue // it has begun to drain, and its callers ask another one
 		}
 		id := fmt.Sprintf("u%d-%d", caller, n)
-		c := []call{draft(id), booking(id), lookUp(id)}[caller%3]
-		a := asked{call: c, sent: time.Now()}
-		a.got = u.do(hosting.Machine{Callers: named[rand.IntN(len(named))]}, c)
+		c := []call{generation(id), booking(id), lookUp(id)}[caller%3]
+		a := sentRequest{call: c, sent: time.Now()}
+		a.result = u.do(hosting.Machine{Callers: named[rand.IntN(len(named))]}, c)
 		u.mu.Lock()
-		u.asked = append(u.asked, a)
+		u.requests = append(u.requests, a)
 		u.mu.Unlock()
 	}
 }
@@ -321,8 +321,8 @@
 	}
 	m, p := start()
 	u.machines[n], u.procs[n] = m, p
-	u.all = append(u.all, started{p, u.version})
-	testkit.Eventually(t, startWithin, m.Name+" is ready", func() bool { return u.ready(m) })
+	u.all = append(u.all, replacement{p, u.version})
+	testkit.Eventually(t, waitTimeout, m.Name+" is ready", func() bool { return u.ready(m) })
 	u.mu.Lock()
 	u.live = slices.Clone(u.machines)
 	u.mu.Unlock()
@@ -332,8 +332,8 @@
 	}
 	slices.Sort(want)
 	for _, m := range u.machines {
-		testkit.Eventually(t, startWithin, m.Name+" knows the others", func() bool {
-			named := u.named(m)
+		testkit.Eventually(t, waitTimeout, m.Name+" knows the others", func() bool {
+			named := u.resolve(m)
 			slices.Sort(named)
 			return slices.Equal(named, want)
 		})
@@ -354,7 +354,7 @@
 	t.Helper()
 	text := fmt.Sprintf(" event=configuration_adopted version=%d ", u.version)
 	for _, p := range u.all {
-		testkit.Eventually(t, startWithin, fmt.Sprintf("version %d is in force at %s", u.version, p.name), func() bool {
+		testkit.Eventually(t, waitTimeout, fmt.Sprintf("version %d is in force at %s", u.version, p.name), func() bool {
 			return p.hasEnded() || strings.Contains(p.output(), text)
 		})
 	}
@@ -378,12 +378,12 @@
 // streams, repeat bookings, or keep an old configuration in force.
 func TestHostedUpgradeInPlace(t *testing.T) {
 	t.Parallel()
-	u := &hostedUpgrade{world: settleBuild(t, secondBuild()), stop: make(chan struct{})}
+	u := &hostedUpgrade{fixture: newFixtureOfBuild(t, secondBuild()), stop: make(chan struct{})}
 	u.configure("key-two")
 	first := slices.Clone(u.machines)
 	u.live = first
 	for _, p := range u.procs {
-		u.all = append(u.all, started{p, 0})
+		u.all = append(u.all, replacement{p, 0})
 	}
 	u.waitVersion(t)
 	const callers = 9
@@ -402,7 +402,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			return m, u.run(t, m)
+			return m, u.startInstance(t, m)
 		})
 		if n == 0 {
 			u.configure("key-three")
@@ -414,7 +414,7 @@
 	for n, m := range first {
 		u.replace(t, n, func() (hosting.Machine, *process) {
 			replaced[n].awaitExit(t)
-			return m, u.run(t, m)
+			return m, u.startInstance(t, m)
 		})
 		if n == 0 {
 			u.configure("key-four")
@@ -443,24 +443,24 @@
 func (u *hostedUpgrade) check(t *testing.T) {
 	t.Helper()
 	arrivals, served := u.Arrivals(), 0
-	for _, a := range u.asked {
+	for _, a := range u.requests {
 		list, most := arrivals[a.id], 1
 		if strings.HasPrefix(a.path, hosting.PathLookUp) {
 			most = 2
 		}
-		if n := runs(list); n > most {
+		if n := countRuns(list); n > most {
 			t.Errorf("%s ran %d times, want at most %d", a.id, n, most)
 		}
-		switch r := a.got; {
-		case r.status == http.StatusOK && !r.cut:
+		switch r := a.result; {
+		case r.status == http.StatusOK && !r.truncated:
 			served++
 			checkSuccess(t, a, list)
-		case !refusedHonestly(r.status) || r.header.Get("Retry-After") == "" || runs(list) > 0:
-			t.Errorf("%s: status %d cut %v error %v, run %d times; want success, or a refusal with a time to retry", a.id, r.status, r.cut, r.err, runs(list))
+		case !refusedNotRun(r.status) || r.header.Get("Retry-After") == "" || countRuns(list) > 0:
+			t.Errorf("%s: status %d cut %v error %v, run %d times; want success, or a refusal with a time to retry", a.id, r.status, r.truncated, r.err, countRuns(list))
 		}
 	}
-	t.Logf("requests=%d served=%d version=%d", len(u.asked), served, u.version)
-	if served < len(u.asked)/2 {
-		t.Errorf("%d of %d requests were served, want at least half", served, len(u.asked))
+	t.Logf("requests=%d served=%d version=%d", len(u.requests), served, u.version)
+	if served < len(u.requests)/2 {
+		t.Errorf("%d of %d requests were served, want at least half", served, len(u.requests))
 	}
 }
