--- a/internal/proctest/deployment_test.go
+++ b/internal/proctest/deployment_test.go
@@ -23,34 +23,35 @@
 )
 
 const (
-	instanceCount  = 3
-	engineCount    = 3
-	dataCentre = "kochi-a"
-	// medianTokens is the medianTokens answer in tokens: at 10 ms a token, streams run
-	// for seconds, longer than an entry answer is kept.
+	instanceCount = 3
+	engineCount   = 3
+	dataCentre    = "kochi-a"
+	// medianTokens is the median length of a generation. At 10 ms per token, streams take
+	// seconds, longer than callers cache the list of instances.
 	medianTokens = "250"
 )
 
-// deployment is a whole one in processes of its own.
+// deployment is a complete deployment with the project's own platform interface. Every part is
+// a separate process.
 type deployment struct {
-	dir       string
-	platform  *process
-	engines   []*process
-	service   *process
-	instances []*process
-	platformURL      string
-	builds    builds
+	dir         string
+	platform    *process
+	engines     []*process
+	service     *process
+	instances   []*process
+	platformURL string
+	builds      builds
 	// logLevel is the log level of the instances, "" for the default.
 	logLevel string
 }
 
-// deploy starts everything and waits until each instance serves.
+// deploy starts a deployment and waits until each instance is ready.
 func deploy(t *testing.T) *deployment {
 	t.Helper()
 	return (&deployment{}).start(t)
 }
 
-// start starts the processes of a deployment and waits until each instance serves.
+// start starts the processes and waits until each instance is ready.
 func (d *deployment) start(t *testing.T) *deployment {
 	t.Helper()
 	d.dir = t.TempDir()
@@ -85,7 +86,7 @@
 	return demo.Configuration(demo.FleetOptions{Engines: engineCount, Services: 1})
 }
 
-// applyText applies a configuration and returns its number.
+// applyText applies a configuration and returns its version number.
 func (d *deployment) applyText(t *testing.T, text string) (number int64) {
 	t.Helper()
 	if err := os.WriteFile(filepath.Join(d.dir, "deployment.yaml"), []byte(text), 0o600); err != nil {
@@ -100,7 +101,7 @@
 			return number
 		}
 	}
-	t.Fatalf("apply printed %q, want the number of the version", out)
+	t.Fatalf("apply printed %q, want the version number", out)
 	return 0
 }
 
@@ -120,11 +121,11 @@
 	return p
 }
 
-// waitReady waits until each instance has a configuration and knows the others.
+// waitReady waits until each instance has a configuration and has discovered all others.
 func (d *deployment) waitReady(t *testing.T) {
 	t.Helper()
 	for _, p := range d.instances {
-		testkit.Eventually(t, waitTimeout, p.name+" is ready", func() bool {
+		testkit.Eventually(t, waitTimeout, p.name+" has a configuration and lists all instances", func() bool {
 			var st daemon.Status
 			err := getJSON("http://"+p.value(t, "operator_address")+"/v1/status", &st)
 			return err == nil && st.ConfigNumber > 0 && st.Instances == len(d.instances)
@@ -132,7 +133,7 @@
 	}
 }
 
-// client returns a caller that knows the instances of now.
+// client returns a client whose seeds are the current instances.
 func (d *deployment) client(t *testing.T) *client.Client {
 	var seeds []string
 	for _, p := range d.instances {
@@ -141,7 +142,7 @@
 	return client.New(client.Options{Seeds: seeds, APIKey: demo.APIKey, Retries: 5})
 }
 
-// setFaults sets the switches of the platform.
+// setFaults sets the faults that the stand-in platform injects.
 func (d *deployment) setFaults(t *testing.T, f platform.Faults) {
 	t.Helper()
 	raw, err := json.Marshal(f)
@@ -155,7 +156,7 @@
 	resp.Body.Close()
 }
 
-// generations returns what the engines recorded, by attempt.
+// generations returns the generations that the engines recorded, by attempt id.
 func (d *deployment) generations(t *testing.T) map[string]engine.Record {
 	t.Helper()
 	out := map[string]engine.Record{}
@@ -171,7 +172,7 @@
 	return out
 }
 
-// callCounts returns how often the service ran each key.
+// callCounts returns how often the booking service ran each key.
 func (d *deployment) callCounts(t *testing.T) map[string]int {
 	t.Helper()
 	var list []service.Call
@@ -185,6 +186,7 @@
 	return out
 }
 
+// getJSON decodes the JSON body of a response into v. It times out after 5 s.
 func getJSON(url string, v any) error {
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
--- a/internal/proctest/doc.go
+++ b/internal/proctest/doc.go
@@ -1,4 +1,4 @@
-// Package proctest holds tests of the built binary: instances, platform,
-// engines and a booking service run as separate processes, and the tests kill,
-// freeze and drain them. It has no code of its own.
+// Package proctest tests the built command: instances run as separate processes,
+// which the tests kill, pause and drain. Platforms and upstreams are stand-ins. The
+// package contains tests only.
 package proctest
--- a/internal/proctest/hosted_cordon_test.go
+++ b/internal/proctest/hosted_cordon_test.go
@@ -14,43 +14,44 @@
 	"mulberrylug.example/mulberrylug/internal/testkit"
 )
 
-// threeDataCentres are data centres of one region.
+// threeDataCentres maps data centres to their common region.
 var threeDataCentres = map[string]string{"zone-a": "region-a", "zone-b": "region-a", "zone-c": "region-a"}
 
-// cordonTimeout is how soon a cordon must be in force everywhere.
+// cordonTimeout is the maximum time until a cordon is in force at every instance.
 const cordonTimeout = 2 * time.Second
 
-// traffic sends look-ups and bookings to all instances until it is stopped.
+// traffic sends look-ups and bookings to all instances until finish is called.
 type traffic struct {
 	stop chan struct{}
 	wg   sync.WaitGroup
 	mu   sync.Mutex
-	// slowestRefusal is the longest wait for a refusal, done counts by status.
+	// slowestRefusal is the longest wait for a refusal, statuses counts responses by status.
 	slowestRefusal time.Duration
-	statuses    map[int]int
+	statuses       map[int]int
 }
 
+// trafficCount makes the request ids of each traffic unique.
 var trafficCount atomic.Int64
 
-// startTraffic starts callers of each instance.
-func (w *fixture) startTraffic(each time.Duration) *traffic {
+// startTraffic starts one caller per instance, each with a request per interval.
+func (f *fixture) startTraffic(interval time.Duration) *traffic {
 	l := &traffic{stop: make(chan struct{}), statuses: map[int]int{}}
 	run := trafficCount.Add(1)
-	for m := range w.machines {
+	for m := range f.machines {
 		l.wg.Go(func() {
 			for n := 0; ; n++ {
 				select {
 				case <-l.stop:
 					return
-				case <-time.After(each):
+				case <-time.After(interval):
 				}
 				c := lookUp(fmt.Sprintf("load%d-%d-%d", run, m, n))
 				if n%2 == 0 {
 					c = booking(c.id)
 				}
-				asked := time.Now()
-				r := w.do(w.machines[m], c)
-				l.record(r.status, time.Since(asked))
+				sent := time.Now()
+				r := f.do(f.machines[m], c)
+				l.record(r.status, time.Since(sent))
 			}
 		})
 	}
@@ -71,11 +72,11 @@
 	l.wg.Wait()
 }
 
-// arrivalsAfter returns the arrivals in a data centre that came later than some time after a
-// moment, and the last of all that came there.
-func (w *fixture) arrivalsAfter(zone string, since time.Time, within time.Duration) (late []hosting.Arrival, last time.Duration) {
-	for _, k := range append(append([]*hosting.Worker{}, w.pool...), w.desk...) {
-		if k.Zone != zone {
+// arrivalsAfter returns the arrivals in a data centre later than within after since, and the time from
+// since to the last arrival there.
+func (f *fixture) arrivalsAfter(dc string, since time.Time, within time.Duration) (late []hosting.Arrival, last time.Duration) {
+	for _, k := range append(append([]*hosting.Worker{}, f.pool...), f.desk...) {
+		if k.Zone != dc {
 			continue
 		}
 		for _, a := range k.Arrivals() {
@@ -89,78 +90,77 @@
 	return late, last
 }
 
-// A data centre is cordoned under load, while the store is well, slow, silent right after,
-// forgetful, or turns some instances away, and while all instances are killed right after.
-// Two seconds later nothing may reach it any more, whatever an instance knows it from; what
-// runs there must end well; and it must be used again once the cordon is lifted.
+// A data centre is cordoned under load while the store has no faults, is slow, stops responding, has
+// lost its history or refuses some instances, and while all instances are killed right after. After
+// 2 s no request may reach the data centre, whatever the source of an instance's state; requests that
+// run there must complete; and it must be used again once the cordon is lifted.
 func TestHostedCordon(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name string
-		// before and after happen right before the row is written and after it was read by
-		// someone.
+		// before is called right before the row is written, after once an instance has read it.
 		before, after func(*testing.T, *fixture)
 	}{
-		{name: "store well"},
-		{name: "store slow", before: func(_ *testing.T, w *fixture) { w.Table.Set(hosting.Slow) }},
-		{name: "store silent right after", after: func(_ *testing.T, w *fixture) { w.Table.Set(hosting.Silent) }},
-		{name: "store without history", before: func(_ *testing.T, w *fixture) { w.Table.Forget() }},
-		{name: "some turned away", before: func(_ *testing.T, w *fixture) {
-			w.Table.SetFor(w.machines[0].IP, hosting.Busy)
-			w.Table.SetFor(w.machines[1].IP, hosting.Silent)
+		{name: "store without faults"},
+		{name: "store slow", before: func(_ *testing.T, f *fixture) { f.Table.Set(hosting.Slow) }},
+		{name: "store unresponsive right after", after: func(_ *testing.T, f *fixture) { f.Table.Set(hosting.Silent) }},
+		{name: "store without history", before: func(_ *testing.T, f *fixture) { f.Table.Forget() }},
+		{name: "store refuses some instances", before: func(_ *testing.T, f *fixture) {
+			f.Table.SetFor(f.machines[0].IP, hosting.Busy)
+			f.Table.SetFor(f.machines[1].IP, hosting.Silent)
 		}},
-		{name: "all killed right after", after: func(t *testing.T, w *fixture) {
-			for _, p := range w.procs {
+		{name: "all killed right after", after: func(t *testing.T, f *fixture) {
+			for _, p := range f.procs {
 				p.kill()
 			}
-			w.procs = nil
-			for _, m := range w.machines {
-				w.procs = append(w.procs, w.startInstance(t, m))
+			f.procs = nil
+			for _, m := range f.machines {
+				f.procs = append(f.procs, f.startInstance(t, m))
 			}
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			w := newFixtureWithDataCentres(t, threeDataCentres, 2, nil)
-			l := w.startTraffic(20 * time.Millisecond)
-			var drafts sync.WaitGroup
+			f := newFixtureWithDataCentres(t, threeDataCentres, 2, nil)
+			l := f.startTraffic(20 * time.Millisecond)
+			var generations sync.WaitGroup
 			results := make([]result, 12)
 			for k := range results {
-				drafts.Go(func() {
-					results[k] = w.do(w.machines[k%len(w.machines)], generation(fmt.Sprintf("%s-%d", strings.ReplaceAll(c.name, " ", "-"), k)))
+				generations.Go(func() {
+					results[k] = f.do(f.machines[k%len(f.machines)], generation(fmt.Sprintf("%s-%d", strings.ReplaceAll(c.name, " ", "-"), k)))
 				})
 			}
 			time.Sleep(300 * time.Millisecond)
 			if c.before != nil {
-				c.before(t, w)
+				c.before(t, f)
 			}
 			cordoned := time.Now()
-			w.Cordon("zone-b")
+			f.Cordon("zone-b")
 			if c.after != nil {
-				testkit.Eventually(t, cordonTimeout, "somebody knows of the cordon", func() bool {
-					return len(logLines(w.procs, "event=cordons_changed")) > 0
+				testkit.Eventually(t, cordonTimeout, "an instance has applied the cordon", func() bool {
+					return len(logLines(f.procs, "event=cordons_changed")) > 0
 				})
-				c.after(t, w)
+				c.after(t, f)
 			}
 			time.Sleep(3 * time.Second)
-			late, last := w.arrivalsAfter("zone-b", cordoned, cordonTimeout)
-			t.Logf("the last request reached it %v after the cordon", last.Round(time.Millisecond))
+			late, last := f.arrivalsAfter("zone-b", cordoned, cordonTimeout)
+			t.Logf("the last request reached the data centre %v after the cordon", last.Round(time.Millisecond))
 			if len(late) > 0 {
-				t.Errorf("%d requests reached a cordoned data centre later than %v, the first: %+v", len(late), cordonTimeout, late[0])
+				t.Errorf("%d requests reached the data centre later than %v after the cordon, want none; the first: %+v", len(late), cordonTimeout, late[0])
 			}
 			if c.name != "all killed right after" {
-				drafts.Wait()
+				generations.Wait()
 				for _, r := range results {
 					if r.status != http.StatusOK || r.truncated {
-						t.Errorf("a draft that ran ended with status %d, cut %v", r.status, r.truncated)
+						t.Errorf("a generation that ran at the cordon ended with status %d, truncated %v; want it complete", r.status, r.truncated)
 					}
 				}
 			}
-			w.Table.Set(hosting.Well)
+			f.Table.Set(hosting.Well)
 			lifted := time.Now()
-			w.Uncordon("zone-b")
+			f.Uncordon("zone-b")
 			testkit.Eventually(t, waitTimeout, "the data centre is used again", func() bool {
-				_, last := w.arrivalsAfter("zone-b", lifted, 0)
+				_, last := f.arrivalsAfter("zone-b", lifted, 0)
 				return last > 0
 			})
 			l.finish()
@@ -168,96 +168,97 @@
 	}
 }
 
-// All data centres are cordoned. Every caller must hear so at once, with a time to come
-// back, and be served as soon as one is back.
+// All data centres are cordoned. Every caller must be refused at once with a time to retry, and be
+// served as soon as one data centre is uncordoned.
 func TestHostedAllDataCentresCordoned(t *testing.T) {
 	t.Parallel()
-	w := newFixtureWithDataCentres(t, threeDataCentres, 1, nil)
-	for zone := range threeDataCentres {
-		w.Cordon(zone)
+	f := newFixtureWithDataCentres(t, threeDataCentres, 1, nil)
+	for dc := range threeDataCentres {
+		f.Cordon(dc)
 	}
-	testkit.Eventually(t, cordonTimeout, "all instances know", func() bool {
-		return len(logLines(w.procs, "cordoned=zone-a,zone-b,zone-c")) == len(w.machines)
+	testkit.Eventually(t, cordonTimeout, "all instances have applied the change", func() bool {
+		return len(logLines(f.procs, "cordoned=zone-a,zone-b,zone-c")) == len(f.machines)
 	})
-	for k, m := range w.machines {
+	for k, m := range f.machines {
 		for _, c := range []call{generation(fmt.Sprintf("d%d", k)), booking(fmt.Sprintf("b%d", k)), lookUp(fmt.Sprintf("l%d", k))} {
-			asked := time.Now()
-			r := w.do(m, c)
-			if took := time.Since(asked); r.status != http.StatusServiceUnavailable || r.header.Get("Retry-After") == "" || took > 500*time.Millisecond {
-				t.Errorf("%s: status %d after %v, come back after %q", c.id, r.status, took, r.header.Get("Retry-After"))
+			sent := time.Now()
+			r := f.do(m, c)
+			if took := time.Since(sent); r.status != http.StatusServiceUnavailable || r.header.Get("Retry-After") == "" || took > 500*time.Millisecond {
+				t.Errorf("%s: status %d after %v with Retry-After %q, want 503 with Retry-After within 0.5 s", c.id, r.status, took, r.header.Get("Retry-After"))
 			}
-			if got := w.Arrivals()[c.id]; len(got) > 0 {
-				t.Errorf("%s reached %s", c.id, got[0].Worker)
+			if got := f.Arrivals()[c.id]; len(got) > 0 {
+				t.Errorf("%s reached %s, want it on no upstream", c.id, got[0].Worker)
 			}
 		}
 	}
-	testkit.Eventually(t, cordonTimeout, "a line for each refusal names the reason", func() bool {
-		return len(logLines(w.procs, "reason=cordoned")) == 3*len(w.machines)
+	testkit.Eventually(t, cordonTimeout, "each refusal is logged with its reason", func() bool {
+		return len(logLines(f.procs, "reason=cordoned")) == 3*len(f.machines)
 	})
-	w.Uncordon("zone-c")
-	for k, m := range w.machines {
+	f.Uncordon("zone-c")
+	for k, m := range f.machines {
 		testkit.Eventually(t, cordonTimeout, m.Name+" serves again", func() bool {
-			return w.do(m, lookUp(fmt.Sprintf("again-%d-%d", k, time.Now().UnixNano()))).status == http.StatusOK
+			return f.do(m, lookUp(fmt.Sprintf("again-%d-%d", k, time.Now().UnixNano()))).status == http.StatusOK
 		})
 	}
 }
 
-// An operator's tool writes a row of another form, and one for a data centre that does not
-// exist. The first counts by its name, nothing else changes, and both are told once.
+// An operator's tool writes a row of an unknown form, and one for a data centre that does not exist.
+// The first must cordon the data centre in its key, and the second must change nothing. Both must be
+// logged once.
 func TestHostedInvalidCordons(t *testing.T) {
 	t.Parallel()
-	w := newFixtureWithDataCentres(t, threeDataCentres, 1, nil)
-	w.Table.Put("op", "evacuate/zone-a", []byte(`{"torn`))
-	w.Table.Put("op", "evacuate/nowhere", map[string]any{"since": 7})
-	testkit.Eventually(t, cordonTimeout, "all instances know", func() bool {
-		return len(logLines(w.procs, "cordoned=nowhere,zone-a")) == len(w.machines)
+	f := newFixtureWithDataCentres(t, threeDataCentres, 1, nil)
+	f.Table.Put("op", "evacuate/zone-a", []byte(`{"torn`))
+	f.Table.Put("op", "evacuate/nowhere", map[string]any{"since": 7})
+	testkit.Eventually(t, cordonTimeout, "all instances have applied the change", func() bool {
+		return len(logLines(f.procs, "cordoned=nowhere,zone-a")) == len(f.machines)
 	})
 	time.Sleep(time.Second)
-	if n := len(logLines(w.procs, "event=cordon_unreadable")); n < 1 {
-		t.Error("no line on the rows that can't be read in full")
+	if n := len(logLines(f.procs, "event=cordon_unreadable")); n < 1 {
+		t.Error("no instance logged the row that can't be decoded")
 	}
-	for _, p := range w.procs {
+	for _, p := range f.procs {
 		if n := len(logLines([]*process{p}, "event=cordon_unreadable")); n > 1 {
-			t.Errorf("%s says so %d times, want once while it reads the store", p.name, n)
+			t.Errorf("%s logged the row that can't be decoded %d times, want at most once", p.name, n)
 		}
 	}
-	if n := len(logLines(w.procs, "event=cordon_of_unknown_data_centre")); n < 1 {
-		t.Error("no line on the data centre that does not exist")
+	if n := len(logLines(f.procs, "event=cordon_of_unknown_data_centre")); n < 1 {
+		t.Error("no instance logged the data centre that does not exist")
 	}
-	for k, m := range w.machines {
-		if r := w.do(m, lookUp(fmt.Sprintf("l%d", k))); r.status != http.StatusOK {
-			t.Errorf("status %d", r.status)
+	for k, m := range f.machines {
+		if r := f.do(m, lookUp(fmt.Sprintf("l%d", k))); r.status != http.StatusOK {
+			t.Errorf("status %d of a look-up, want 200", r.status)
 		}
 	}
 }
 
-// A data centre comes back cold under a burst: its engines crash under more requests a
-// second than they state. None may, and no request may be lost to one.
+// A data centre is uncordoned during a burst, and its engines are cold: they crash if they get more
+// requests per second than they declare. None may crash, and no accepted request may be lost.
 func TestHostedColdDataCentreReturns(t *testing.T) {
 	t.Parallel()
-	const bears = 4
-	w := newFixtureWithDataCentres(t, threeDataCentres, 2, func(b *hosting.World) { b.ColdFor, b.ColdPerS = time.Second, bears })
-	w.Cordon("zone-b")
-	testkit.Eventually(t, cordonTimeout, "all instances know", func() bool {
-		return len(logLines(w.procs, "cordoned=zone-b")) == len(w.machines)
+	const coldPerSecond = 4
+	f := newFixtureWithDataCentres(t, threeDataCentres, 2, func(b *hosting.World) { b.ColdFor, b.ColdPerS = time.Second, coldPerSecond })
+	f.Cordon("zone-b")
+	testkit.Eventually(t, cordonTimeout, "all instances have applied the change", func() bool {
+		return len(logLines(f.procs, "cordoned=zone-b")) == len(f.machines)
 	})
-	for _, k := range w.pool {
+	for _, k := range f.pool {
 		if k.Zone == "zone-b" {
 			k.Chill(3 * time.Second)
 		}
 	}
-	w.Uncordon("zone-b")
-	const drafts = 120
-	results := make([]result, drafts)
+	f.Uncordon("zone-b")
+	const generations = 120
+	results := make([]result, generations)
 	var wg sync.WaitGroup
-	for k := range drafts {
+	for k := range generations {
 		wg.Go(func() {
 			time.Sleep(time.Duration(k) * 10 * time.Millisecond)
-			results[k] = w.do(w.machines[k%len(w.machines)], generation(fmt.Sprintf("c%d", k)))
+			results[k] = f.do(f.machines[k%len(f.machines)], generation(fmt.Sprintf("c%d", k)))
 		})
 	}
 	wg.Wait()
-	arrivals, cold := w.Arrivals(), 0
+	arrivals, cold := f.Arrivals(), 0
 	for k, r := range results {
 		id := fmt.Sprintf("c%d", k)
 		if refusedNotRun(r.status) {
@@ -270,104 +271,105 @@
 			}
 		}
 	}
-	for _, k := range w.pool {
+	for _, k := range f.pool {
 		if k.Overrun() {
-			t.Errorf("%s crashed under too many requests", k.ID)
+			t.Errorf("%s crashed under more requests than it accepts while cold", k.ID)
 		}
 	}
 	if cold == 0 {
-		t.Error("nothing reached a cold engine: the test shows nothing")
+		t.Error("no request reached a cold engine, so the test checks nothing")
 	}
 }
 
-// Two regions of three data centres each. Requests that are confined to one must stay there:
-// no upstream elsewhere, and callers elsewhere are named instances in it or their own region.
-// When the region is lost they are refused at once.
+// Two regions with three data centres each. Requests confined to one region must reach upstreams
+// there only, and callers elsewhere must be directed to instances in that region or in their own.
+// When the region is lost, such requests must be refused at once.
 func TestHostedRegions(t *testing.T) {
 	t.Parallel()
-	zones := map[string]string{"n1": "north", "n2": "north", "n3": "north", "s1": "south", "s2": "south", "s3": "south"}
-	w := newFixtureWithDataCentres(t, zones, 1, nil)
-	w.Configure(func(c map[string]any) {
+	regionOf := map[string]string{"n1": "north", "n2": "north", "n3": "north", "s1": "south", "s2": "south", "s3": "south"}
+	f := newFixtureWithDataCentres(t, regionOf, 1, nil)
+	f.Configure(func(c map[string]any) {
 		for _, r := range c["routes"].([]map[string]any) {
 			r["allowed_regions"] = []string{"south"}
 		}
 	})
-	testkit.Eventually(t, cordonTimeout, "all instances know", func() bool {
-		return len(logLines(w.procs, "event=configuration_adopted version=6")) == len(w.machines)
+	testkit.Eventually(t, cordonTimeout, "all instances have applied the change", func() bool {
+		return len(logLines(f.procs, "event=configuration_adopted version=6")) == len(f.machines)
 	})
-	for k, m := range w.machines {
+	for k, m := range f.machines {
 		for _, c := range []call{generation(fmt.Sprintf("d%d", k)), booking(fmt.Sprintf("b%d", k)), lookUp(fmt.Sprintf("l%d", k))} {
-			if r := w.do(m, c); r.status != http.StatusOK || r.truncated {
-				t.Errorf("%s at %s: %+v", c.id, m.Zone, r)
+			if r := f.do(m, c); r.status != http.StatusOK || r.truncated {
+				t.Errorf("%s at %s: %+v, want a success", c.id, m.Zone, r)
 			}
 		}
 	}
-	for _, k := range append(append([]*hosting.Worker{}, w.pool...), w.desk...) {
-		if n := len(k.Arrivals()); n > 0 && zones[k.Zone] != "south" {
-			t.Errorf("%d requests reached %s in %s", n, k.ID, k.Zone)
+	for _, k := range append(append([]*hosting.Worker{}, f.pool...), f.desk...) {
+		if n := len(k.Arrivals()); n > 0 && regionOf[k.Zone] != "south" {
+			t.Errorf("%d requests reached %s in %s, want none outside the region", n, k.ID, k.Zone)
 		}
 	}
-	w.checkRegions(t, zones, "north", "n1", "north", "south")
-	w.checkRegions(t, zones, "south", "s1", "south")
-	for _, k := range append(append([]*hosting.Worker{}, w.pool...), w.desk...) {
-		if zones[k.Zone] == "south" {
+	f.checkRegions(t, regionOf, "north", "n1", "north", "south")
+	f.checkRegions(t, regionOf, "south", "s1", "south")
+	for _, k := range append(append([]*hosting.Worker{}, f.pool...), f.desk...) {
+		if regionOf[k.Zone] == "south" {
 			k.Crash()
 			k.Vanish()
 		}
 	}
-	for k, m := range w.machines {
-		if zones[m.Zone] != "north" {
-			w.procs[k].kill()
+	for k, m := range f.machines {
+		if regionOf[m.Zone] != "north" {
+			f.procs[k].kill()
 		}
 	}
-	north := w.machines[0]
-	testkit.Eventually(t, waitTimeout, "the loss of the region is told at once", func() bool {
-		asked := time.Now()
-		r := w.do(north, lookUp(fmt.Sprintf("lost-%d", asked.UnixNano())))
-		return refusedNotRun(r.status) && r.header.Get("Retry-After") != "" && time.Since(asked) < 500*time.Millisecond
+	north := f.machines[0]
+	testkit.Eventually(t, waitTimeout, "a request is refused within 0.5 s after the loss of the region", func() bool {
+		sent := time.Now()
+		r := f.do(north, lookUp(fmt.Sprintf("lost-%d", sent.UnixNano())))
+		return refusedNotRun(r.status) && r.header.Get("Retry-After") != "" && time.Since(sent) < 500*time.Millisecond
 	})
-	w.checkRegions(t, zones, "north", "n1", "north")
+	f.checkRegions(t, regionOf, "north", "n1", "north")
 }
 
-// checkRegions checks that callers of a data centre are named instances of some regions only.
-func (w *fixture) checkRegions(t *testing.T, zones map[string]string, region, zone string, regions ...string) {
+// checkRegions checks that the directory directs callers of a data centre to instances in the given
+// regions only.
+func (f *fixture) checkRegions(t *testing.T, regionOf map[string]string, region, dc string, regions ...string) {
 	t.Helper()
-	for _, m := range w.machines {
-		for _, address := range w.resolveFrom(m, region, zone) {
-			for _, o := range w.machines {
-				if o.Callers == address && !strings.Contains(strings.Join(regions, ","), zones[o.Zone]) {
-					t.Errorf("%s names %s in %s to a caller in %s", m.Name, o.Name, o.Zone, zone)
+	for _, m := range f.machines {
+		for _, address := range f.resolveFrom(m, region, dc) {
+			for _, o := range f.machines {
+				if o.Callers == address && !strings.Contains(strings.Join(regions, ","), regionOf[o.Zone]) {
+					t.Errorf("%s directs to %s in %s for a caller in %s, want instances in the allowed regions only", m.Name, o.Name, o.Zone, dc)
 				}
 			}
 		}
 	}
 }
 
-// Instances die in three ways: killed, switched off without a word, and told to stop. Some
-// seconds later no answer may name them any more.
+// Instances end in three ways: killed, stopped without closing connections, and drained. Three
+// seconds later no directory response may name them.
 func TestHostedDirectoryDropsDeadInstances(t *testing.T) {
 	t.Parallel()
-	w := newFixture(t)
+	f := newFixture(t)
 	for k := range 3 {
-		w.addInstance(t, fmt.Sprintf("entry-%d", hostedInstanceCount+k))
+		f.addInstance(t, fmt.Sprintf("entry-%d", hostedInstanceCount+k))
 	}
-	w.waitReady(t)
+	f.waitReady(t)
 	dead := map[string]string{
-		w.machines[1].Callers: "killed", w.machines[2].Callers: "switched off", w.machines[3].Callers: "stopped",
+		f.machines[1].Callers: "killed", f.machines[2].Callers: "unresponsive", f.machines[3].Callers: "drained",
 	}
-	w.procs[1].kill()
-	if err := w.procs[2].signal(syscall.SIGSTOP); err != nil {
+	f.procs[1].kill()
+	if err := f.procs[2].signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
-	if err := w.procs[3].signal(syscall.SIGTERM); err != nil {
+	if err := f.procs[3].signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(3 * time.Second)
-	for _, m := range []hosting.Machine{w.machines[0], w.machines[4], w.machines[5]} {
+	for _, m := range []hosting.Machine{f.machines[0], f.machines[4], f.machines[5]} {
 		for range 20 {
-			for _, address := range w.resolve(m) {
-				if how := dead[address]; how != "" {
-					t.Fatalf("%s names one that was %s three seconds ago", m.Name, how)
+			for _, address := range f.resolve(m) {
+				if state := dead[address]; state != "" {
+					t.Fatalf("%s still names an instance that was %s three seconds ago", m.Name, state)
 				}
 			}
 		}
--- a/internal/proctest/hosted_large_test.go
+++ b/internal/proctest/hosted_large_test.go
@@ -11,57 +11,57 @@
 	"mulberrylug.example/mulberrylug/internal/testkit"
 )
 
-// A service grows to more upstreams than every instance can know. It is divided into
-// parts with a home each, and an entry that knows nothing of an upstream takes the
-// home's word for it. Meanwhile drafts run, and some upstreams leave under them: each
-// draft runs once, and its caller sees every event. The home of the whole service must
-// not take the upstreams that other pools have now for gone, and evacuate them all.
+// A service grows to more upstreams than every instance can track. It is divided into groups, each
+// with its own home, and an entry uses an upstream that it does not know on the word of the home.
+// Meanwhile generations run and some upstreams leave: each generation must run once, and its caller
+// must receive every event. The home of the undivided service must not treat upstreams that now
+// belong to groups as removed and evacuate them.
 func TestHostedServiceIsDivided(t *testing.T) {
 	t.Parallel()
-	w := newFixture(t)
-	w.addInstance(t, "entry-3")
-	w.waitReady(t)
-	const more, drafts = 130, 48
-	results := make([]result, drafts)
+	f := newFixture(t)
+	f.addInstance(t, "entry-3")
+	f.waitReady(t)
+	const added, generations = 130, 48
+	results := make([]result, generations)
 	var wg sync.WaitGroup
 	wg.Go(func() {
-		for k := range more {
-			w.pool = append(w.pool, w.addUpstream(t, fmt.Sprintf("grown-%d", k), hosting.Pool, func(k *hosting.Worker) {
+		for k := range added {
+			f.pool = append(f.pool, f.addUpstream(t, fmt.Sprintf("grown-%d", k), hosting.Pool, func(k *hosting.Worker) {
 				k.EventEvery, k.EventCount, k.CopyTime = 25*time.Millisecond, streamEvents, 30*time.Millisecond
 			}))
 		}
 	})
-	for k := range drafts {
+	for k := range generations {
 		wg.Go(func() {
 			time.Sleep(time.Duration(k) * 60 * time.Millisecond)
-			results[k] = w.do(w.machines[k%len(w.machines)], generation(fmt.Sprintf("g%d", k)))
+			results[k] = f.do(f.machines[k%len(f.machines)], generation(fmt.Sprintf("g%d", k)))
 		})
 	}
 	time.Sleep(1500 * time.Millisecond)
-	for _, k := range w.pool[:poolUpstreams] {
+	for _, k := range f.pool[:poolUpstreams] {
 		k.Leave()
 		time.AfterFunc(1500*time.Millisecond, k.Crash)
 	}
 	wg.Wait()
-	arrivals := w.Arrivals()
+	arrivals := f.Arrivals()
 	for k, r := range results {
 		id := fmt.Sprintf("g%d", k)
 		checkComplete(t, id, r, arrivals[id])
 	}
 	homes := 0
-	for _, p := range w.procs {
+	for _, p := range f.procs {
 		homes += strings.Count(p.output(), "event=home_began pool="+hosting.Pool+"/")
 	}
 	if homes < 2 {
-		t.Errorf("%d homes of parts have begun", homes)
+		t.Errorf("%d instances became homes of groups, want at least 2", homes)
 	}
-	for _, line := range logLines(w.procs, "event=evacuation_began") {
+	for _, line := range logLines(f.procs, "event=evacuation_began") {
 		if strings.HasSuffix(strings.TrimSpace(line), " pool="+hosting.Pool) && !strings.Contains(line, " running=0 ") {
-			t.Errorf("the home of the whole service evacuates what other pools have: %s", line)
+			t.Errorf("the home of the undivided service evacuates upstreams of its groups: %s", line)
 		}
 	}
-	testkit.Eventually(t, waitTimeout, "an instance forgets what it does not use", func() bool {
-		for _, p := range w.procs {
+	testkit.Eventually(t, waitTimeout, "an instance has dropped the groups that it does not use", func() bool {
+		for _, p := range f.procs {
 			if strings.Contains(p.output(), "event=groups_kept") {
 				return true
 			}
@@ -70,7 +70,7 @@
 	})
 }
 
-// logLines returns the lines of some processes' output that hold a text.
+// logLines returns the lines in the output of some processes that contain text.
 func logLines(procs []*process, text string) (out []string) {
 	for _, p := range procs {
 		for line := range strings.Lines(p.output()) {
--- a/internal/proctest/hosted_move_test.go
+++ b/internal/proctest/hosted_move_test.go
@@ -14,19 +14,18 @@
 	"mulberrylug.example/mulberrylug/internal/testkit"
 )
 
-// slowEventInterval is the time between the events of drafts in the tests of moves: a
-// draft then takes two and a half seconds, and is in mid-stream while the test
-// breaks something.
+// slowEventInterval is the time between events in the tests of moves. A generation then takes about
+// 2.5 s and is still running when the test injects a fault.
 const slowEventInterval = 60 * time.Millisecond
 
-// moveFixture is a world whose drafts are in mid-stream when one engine leaves.
+// moveFixture is a fixture with running generations.
 type moveFixture struct {
 	*fixture
 	results []result
 	wg      sync.WaitGroup
 }
 
-// startGenerations starts startGenerations at all instances and waits until they run.
+// startGenerations starts n generations, spread over all instances, and waits until they run.
 func startGenerations(t *testing.T, n int) *moveFixture {
 	t.Helper()
 	m := &moveFixture{fixture: newFixture(t), results: make([]result, n)}
@@ -42,7 +41,7 @@
 
 func (m *moveFixture) id(k int) string { return fmt.Sprintf("m%d", k) }
 
-// homeIndex returns the index of the instance that is the pool's homeIndex.
+// homeIndex returns the index of the instance that is the pool's home.
 func (m *moveFixture) homeIndex(t *testing.T) int {
 	t.Helper()
 	for k, p := range m.procs {
@@ -50,50 +49,51 @@
 			return k
 		}
 	}
-	t.Fatal("no instance is the pool's home")
+	t.Fatal("no instance has logged that it is the pool's home")
 	return 0
 }
 
-// check waits for all drafts: each ran once, and its caller got every event once
-// and in order, up to the end or to an honest break. It returns how many are whole.
-func (m *moveFixture) check(t *testing.T) (whole int) {
+// check waits for all generations. Each must have been started once, and its caller must have
+// received every event once and in order, to the end or to a truncation that the caller can detect.
+// It returns the number of complete ones.
+func (m *moveFixture) check(t *testing.T) (complete int) {
 	t.Helper()
 	m.wg.Wait()
-	time.Sleep(streamEvents * slowEventInterval) // what nobody stopped makes its last events
+	time.Sleep(streamEvents * slowEventInterval) // generations that were not stopped produce their last events
 	arrivals := m.Arrivals()
 	for k, r := range m.results {
 		id := m.id(k)
 		if n := countRuns(arrivals[id]); n != 1 {
-			t.Errorf("%s was begun %d times, want once", id, n)
+			t.Errorf("%s was started %d times, want once", id, n)
 		}
 		if !strings.HasPrefix(streamBody(id), r.body) {
-			t.Errorf("%s: events are missing, double or out of order: %q", id, r.body)
+			t.Errorf("%s: received %q, want the beginning of the stream without gaps or duplicates", id, r.body)
 		}
-		made := 0
+		produced := 0
 		for _, a := range arrivals[id] {
-			made += a.Events
+			produced += a.Events
 		}
-		if made > streamEvents+maxRepeatedEvents {
-			t.Errorf("%s: %d events were made of %d: it ran on at two engines", id, made, streamEvents)
+		if produced > streamEvents+maxRepeatedEvents {
+			t.Errorf("%s: engines produced %d events for a stream of %d, so it ran on two engines at once", id, produced, streamEvents)
 		}
 		switch {
 		case r.status == http.StatusOK && !r.truncated && r.body == streamBody(id):
-			whole++
+			complete++
 		case r.status == http.StatusOK && !r.truncated:
-			t.Errorf("%s looks whole and is not", id)
+			t.Errorf("%s: the response looks complete, but events are missing", id)
 		}
 	}
-	return whole
+	return complete
 }
 
-// maxRepeatedEvents is how many events of a draft may be made twice at most: those that the
-// source had made and that had not reached the entry when its connection ended.
+// maxRepeatedEvents is the maximum number of events that two engines both produce: those that the
+// source had produced and the entry had not received when the connection ended.
 const maxRepeatedEvents = 2
 
-// An engine announces that it leaves, and the home freezes for longer than the
-// notice just as it gives its orders. Another instance takes the role over, learns
-// from the entries what runs there, and moves it; when the first wakes, two give
-// orders. No draft runs twice, and most are whole.
+// An engine announces that it leaves, and the home is paused for longer than the notice while it
+// orders moves. Another instance becomes home, learns from the entries which generations run there
+// and moves them. When the first home resumes, both give orders. No generation may run twice, and
+// most must be complete.
 func TestHostedHomePausedDuringMove(t *testing.T) {
 	t.Parallel()
 	m := startGenerations(t, 12)
@@ -108,22 +108,22 @@
 			t.Error(err)
 		}
 	})
-	if whole := m.check(t); whole < 9 {
-		t.Errorf("%d of 12 drafts are whole, want 9 or more", whole)
+	if complete := m.check(t); complete < 9 {
+		t.Errorf("%d of 12 generations are complete, want at least 9", complete)
 	}
 }
 
-// Two engines get notice at the very moment at which the store fails, and crash a second
-// and a half later. The list says nothing in time, or late: the home asks the engines.
-// Every draft is whole, whatever the store does.
+// Two engines announce that they leave just as the store fails, and crash 1.5 s later. The list of
+// upstreams is late or missing, so the home asks the engines. Every generation must be complete in
+// each kind of outage.
 func TestHostedUpstreamsLeaveDuringStoreOutage(t *testing.T) {
 	t.Parallel()
 	for name, fail := range map[string]func(*hosting.Table){
-		"silent":            func(t *hosting.Table) { t.Set(hosting.Silent) },
-		"refusing":          func(t *hosting.Table) { t.Set(hosting.Busy) },
-		"slow":              func(t *hosting.Table) { t.Set(hosting.Slow) },
-		"answers lost":      func(t *hosting.Table) { t.Set(hosting.Lost) },
-		"history forgotten": func(t *hosting.Table) { t.Forget() },
+		"no response":    func(t *hosting.Table) { t.Set(hosting.Silent) },
+		"refusing":       func(t *hosting.Table) { t.Set(hosting.Busy) },
+		"slow":           func(t *hosting.Table) { t.Set(hosting.Slow) },
+		"responses lost": func(t *hosting.Table) { t.Set(hosting.Lost) },
+		"history lost":   func(t *hosting.Table) { t.Forget() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -133,28 +133,29 @@
 				k.Leave()
 				time.AfterFunc(1500*time.Millisecond, k.Crash)
 			}
-			if whole := m.check(t); whole != 12 {
-				t.Errorf("%d of 12 drafts are whole", whole)
+			if complete := m.check(t); complete != 12 {
+				t.Errorf("%d of 12 generations are complete, want all", complete)
 			}
 		})
 	}
 }
 
-// Engines announce that they leave, and stay: a scale-in that was called off. What runs
-// there is moved or ends there, and no draft is cut.
+// Engines announce that they leave but stay, as in a cancelled scale-in. Their generations are moved
+// or end there, and none may be cut.
 func TestHostedEnginesAnnounceLeavingButStay(t *testing.T) {
 	t.Parallel()
 	m := startGenerations(t, 12)
 	for _, k := range m.pool[:2] {
 		k.Leave()
 	}
-	if whole := m.check(t); whole != 12 {
-		t.Errorf("%d of 12 drafts are whole", whole)
+	if complete := m.check(t); complete != 12 {
+		t.Errorf("%d of 12 generations are complete, want all", complete)
 	}
 }
 
-// The home drains, and half a second later two engines get notice. Its successor has been
-// told what runs there and moves all of it; what was entered at the home ends there.
+// The home drains, and half a second later two engines announce that they leave. The successor has
+// been informed of the running generations and must move all of them; those whose entry is the
+// draining instance end there.
 func TestHostedHomeDrainsBeforeUpstreamsLeave(t *testing.T) {
 	t.Parallel()
 	m := startGenerations(t, 12)
@@ -166,13 +167,13 @@
 		k.Leave()
 		time.AfterFunc(900*time.Millisecond, k.Crash)
 	}
-	if whole := m.check(t); whole != 12 {
-		t.Errorf("%d of 12 drafts are whole", whole)
+	if complete := m.check(t); complete != 12 {
+		t.Errorf("%d of 12 generations are complete, want all", complete)
 	}
 }
 
-// The home dies with orders in hand. The others go on with what it has begun, and
-// its successor moves the rest. Only the drafts that were entered there are lost.
+// The home is killed after it has ordered moves. The entries must complete the moves that have begun,
+// and its successor must move the rest. Only generations whose entry was the home may be lost.
 func TestHostedHomeKilledDuringMove(t *testing.T) {
 	t.Parallel()
 	m := startGenerations(t, 12)
@@ -181,14 +182,14 @@
 	time.Sleep(40 * time.Millisecond)
 	m.procs[home].kill()
 	time.AfterFunc(1900*time.Millisecond, m.pool[0].Crash)
-	if whole := m.check(t); whole < 7 {
-		t.Errorf("%d of 12 drafts are whole, want 7 or more: 4 were entered at the home", whole)
+	if complete := m.check(t); complete < 7 {
+		t.Errorf("%d of 12 generations are complete, want at least 7; the home was the entry of 4", complete)
 	}
 }
 
-// An entry freezes while it makes a move: the run has been copied, perhaps stopped,
-// and its caller sees nothing for a while. When the entry wakes the engine is gone.
-// What was copied goes on; what was not ends honestly; nothing runs twice.
+// An entry is paused during a move: the generation has been copied and perhaps stopped, and its caller
+// receives nothing for a while. When the entry resumes, the engine has crashed. Copied generations
+// must continue, others end as truncated, and none may run twice.
 func TestHostedEntryPausedDuringMove(t *testing.T) {
 	t.Parallel()
 	m := startGenerations(t, 12)
@@ -197,14 +198,14 @@
 	time.Sleep(50 * time.Millisecond)
 	time.AfterFunc(900*time.Millisecond, m.pool[0].Crash)
 	m.procs[entry].freeze(t, 1200*time.Millisecond)
-	if whole := m.check(t); whole < 8 {
-		t.Errorf("%d of 12 drafts are whole, want 8 or more: 4 were entered at the frozen instance", whole)
+	if complete := m.check(t); complete < 8 {
+		t.Errorf("%d of 12 generations are complete, want at least 8; the paused instance was the entry of 4", complete)
 	}
 }
 
-// Every engine but two leaves; one of the two takes the copies and crashes before
-// they are picked up. The source has stopped and kept what it had, so the drafts go
-// on there, or are moved once more.
+// An engine leaves, and one of the destinations drops the copies that it receives and crashes before
+// they are used. The source has stopped the generations and kept their memory, so they must continue
+// there or be moved again.
 func TestHostedDestinationCrashesDuringMove(t *testing.T) {
 	t.Parallel()
 	m := startGenerations(t, 8)
@@ -216,9 +217,9 @@
 	m.check(t)
 }
 
-// Copies lapse at their destinations before they are used. The upstream answers
-// that it has not run the request, and the run goes on at its source, which keeps
-// the memory of what it stopped.
+// Copies expire at their destinations before they are used. The destination responds that it has not
+// run the request, and the generation must continue at its source, which keeps the memory of stopped
+// generations.
 func TestHostedCopiesExpire(t *testing.T) {
 	t.Parallel()
 	m := startGenerations(t, 12)
@@ -226,44 +227,44 @@
 		k.SetFault(hosting.NoCopies)
 	}
 	m.pool[0].Leave()
-	if whole := m.check(t); whole != 12 {
-		t.Errorf("%d of 12 drafts are whole", whole)
+	if complete := m.check(t); complete != 12 {
+		t.Errorf("%d of 12 generations are complete, want all", complete)
 	}
 }
 
-// The engine that leaves stops the runs that it is told to move, copies them, and
-// its answers are lost. The entries know the copies from their first, running copy,
-// and go on from there.
+// The leaving engine stops and copies generations as ordered, but its responses to the orders are
+// lost. The entries know the destinations from the first copy, made while the generation ran, and
+// must continue from there.
 func TestHostedMoveResponsesLost(t *testing.T) {
 	t.Parallel()
 	m := startGenerations(t, 12)
 	m.pool[0].SetFault(hosting.LostMove)
 	m.pool[0].Leave()
 	time.AfterFunc(2*time.Second, m.pool[0].Crash)
-	if whole := m.check(t); whole != 12 {
-		t.Errorf("%d of 12 drafts are whole", whole)
+	if complete := m.check(t); complete != 12 {
+		t.Errorf("%d of 12 generations are complete, want all", complete)
 	}
 }
 
-// A process is killed. Callers who ask where to connect are sent to it until the
-// others notice; by its silence that takes 1.3 s. Its connections end at once, and
-// new ones are refused, so that it is noticed within a fraction of that.
+// A process is killed. Callers are directed to it until its peers detect that, which takes 1.3 s by
+// missed heartbeats. As its connections end and new ones are refused, it must be detected within
+// 0.9 s.
 func TestHostedDirectoryDropsKilledInstance(t *testing.T) {
 	t.Parallel()
-	w := newFixture(t)
-	w.procs[0].kill()
+	f := newFixture(t)
+	f.procs[0].kill()
 	killed := time.Now()
-	for slices.Contains(w.resolve(w.machines[1]), w.machines[0].Callers) {
+	for slices.Contains(f.resolve(f.machines[1]), f.machines[0].Callers) {
 		if time.Since(killed) > 900*time.Millisecond {
-			t.Fatal("still named 0.9 s after it was killed")
+			t.Fatal("the instance is still in the directory 0.9 s after it was killed")
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// Drafts end at their engine while it copies them to others, as it is about to leave.
-// Nobody goes on from those copies. Left behind, each takes memory at its destination
-// for seconds, where the next prompts then wait, unread.
+// Generations end at an engine that is about to leave while it copies them. Nobody uses those copies.
+// If they remain, each occupies memory at its destination for seconds, which delays the prefill of
+// further prompts there.
 func TestHostedCopiesOfEndedGenerationsAreFreed(t *testing.T) {
 	t.Parallel()
 	m := startGenerations(t, 12)
@@ -272,10 +273,10 @@
 	}
 	time.Sleep(streamEvents*slowEventInterval - 900*time.Millisecond)
 	m.pool[0].Leave()
-	if whole := m.check(t); whole != 12 {
-		t.Errorf("%d of 12 drafts are whole", whole)
+	if complete := m.check(t); complete != 12 {
+		t.Errorf("%d of 12 generations are complete, want all", complete)
 	}
 	for _, k := range m.pool {
-		testkit.Eventually(t, 3*time.Second, k.ID+" keeps no copies", func() bool { return k.Copies() == 0 })
+		testkit.Eventually(t, 3*time.Second, k.ID+" holds no copies", func() bool { return k.Copies() == 0 })
 	}
 }
--- a/internal/proctest/hosted_test.go
+++ b/internal/proctest/hosted_test.go
@@ -14,9 +14,8 @@
 	"mulberrylug.example/mulberrylug/internal/testkit"
 )
 
-// On a calm day every request is served whole, runs once, and reaches its
-// upstream as its caller sent it, with the organisation's name in place of the
-// key.
+// Without faults every request must be served completely, run once, and reach its upstream as its
+// caller sent it, with the organisation's name in place of the key.
 func TestHostedWithoutFaults(t *testing.T) {
 	t.Parallel()
 	w := newFixture(t)
@@ -34,7 +33,7 @@
 	for k, c := range calls {
 		r, got := results[k], arrivals[c.id]
 		if r.status != http.StatusOK || r.truncated || r.header.Get("Response-Seal") != "seal-"+c.id || r.header.Get("Attempt-Id") != c.id {
-			t.Errorf("%s: %+v, want a signed success", c.id, r)
+			t.Errorf("%s: %+v, want status 200 with the seal and id of the request", c.id, r)
 			continue
 		}
 		if len(got) != 1 || !got[0].Ran {
@@ -51,17 +50,17 @@
 		}
 	}
 	if calls := w.Table.Calls("/v1/rows-feed"); calls == 0 {
-		t.Error("nobody followed the store")
+		t.Error("no instance polled the store's change feed")
 	}
 }
 
 func checkArrival(t *testing.T, c call, a hosting.Arrival) {
 	t.Helper()
 	if a.Method != c.method || a.Target != c.path || a.Host != hosting.Host || a.Body != c.body {
-		t.Errorf("%s reached its upstream as %s %s at %s with %q", c.id, a.Method, a.Target, a.Host, a.Body)
+		t.Errorf("%s reached its upstream as %s %s for host %s with body %q, want it unchanged", c.id, a.Method, a.Target, a.Host, a.Body)
 	}
 	if a.Header.Get("Tenant") != hosting.Owner || a.Header.Get("Credential") != "" || a.Header.Get("Expect-Instance") != a.Worker {
-		t.Errorf("%s: headers %v", c.id, a.Header)
+		t.Errorf("%s: headers %v, want the organisation, no key, and the id of the upstream", c.id, a.Header)
 	}
 	for _, name := range []string{"Accept-Encoding", "Connection"} {
 		if a.Header.Get(name) != "" {
@@ -70,8 +69,8 @@
 	}
 }
 
-// What only the system may say must not pass from a caller to an upstream, also
-// not hidden behind Connection, which would take the caller's own headers away.
+// Headers that only the system may set must not pass from a caller to an upstream. The caller also
+// lists headers in Connection, which would remove its own ones.
 func TestHostedReservedHeaders(t *testing.T) {
 	t.Parallel()
 	w := newFixture(t)
@@ -87,24 +86,24 @@
 	checkArrival(t, c, a)
 	for _, name := range []string{"Hold", "Pin-Ms", "Kv-From", "Kv-Backup", "Kv-Fetch", "Request-Urgency", "Expect-Version", "X-Mine"} {
 		if a.Header.Get(name) != "" {
-			t.Errorf("header %s reached the upstream", name)
+			t.Errorf("header %s reached the upstream, want it removed", name)
 		}
 	}
 	if a.ID != "reserved" || a.Header.Get("X-Kept") != "yes" {
-		t.Errorf("headers %v: the id and the caller's own must stay", a.Header)
+		t.Errorf("headers %v, want the request id and the caller's X-Kept", a.Header)
 	}
 }
 
-// Two upstreams announce that they leave, and crash two seconds later, while
-// each runs several drafts. A draft may not run twice. All are moved, and the
-// callers see every event once, in order, as if nothing had happened.
+// Two upstreams announce that they leave and crash 0.6 s later, while each runs several generations.
+// A generation may not run twice, so all must be moved, and their callers must receive every event
+// once and in order.
 func TestHostedGenerationsMoveBeforeUpstreamsCrash(t *testing.T) {
 	t.Parallel()
 	w := newFixture(t)
-	const drafts = 12
-	results := make([]result, drafts)
+	const generations = 12
+	results := make([]result, generations)
 	var wg sync.WaitGroup
-	for k := range drafts {
+	for k := range generations {
 		wg.Go(func() { results[k] = w.do(w.machines[k%len(w.machines)], generation(fmt.Sprintf("m%d", k))) })
 	}
 	time.Sleep(300 * time.Millisecond)
@@ -115,7 +114,7 @@
 	time.AfterFunc(600*time.Millisecond, w.pool[1].Crash)
 	wg.Wait()
 	arrivals, moved := w.Arrivals(), 0
-	for k := range drafts {
+	for k := range generations {
 		id := fmt.Sprintf("m%d", k)
 		checkComplete(t, id, results[k], arrivals[id])
 		if len(arrivals[id]) > 1 {
@@ -123,12 +122,12 @@
 		}
 	}
 	if moved == 0 {
-		t.Error("no draft was moved: the test shows nothing")
+		t.Error("no generation was moved, so the test checks nothing")
 	}
 }
 
-// An upstream vanishes without a word in mid-stream. A draft can't go on; its
-// answer must not look whole. A brief may be resumed, and is.
+// An upstream ends its connections during streams without notice. A generation that may run only
+// once can't continue, and its response must not look complete. A repeatable one must be resumed.
 func TestHostedUpstreamCrash(t *testing.T) {
 	t.Parallel()
 	w := newFixture(t)
@@ -136,32 +135,32 @@
 		k.SetFault(hosting.Cuts)
 	}
 	if r := w.do(w.machines[0], generation("cut")); !r.truncated {
-		t.Errorf("status %d, body of %d bytes: a cut draft must not look whole", r.status, len(r.body))
+		t.Errorf("status %d, body of %d bytes; want a truncated response for the interrupted generation", r.status, len(r.body))
 	}
 	if n := countRuns(w.Arrivals()["cut"]); n != 1 {
-		t.Errorf("the draft was begun %d times", n)
+		t.Errorf("the generation was started %d times, want once", n)
 	}
 	for _, k := range w.pool[1:] {
 		k.SetFault(hosting.None)
 	}
 	for k := range 8 {
-		c := generation(fmt.Sprintf("brief%d", k))
+		c := generation(fmt.Sprintf("repeatable%d", k))
 		c.path = hosting.PathBrief + "x"
 		if r := w.do(w.machines[k%3], c); r.truncated || r.body != streamBody(c.id) {
-			t.Errorf("%s: status %d cut %v, %d events", c.id, r.status, r.truncated, strings.Count(r.body, "\n\n"))
+			t.Errorf("%s: status %d, truncated %v, %d events; want a complete stream", c.id, r.status, r.truncated, strings.Count(r.body, "\n\n"))
 		}
 	}
 }
 
-// Each way in which a booking's upstream can spoil its answer. A caller that is
-// told "not run" asks again, so that may only be said where it is true; and no
-// success may be passed on that the upstream did not sign whole.
+// Each fault of an upstream's response to a booking. Callers retry after the outcome not run, so
+// that outcome is allowed only if nothing ran. A success without the upstream's complete signature
+// must not be passed on.
 func TestHostedInvalidUpstreamResponses(t *testing.T) {
 	t.Parallel()
 	w := newFixture(t)
 	for _, c := range []struct {
 		fault hosting.Fault
-		// served tells that the caller gets the answer all the same.
+		// served is set if the caller must receive the response despite the fault.
 		served bool
 	}{
 		{hosting.Full, false},
@@ -182,23 +181,23 @@
 			r := w.do(w.machines[0], booking(id))
 			list := w.Arrivals()[id]
 			if countRuns(list) > 1 {
-				t.Errorf("%s ran %d times", id, countRuns(list))
+				t.Errorf("%s ran %d times, want at most once", id, countRuns(list))
 			}
 			if refusedNotRun(r.status) && countRuns(list) > 0 {
-				t.Errorf("%s was told %d, but it ran", id, r.status)
+				t.Errorf("%s: status %d, which means not run, but it ran", id, r.status)
 			}
 			if r.status == http.StatusOK && !r.truncated && r.body != hosting.Body(id, list[0].Worker) {
-				t.Errorf("%s got the body %q", id, r.body)
+				t.Errorf("%s: body %q, want the upstream's", id, r.body)
 			}
 			if got := r.status == http.StatusOK && !r.truncated; got != c.served {
-				t.Errorf("%s: %+v, served should be %v", id, r, c.served)
+				t.Errorf("%s: %+v, want served to be %v", id, r, c.served)
 			}
 		}
 	}
 }
 
-// Look-ups fail at one upstream of three: they are tried elsewhere once, and
-// the callers notice nothing.
+// One of three upstreams fails look-ups. Each must be retried once on another upstream, so that its
+// caller gets a success.
 func TestHostedLookUpsAreRetried(t *testing.T) {
 	t.Parallel()
 	w := newFixture(t)
@@ -207,55 +206,54 @@
 		for n := range 6 {
 			id := fmt.Sprintf("look-%s-%d", fault, n)
 			if r := w.do(w.machines[n%3], lookUp(id)); r.status != http.StatusOK || r.truncated {
-				t.Errorf("%s: %+v", id, r)
+				t.Errorf("%s: %+v, want a success", id, r)
 			}
 		}
 	}
 }
 
-// A key is taken away while one instance is cut off from the store. Within the
-// bound the key works nowhere: the instance hears of it through another one.
-// Then the store is away for all: every key is refused once no confirmation is
-// young enough, and accepted again after the store's return.
+// A key is revoked while one instance is isolated from the store. Within the bound on revocation the
+// key must stop working everywhere, as the instance learns of it from a peer. Then the store fails
+// for all instances: every key must be refused once the last confirmation is too old, and accepted
+// again after the store recovers.
 func TestHostedRevocation(t *testing.T) {
 	t.Parallel()
 	w := newFixture(t)
-	cut := w.machines[0]
-	w.Table.SetFor(cut.IP, hosting.Silent)
+	isolated := w.machines[0]
+	w.Table.SetFor(isolated.IP, hosting.Silent)
 	time.Sleep(500 * time.Millisecond)
 	w.Configure(func(c map[string]any) {
 		c["tenants"] = []map[string]any{{"name": hosting.Owner, "api_keys": []string{"key-two"}}}
 	})
 	time.Sleep(hosting.RevokeWithin)
-	if r := w.do(cut, booking("revoked")); r.status == http.StatusOK {
-		t.Errorf("a key that was taken away works: %+v", r)
+	if r := w.do(isolated, booking("revoked")); r.status == http.StatusOK {
+		t.Errorf("a revoked key was accepted: %+v", r)
 	}
 	renewed := booking("renewed")
 	renewed.key = "key-two"
-	if r := w.do(cut, renewed); r.status != http.StatusOK {
-		t.Errorf("the new key at the instance that is cut off: %+v", r)
+	if r := w.do(isolated, renewed); r.status != http.StatusOK {
+		t.Errorf("the new key at the isolated instance: %+v, want a success", r)
 	}
 	w.Table.Set(hosting.Silent)
 	time.Sleep(hosting.RevokeWithin)
 	for k, m := range w.machines {
-		c := booking(fmt.Sprintf("dark-%d", k))
+		c := booking(fmt.Sprintf("outage-%d", k))
 		c.key = "key-two"
 		if r := w.do(m, c); r.status != http.StatusServiceUnavailable || r.header.Get("Retry-After") == "" {
-			t.Errorf("%s: %+v, want a refusal with a time to come back", m.Name, r)
+			t.Errorf("%s: %+v, want status 503 with Retry-After", m.Name, r)
 		}
 		if w.ready(m) {
-			t.Errorf("%s says that it is ready, but can accept no key", m.Name)
+			t.Errorf("%s reports ready, but accepts no key", m.Name)
 		}
 	}
 	w.Table.Set(hosting.Well)
-	testkit.Eventually(t, waitTimeout, "all are ready again", func() bool {
+	testkit.Eventually(t, waitTimeout, "two instances are ready again", func() bool {
 		return w.ready(w.machines[1]) && w.ready(w.machines[2])
 	})
 }
 
-// A machine is suspended for longer than the bound on revocation, and a key is
-// taken away meanwhile. A clock that stands still in the meantime would call
-// the confirmation fresh when the machine wakes.
+// An instance is suspended for longer than the bound on revocation, and a key is revoked meanwhile.
+// A clock that stops during the suspension would make the last confirmation look recent.
 func TestHostedSuspendedInstanceRefusesRevokedKey(t *testing.T) {
 	t.Parallel()
 	w := newFixture(t)
@@ -267,18 +265,18 @@
 	})
 	time.Sleep(hosting.RevokeWithin)
 	done := make(chan result)
-	go func() { done <- w.do(w.machines[0], booking("woken")) }()
+	go func() { done <- w.do(w.machines[0], booking("resumed")) }()
 	time.Sleep(100 * time.Millisecond)
 	if err := w.procs[0].signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
 	if r := <-done; r.status == http.StatusOK {
-		t.Errorf("a key that was taken away works after the pause: %+v", r)
+		t.Errorf("a revoked key was accepted after the suspension: %+v", r)
 	}
 }
 
-// One instance is told to stop while it serves drafts. It is no longer named,
-// and what it serves is served to the end.
+// An instance receives SIGTERM while it serves generations. It must disappear from the directory,
+// and its open requests must be completed.
 func TestHostedDrain(t *testing.T) {
 	t.Parallel()
 	w := newFixture(t)
@@ -287,37 +285,37 @@
 		go func() { done <- w.do(w.machines[0], generation(fmt.Sprintf("drain-%d", k))) }()
 	}
 	time.Sleep(300 * time.Millisecond)
-	ended := make(chan struct{})
+	exited := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(exited)
 		w.procs[0].drain(t)
 	}()
 	time.Sleep(200 * time.Millisecond)
 	if w.ready(w.machines[0]) {
-		t.Error("a leaving instance says that it is ready")
+		t.Error("a draining instance reports ready")
 	}
 	for _, a := range w.resolve(w.machines[1]) {
 		if a == w.machines[0].Callers {
-			t.Error("a leaving instance is still named")
+			t.Error("a draining instance is still in the directory")
 		}
 	}
 	if r := w.do(w.machines[0], booking("late")); r.status != http.StatusOK {
-		t.Errorf("a caller with an old answer: %+v", r)
+		t.Errorf("a booking by a caller with a cached address: %+v, want a success", r)
 	}
 	if r := w.do(w.machines[0], generation("late-draft")); !refusedNotRun(r.status) {
-		t.Errorf("a draft that could not end in time: %+v", r)
+		t.Errorf("a generation that could not end within the drain: %+v, want a refusal as not run", r)
 	}
 	for range 3 {
 		if r := <-done; r.truncated || r.status != http.StatusOK {
-			t.Errorf("a draft was cut by the drain: %+v", r)
+			t.Errorf("a generation was cut by the drain: %+v", r)
 		}
 	}
-	<-ended
+	<-exited
 }
 
-// All instances lose power at once. Their callers are served again as soon as
-// they are back, and until one knows a configuration it says so: an answer such
-// as "unknown key" would end the caller's tries.
+// All instances lose power at once. Callers must be served soon after the restart. An instance
+// without a configuration must refuse with status 503: a permanent error such as "unknown key"
+// would make callers give up.
 func TestHostedAllInstancesRestart(t *testing.T) {
 	t.Parallel()
 	w := newFixture(t)
@@ -332,22 +330,22 @@
 		return w.do(w.machines[0], booking("early")).status == http.StatusServiceUnavailable
 	})
 	w.Table.Set(hosting.Well)
-	began := time.Now()
+	recovered := time.Now()
 	w.waitReady(t)
-	if took := time.Since(began); took > 6*time.Second {
-		t.Errorf("ready after %v", took)
+	if took := time.Since(recovered); took > 6*time.Second {
+		t.Errorf("ready %v after the store's recovery, want at most 6 s", took)
 	}
 	if r := w.do(w.machines[0], booking("back")); r.status != http.StatusOK {
-		t.Errorf("%+v", r)
+		t.Errorf("%+v, want a success", r)
 	}
 	if n := countRuns(w.Arrivals()["early"]); n != 0 {
-		t.Error("a request that was refused has run")
+		t.Error("a request that was refused as not run has run")
 	}
 }
 
-// An instance is restarted while the store is silent. The seeds tell it who lives, and
-// those tell it the configuration and the upstreams: it serves at once, where it would
-// refuse everything until the store is back.
+// An instance restarts while the store does not respond. It gets the members from the seeds, and the
+// configuration and upstreams from these members. It must become ready at once instead of refusing
+// everything until the store recovers.
 func TestHostedRestartsWhileTheStoreIsSilent(t *testing.T) {
 	t.Parallel()
 	w := newFixture(t)
@@ -358,33 +356,33 @@
 	w.procs[last] = w.startInstance(t, w.machines[last])
 	testkit.Eventually(t, hosting.RevokeWithin/2, "the instance is ready", func() bool { return w.ready(w.machines[last]) })
 	if r := w.do(w.machines[last], booking("meanwhile")); r.status != http.StatusOK {
-		t.Errorf("%+v", r)
+		t.Errorf("%+v, want a success", r)
 	}
 }
 
-// Many instances join a fleet at once. Were each to read from the store who else does, and then
-// the configuration and all upstreams, the calls would grow with the fleet, and the store
-// takes writes to one part of a table one after another.
+// Many instances join a fleet at once. If each of them read the members, the configuration and all
+// upstreams from the store, the calls would grow with the fleet, and the store serialises writes to
+// one part of a table.
 func TestHostedStoreCallsPerStart(t *testing.T) {
 	t.Parallel()
 	w := newFixture(t)
-	time.Sleep(2 * time.Second) // those that run are the fleet by now
+	time.Sleep(2 * time.Second) // the running instances now count as an established fleet
 	before := w.Table.Calls("/v1/rows-get") + w.Table.Calls("/v1/rows-tx") + w.Table.Calls("/v1/rows-feed")
-	began := time.Now()
-	const more = 9
-	for k := range more {
+	started := time.Now()
+	const added = 9
+	for k := range added {
 		w.addInstance(t, fmt.Sprintf("later-%d", k))
 	}
 	w.waitReady(t)
 	calls := w.Table.Calls("/v1/rows-get") + w.Table.Calls("/v1/rows-tx") + w.Table.Calls("/v1/rows-feed") - before
-	// The reader asks for configuration and list three times a second or so.
-	if most := int(4*time.Since(began).Seconds()) + more; calls > most {
-		t.Errorf("%d calls to the store within %v of the start of %d instances, want at most %d", calls, time.Since(began), more, most)
+	// The reader polls configuration and list about three times a second.
+	if limit := int(4*time.Since(started).Seconds()) + added; calls > limit {
+		t.Errorf("%d calls to the store within %v of the start of %d instances, want at most %d", calls, time.Since(started), added, limit)
 	}
 }
 
-// The store forgets its history, and writes are done without an answer. What
-// was known stays in force, and what is new arrives all the same.
+// The store loses its history of changes before and after a new configuration is written. The
+// instances must keep their state, and the new configuration must still reach all of them.
 func TestHostedStoreLosesHistory(t *testing.T) {
 	t.Parallel()
 	w := newFixture(t)
@@ -393,7 +391,7 @@
 		c["tenants"] = []map[string]any{{"name": hosting.Owner, "api_keys": []string{hosting.Key, "key-three"}}}
 	})
 	w.Table.Forget()
-	c := booking("forgotten")
+	c := booking("history")
 	c.key = "key-three"
 	testkit.Eventually(t, waitTimeout, "the new key works everywhere", func() bool {
 		c.id += "."
@@ -406,9 +404,8 @@
 	})
 }
 
-// An upstream answers a long body before it has read it. The caller gets the
-// answer, and the rest of that body follows on the same connection: nothing
-// else may stand there.
+// An upstream responds to a long body before it has read all of it. The caller must get the response,
+// and only the rest of that body may follow on the connection to the upstream.
 func TestHostedResponseBeforeLongBodyIsRead(t *testing.T) {
 	t.Parallel()
 	w := newFixture(t)
@@ -416,34 +413,34 @@
 		k.SetFault(hosting.Early)
 	}
 	c := booking("long")
-	c.body = strings.Repeat("0123456789abcdef", 32<<10) // 512 KB: longer than what is held
+	c.body = strings.Repeat("0123456789abcdef", 32<<10) // 512 KB, more than an instance buffers
 	r := w.do(w.machines[0], c)
 	if r.status != http.StatusOK || r.truncated {
-		t.Errorf("%d cut %v error %v", r.status, r.truncated, r.err)
+		t.Errorf("status %d, truncated %v, error %v; want a success", r.status, r.truncated, r.err)
 	}
-	testkit.Eventually(t, waitTimeout, "the upstream has read what came", func() bool { return len(w.Arrivals()["long"]) == 1 })
+	testkit.Eventually(t, waitTimeout, "the upstream has read the body", func() bool { return len(w.Arrivals()["long"]) == 1 })
 	if got := w.Arrivals()["long"][0].Body; !strings.HasPrefix(c.body, got) {
-		t.Errorf("the rest of the body was not that body: %d bytes", len(got))
+		t.Errorf("the upstream read %d bytes that are not the beginning of the body", len(got))
 	}
 }
 
-// A caller leaves in mid-stream. Its generation must not go on: it holds memory
-// and a place that others wait for.
+// A caller disconnects during a stream. Its generation must be stopped, as it occupies memory and a
+// slot that others wait for.
 func TestHostedCallerLeaves(t *testing.T) {
 	t.Parallel()
 	w := newFixture(t)
 	c := generation("left")
 	c.timeout = 200*time.Millisecond - 5*time.Second // the client ends after 0.2 s
 	w.do(w.machines[0], c)
-	testkit.Eventually(t, 5*time.Second, "the upstream notices", func() bool {
+	testkit.Eventually(t, 5*time.Second, "the upstream detects that the caller has left", func() bool {
 		list := w.Arrivals()["left"]
 		return len(list) == 1 && list[0].CallerLeft
 	})
 }
 
-// The platform signals that the settings have changed, and changes them without
-// a signal too. A process that knows no better ends at the signal and cuts all
-// that it serves. A file that can't be read leaves the settings as they are.
+// The platform changes the settings file, with and without a signal (SIGHUP). A process without a
+// handler would end at the signal and cut its streams. An invalid file must leave the settings
+// unchanged.
 func TestHostedReload(t *testing.T) {
 	t.Parallel()
 	w := newFixture(t)
@@ -455,29 +452,29 @@
 		t.Fatal(err)
 	}
 	testkit.Eventually(t, waitTimeout, "the reload is logged", func() bool { return strings.Contains(p.output(), "event=reloaded") })
-	good, err := os.ReadFile(m.Settings)
+	valid, err := os.ReadFile(m.Settings)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := os.WriteFile(m.Settings, []byte("node_name: ["), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Eventually(t, waitTimeout, "the bad file is told", func() bool { return strings.Contains(p.output(), "event=reload_failed") })
-	changed := strings.Replace(string(good), "retry_budget_slack: 100", "retry_budget_slack: 50", 1)
+	testkit.Eventually(t, waitTimeout, "the invalid file is logged", func() bool { return strings.Contains(p.output(), "event=reload_failed") })
+	changed := strings.Replace(string(valid), "retry_budget_slack: 100", "retry_budget_slack: 50", 1)
 	if err := os.WriteFile(m.Settings, []byte(changed), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	testkit.Eventually(t, waitTimeout, "the new bound is in force", func() bool { return strings.Contains(p.output(), "retry_slack=50") })
+	testkit.Eventually(t, waitTimeout, "the new retry budget is in force", func() bool { return strings.Contains(p.output(), "retry_slack=50") })
 	if r := <-done; r.status != http.StatusOK || r.truncated {
-		t.Errorf("the draft: %+v", r)
+		t.Errorf("the generation ended with %+v, want a success", r)
 	}
 	if p.hasEnded() {
-		t.Error("the process has ended")
+		t.Error("the process has exited, want it to keep running")
 	}
 }
 
-// A request crashes each upstream that begins to run it, and its caller sends it
-// again, to other instances. After two crashes no further upstream is lost.
+// A request crashes each upstream that starts to run it, and its caller retries it at other
+// instances. After two crashes it must be refused, so that no further upstream is lost.
 func TestHostedRequestsThatCrashUpstreams(t *testing.T) {
 	t.Parallel()
 	w := newFixture(t)
@@ -503,20 +500,20 @@
 		r := <-done
 		time.Sleep(200 * time.Millisecond)
 		if k >= 2 && !refusedNotRun(r.status) {
-			t.Errorf("%s: %+v, want a refusal", id, r)
+			t.Errorf("%s: %+v, want a refusal as not run", id, r)
 		}
 	}
 	if crashed != 2 {
-		t.Errorf("%d upstreams were lost, want two", crashed)
+		t.Errorf("%d upstreams crashed, want 2", crashed)
 	}
 }
 
-// Many callers send bodies of 4 MB at once to an instance on a machine of 120 MB.
-// Held whole, they would end the process; they are passed on as they come.
+// Many callers send bodies of 4 MB at once to an instance on a machine of 120 MB. Buffering them
+// completely would exhaust the memory; they must be forwarded as they arrive.
 func TestHostedLongBodiesAreNotBuffered(t *testing.T) {
 	t.Parallel()
 	w := newFixture(t)
-	const callers, most = 30, 60 << 10
+	const callers, maxKB = 30, 60 << 10
 	body := strings.Repeat("0123456789abcdef", 256<<10)
 	var wg sync.WaitGroup
 	for k := range callers {
@@ -524,7 +521,7 @@
 			c := booking(fmt.Sprintf("large-%d", k))
 			c.body = body
 			if r := w.do(w.machines[0], c); r.status != http.StatusOK && !refusedNotRun(r.status) {
-				t.Errorf("%s: %d %v", c.id, r.status, r.err)
+				t.Errorf("%s: status %d, error %v; want a success or a refusal as not run", c.id, r.status, r.err)
 			}
 		})
 	}
@@ -533,14 +530,14 @@
 	for k := range callers {
 		for _, a := range w.Arrivals()[fmt.Sprintf("large-%d", k)] {
 			if a.Body != body {
-				t.Errorf("large-%d arrived with %d bytes", k, len(a.Body))
+				t.Errorf("large-%d arrived with %d bytes that differ from the body sent", k, len(a.Body))
 			}
 			served++
 		}
 	}
 	peak := w.procs[0].peakMemoryKB(t)
 	t.Logf("served=%d peak_kb=%d", served, peak)
-	if served == 0 || peak > most {
-		t.Errorf("%d bodies passed, peak of %d KB, want at most %d", served, peak, most)
+	if served == 0 || peak > maxKB {
+		t.Errorf("%d bodies were served with a peak of %d KB, want at least one and at most %d KB", served, peak, maxKB)
 	}
 }
--- a/internal/proctest/hosted_world_test.go
+++ b/internal/proctest/hosted_world_test.go
@@ -16,33 +16,38 @@
 	"mulberrylug.example/mulberrylug/internal/testkit"
 )
 
-// Sizes of the worlds: small, as several run beside each other.
+// Sizes of a fixture. They are small because several tests run in parallel. streamEvents is the
+// number of events in a streamed response.
 const (
 	hostedInstanceCount = 3
-	poolUpstreams        = 4
-	deskUpstreams        = 3
-	streamEvents      = 40
-	briefSteps      = 5
+	poolUpstreams       = 4
+	deskUpstreams       = 3
+	streamEvents        = 40
+	briefSteps          = 5
 )
 
-// fixture is a hosting platform with instances in processes of their own.
+// fixture is a stand-in hosting platform with its upstreams, and instances in separate processes.
 type fixture struct {
 	*hosting.World
+	// machines and procs hold the instances, by the same index.
 	machines []hosting.Machine
 	procs    []*process
-	pool     []*hosting.Worker
-	desk     []*hosting.Worker
-	builds   builds
+	// pool holds the engines (service hosting.Pool), desk the upstreams of the plain service
+	// hosting.Desk.
+	pool   []*hosting.Worker
+	desk   []*hosting.Worker
+	builds builds
 }
 
-// newFixture starts a platform, its workers and instances, and waits until each
-// instance is ready.
+// newFixture starts a platform, its upstreams and instances, and waits until each instance is
+// ready.
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	return newFixtureOfBuild(t, "")
 }
 
-// newFixtureOfBuild is settle with instances of one build; "" alternates between the builds.
+// newFixtureOfBuild is newFixture with all instances of one build; "" alternates between the
+// build under test and -proctest.other.
 func newFixtureOfBuild(t *testing.T, build string) *fixture {
 	t.Helper()
 	base, err := hosting.NewWorld(t.TempDir())
@@ -50,91 +55,92 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(base.Close)
-	w := &fixture{World: base, builds: builds{fixed: build}}
+	f := &fixture{World: base, builds: builds{fixed: build}}
 	base.Configure(nil)
 	for k := range poolUpstreams {
-		w.pool = append(w.pool, w.addUpstream(t, fmt.Sprintf("engine-%d", k), hosting.Pool, func(k *hosting.Worker) {
+		f.pool = append(f.pool, f.addUpstream(t, fmt.Sprintf("engine-%d", k), hosting.Pool, func(k *hosting.Worker) {
 			k.EventEvery, k.EventCount, k.CopyTime = 25*time.Millisecond, streamEvents, 30*time.Millisecond
 		}))
 	}
 	for k := range deskUpstreams {
-		w.desk = append(w.desk, w.addUpstream(t, fmt.Sprintf("desk-%d", k), hosting.Desk, func(k *hosting.Worker) {
+		f.desk = append(f.desk, f.addUpstream(t, fmt.Sprintf("desk-%d", k), hosting.Desk, func(k *hosting.Worker) {
 			k.Work = 10 * time.Millisecond
 		}))
 	}
 	for k := range hostedInstanceCount {
-		w.addInstance(t, fmt.Sprintf("entry-%d", k))
+		f.addInstance(t, fmt.Sprintf("entry-%d", k))
 	}
-	w.waitReady(t)
-	return w
+	f.waitReady(t)
+	return f
 }
 
-func (w *fixture) addUpstream(t *testing.T, id, service string, shape func(*hosting.Worker)) *hosting.Worker {
+func (f *fixture) addUpstream(t *testing.T, id, service string, shape func(*hosting.Worker)) *hosting.Worker {
 	t.Helper()
-	k, err := w.Add(id, service, shape)
+	k, err := f.Add(id, service, shape)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return k
 }
 
-// newFixtureWithDataCentres starts a platform whose data centres, by their regions, have some engines,
-// plain services and instances each, and waits until each instance is ready. prepare may
-// change the platform before its first configuration.
-func newFixtureWithDataCentres(t *testing.T, zones map[string]string, each int, prepare func(*hosting.World)) *fixture {
+// newFixtureWithDataCentres starts a platform with the given data centres, mapped to their
+// regions, and waits until each instance is ready. Each data centre has perDataCentre engines,
+// plain upstreams and instances. prepare, if not nil, changes the platform before the first
+// configuration.
+func newFixtureWithDataCentres(t *testing.T, dataCentres map[string]string, perDataCentre int, prepare func(*hosting.World)) *fixture {
 	t.Helper()
 	base, err := hosting.NewWorld(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(base.Close)
-	base.Zones = zones
-	w := &fixture{World: base}
+	base.Zones = dataCentres
+	f := &fixture{World: base}
 	if prepare != nil {
 		prepare(base)
 	}
 	base.Configure(nil)
-	for _, zone := range slices.Sorted(maps.Keys(zones)) {
-		for k := range each {
-			w.pool = append(w.pool, w.addUpstream(t, fmt.Sprintf("engine-%s-%d", zone, k), hosting.Pool, func(k *hosting.Worker) {
-				k.Zone, k.EventEvery, k.EventCount, k.CopyTime = zone, 25*time.Millisecond, streamEvents, 30*time.Millisecond
+	for _, dc := range slices.Sorted(maps.Keys(dataCentres)) {
+		for k := range perDataCentre {
+			f.pool = append(f.pool, f.addUpstream(t, fmt.Sprintf("engine-%s-%d", dc, k), hosting.Pool, func(k *hosting.Worker) {
+				k.Zone, k.EventEvery, k.EventCount, k.CopyTime = dc, 25*time.Millisecond, streamEvents, 30*time.Millisecond
 			}))
-			w.desk = append(w.desk, w.addUpstream(t, fmt.Sprintf("desk-%s-%d", zone, k), hosting.Desk, func(k *hosting.Worker) {
-				k.Zone, k.Work = zone, 10*time.Millisecond
+			f.desk = append(f.desk, f.addUpstream(t, fmt.Sprintf("desk-%s-%d", dc, k), hosting.Desk, func(k *hosting.Worker) {
+				k.Zone, k.Work = dc, 10*time.Millisecond
 			}))
-			w.addInstanceIn(t, fmt.Sprintf("entry-%s-%d", zone, k), zone)
+			f.addInstanceIn(t, fmt.Sprintf("entry-%s-%d", dc, k), dc)
 		}
 	}
-	for _, m := range w.machines {
-		testkit.Eventually(t, waitTimeout, m.Name+" is ready and knows the others", func() bool {
-			return w.ready(m) && len(w.resolveFrom(m, "elsewhere", "elsewhere")) == len(w.machines)
+	for _, m := range f.machines {
+		testkit.Eventually(t, waitTimeout, m.Name+" is ready and lists all instances", func() bool {
+			return f.ready(m) && len(f.resolveFrom(m, "elsewhere", "elsewhere")) == len(f.machines)
 		})
 	}
-	return w
+	return f
 }
 
-func (w *fixture) addInstance(t *testing.T, name string) {
+func (f *fixture) addInstance(t *testing.T, name string) {
 	t.Helper()
-	w.addInstanceIn(t, name, hosting.DefaultZone)
+	f.addInstanceIn(t, name, hosting.DefaultZone)
 }
 
-func (w *fixture) addInstanceIn(t *testing.T, name, zone string) {
+func (f *fixture) addInstanceIn(t *testing.T, name, dc string) {
 	t.Helper()
-	m, err := w.MachineIn(name, zone)
+	m, err := f.MachineIn(name, dc)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.machines = append(w.machines, m)
-	w.procs = append(w.procs, w.startInstance(t, m))
+	f.machines = append(f.machines, m)
+	f.procs = append(f.procs, f.startInstance(t, m))
 }
 
-func (w *fixture) startInstance(t *testing.T, m hosting.Machine) *process {
+func (f *fixture) startInstance(t *testing.T, m hosting.Machine) *process {
 	t.Helper()
-	return startWith(t, w.builds.next(), m.Name, []string{"MULBERRYLUG_SETTINGS=" + m.Settings}, "serve")
+	return startWith(t, f.builds.next(), m.Name, []string{"MULBERRYLUG_SETTINGS=" + m.Settings}, "serve")
 }
 
-// ready reports whether a machine says that it is.
-func (w *fixture) ready(m hosting.Machine) bool {
+// ready reports whether an instance's readiness check succeeds.
+func (f *fixture) ready(m hosting.Machine) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+m.Ready+"/v1/readyz", nil)
@@ -149,56 +155,58 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// resolve returns the addresses that a machine tells callers of the default data centre to use.
-func (w *fixture) resolve(m hosting.Machine) []string {
-	return w.resolveFrom(m, hosting.DefaultRegion, hosting.DefaultZone)
+// resolve returns the callers' addresses in an instance's directory response for callers in the
+// default data centre; nil if there is no response.
+func (f *fixture) resolve(m hosting.Machine) []string {
+	return f.resolveFrom(m, hosting.DefaultRegion, hosting.DefaultZone)
 }
 
-// resolveFrom returns the addresses that a machine tells callers of a data centre to use.
-func (w *fixture) resolveFrom(m hosting.Machine, region, zone string) []string {
+// resolveFrom is resolve for callers in the given region and data centre.
+func (f *fixture) resolveFrom(m hosting.Machine, region, dc string) []string {
 	var out struct {
 		Addresses []string `json:"addresses"`
 	}
-	url := "http://" + m.Entries + "/v1/resolve?name=" + hosting.Host + "&region=" + region + "&zone=" + zone
+	url := "http://" + m.Entries + "/v1/resolve?name=" + hosting.Host + "&region=" + region + "&zone=" + dc
 	if err := getJSON(url, &out); err != nil {
 		return nil
 	}
 	return out.Addresses
 }
 
-func (w *fixture) waitReady(t *testing.T) {
+func (f *fixture) waitReady(t *testing.T) {
 	t.Helper()
-	for _, m := range w.machines {
-		testkit.Eventually(t, waitTimeout, m.Name+" is ready and knows the others", func() bool {
-			return w.ready(m) && len(w.resolve(m)) == len(w.machines)
+	for _, m := range f.machines {
+		testkit.Eventually(t, waitTimeout, m.Name+" is ready and lists all instances", func() bool {
+			return f.ready(m) && len(f.resolve(m)) == len(f.machines)
 		})
 	}
 }
 
-// call is a caller's request.
+// call is a caller's request. timeout is the value of its Deadline-Ms header; the client waits 5 s
+// longer.
 type call struct {
 	id, method, path, key, body string
 	header                      map[string]string
-	timeout                    time.Duration
+	timeout                     time.Duration
 }
 
-// result is what the caller saw.
+// result is the response that a caller received.
 type result struct {
 	status int
 	header http.Header
 	body   string
-	// truncated is set if the answer broke off.
+	// truncated is set if the connection ended before the end of the body.
 	truncated bool
-	err error
+	err       error
 }
 
-// do makes a request on a connection of its own.
-func (w *fixture) do(m hosting.Machine, c call) result {
-	return w.doOn(&http.Transport{DisableKeepAlives: true, DisableCompression: true}, m, c)
+// do sends a request on a new connection.
+func (f *fixture) do(m hosting.Machine, c call) result {
+	return f.doOn(&http.Transport{DisableKeepAlives: true, DisableCompression: true}, m, c)
 }
 
-// doOn makes a request on a transport's connections.
-func (w *fixture) doOn(transport http.RoundTripper, m hosting.Machine, c call) result {
+// doOn sends a request through a transport.
+func (f *fixture) doOn(transport http.RoundTripper, m hosting.Machine, c call) result {
 	ctx, cancel := context.WithTimeout(context.Background(), c.timeout+5*time.Second)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, c.method, "http://"+m.Callers+c.path, bytes.NewBufferString(c.body))
@@ -223,6 +231,7 @@
 	return result{status: resp.StatusCode, header: resp.Header, body: string(body), truncated: err != nil, err: err}
 }
 
+// generation returns a request on the route "draft": a streamed generation that may run only once.
 func generation(id string) call {
 	return call{
 		id: id, method: http.MethodPost, path: hosting.PathDraft + "d?x=%2F", key: hosting.Key, body: "prompt of " + id, timeout: 20 * time.Second,
@@ -230,15 +239,17 @@
 	}
 }
 
+// booking returns a request to the plain service that may run only once.
 func booking(id string) call {
 	return call{id: id, method: http.MethodPost, path: hosting.PathBooking + "b", key: hosting.Key, body: "book " + id, timeout: 3 * time.Second}
 }
 
+// lookUp returns a request to the plain service that may be retried.
 func lookUp(id string) call {
 	return call{id: id, method: http.MethodGet, path: hosting.PathLookUp + "l?q=1", key: hosting.Key, timeout: 3 * time.Second}
 }
 
-// streamBody returns a whole stream of a request.
+// streamBody returns the complete body of a request's stream.
 func streamBody(id string) string {
 	var b strings.Builder
 	for n := 1; n <= streamEvents; n++ {
@@ -247,12 +258,12 @@
 	return b.String()
 }
 
-// refusedNotRun reports whether a status promises that nothing ran.
+// refusedNotRun reports whether a status guarantees that the request has not run.
 func refusedNotRun(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
 
-// countRuns counts how often a request was begun anew.
+// countRuns counts how often a request was started from the beginning; resumed runs do not count.
 func countRuns(list []hosting.Arrival) (n int) {
 	for _, a := range list {
 		if a.Ran && !a.Resumed {
@@ -262,13 +273,13 @@
 	return n
 }
 
-// checkComplete checks that a draft ran once, and that its caller saw every event of it.
+// checkComplete checks that a generation was started once, and that its caller received every event.
 func checkComplete(t *testing.T, id string, r result, arrivals []hosting.Arrival) {
 	t.Helper()
 	if r.status != http.StatusOK || r.truncated || r.body != streamBody(id) {
-		t.Errorf("%s: status %d cut %v error %v, %d events of %d", id, r.status, r.truncated, r.err, strings.Count(r.body, "\n\n"), streamEvents)
+		t.Errorf("%s: status %d, truncated %v, error %v, %d of %d events; want a complete stream", id, r.status, r.truncated, r.err, strings.Count(r.body, "\n\n"), streamEvents)
 	}
 	if n := countRuns(arrivals); n != 1 {
-		t.Errorf("%s was begun %d times, want once", id, n)
+		t.Errorf("%s was started %d times, want once", id, n)
 	}
 }
--- a/internal/proctest/input_test.go
+++ b/internal/proctest/input_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-// runCommand runs the binary to its end.
+// runCommand runs the build under test and waits for its exit.
 func runCommand(t *testing.T, args ...string) (code int, stdout, stderr string) {
 	t.Helper()
 	var out, errOut bytes.Buffer
@@ -24,15 +24,15 @@
 	return cmd.ProcessState.ExitCode(), out.String(), errOut.String()
 }
 
-// Whoever types a command wrongly gets one line that says what is wrong and
-// what is allowed, and the documented exit code.
+// An invalid command line must print one line with the problem and the allowed values, and exit
+// with the documented code.
 func TestProcessBadCommandLines(t *testing.T) {
 	t.Parallel()
 	nothing := filepath.Join(t.TempDir(), "none.yaml")
 	for _, c := range []struct {
 		args string
 		code int
-		want string // part of the only line
+		want string // substring of the single line on stderr
 	}{
 		{"bogus", 2, `"bogus" is no command`},
 		{"serve -settings " + nothing, 2, "-settings must name a settings file"},
@@ -55,12 +55,12 @@
 	} {
 		code, stdout, stderr := runCommand(t, strings.Fields(c.args)...)
 		if code != c.code || strings.Count(stderr, "\n") != 1 || !strings.Contains(stderr, c.want) || stdout != "" {
-			t.Errorf("%s: exit code %d, printed %q%q; want %d and one line with %q", c.args, code, stdout, stderr, c.code, c.want)
+			t.Errorf("%s: exit code %d, stdout and stderr %q%q; want exit code %d and one line on stderr that contains %q", c.args, code, stdout, stderr, c.code, c.want)
 		}
 	}
 }
 
-// Help goes to who asks for it, with each command and each exit code.
+// The help command must list each command and the exit codes, and succeed.
 func TestProcessHelp(t *testing.T) {
 	t.Parallel()
 	code, stdout, stderr := runCommand(t, "help")
@@ -68,18 +68,18 @@
 	commands := []string{"serve", "check", "apply", "diff", "status", "explain", "ask", "book", "drain", "standin", "demo", "version"}
 	for _, name := range commands {
 		if !strings.Contains(all, "\n  "+name+" ") {
-			t.Errorf("help does not name %s", name)
+			t.Errorf("help does not list the command %s", name)
 		}
 		if _, out, errOut := runCommand(t, "help", name); !strings.HasPrefix(out+errOut, name) {
-			t.Errorf("help %s begins with %q", name, out+errOut)
+			t.Errorf("help %s printed %q, want text that begins with the command's name", name, out+errOut)
 		}
 	}
 	if code != 0 || !strings.Contains(all, "Exit codes:") {
-		t.Errorf("help: exit code %d, printed %q", code, all)
+		t.Errorf("help: exit code %d, printed %q; want exit code 0 and the exit codes", code, all)
 	}
 }
 
-// A taken address is told in one line, and nothing is left running.
+// An instance whose address is in use must print one line and exit with code 1.
 func TestProcessAddressTaken(t *testing.T) {
 	t.Parallel()
 	p := start(t, "platform", "standin", "platform")
@@ -92,6 +92,6 @@
 	}
 	code, _, stderr := runCommand(t, "serve", "-settings", file)
 	if code != 1 || strings.Count(stderr, "\n") != 1 || !strings.Contains(stderr, "listen for callers on "+taken) {
-		t.Errorf("exit code %d, printed %q; want 1 and one line with the address", code, stderr)
+		t.Errorf("exit code %d, printed %q; want exit code 1 and one line with the address", code, stderr)
 	}
 }
--- a/internal/proctest/load_test.go
+++ b/internal/proctest/load_test.go
@@ -15,22 +15,22 @@
 	"mulberrylug.example/mulberrylug/internal/testkit"
 )
 
-// answer is what one caller got.
+// answer is the result of one caller's request.
 type answer struct {
 	name    string
-	key     string // of a booking
+	key     string // of a booking, "" for a stream
 	result  client.Result
 	outcome client.Outcome
 	err     error
 }
 
-// load is a set of callers at work.
+// load is a set of concurrent callers.
 type load struct {
-	t      *testing.T
-	cl     *client.Client
-	wg     sync.WaitGroup
-	tokens atomic.Int64
-	firstTokens  atomic.Int64 // streams with a first token
+	t           *testing.T
+	cl          *client.Client
+	wg          sync.WaitGroup
+	tokens      atomic.Int64
+	firstTokens atomic.Int64 // number of streams that have received a token
 
 	mu      sync.Mutex
 	answers []answer
@@ -40,7 +40,7 @@
 
 const callTimeout = 90 * time.Second
 
-// stream starts a caller that streams an answer.
+// stream starts a caller that streams one generation.
 func (l *load) stream(n int) {
 	l.wg.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
@@ -55,7 +55,7 @@
 	})
 }
 
-// book starts a caller that books under a key.
+// book starts a caller that makes one booking under a key.
 func (l *load) book(key string) {
 	l.wg.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
@@ -85,21 +85,22 @@
 	l.answers = append(l.answers, a)
 }
 
-// waitForFirstTokens waits until that many streams have their first token.
+// waitForFirstTokens waits until n streams have received their first token.
 func (l *load) waitForFirstTokens(n int64) {
 	l.t.Helper()
-	testkit.Eventually(l.t, waitTimeout, fmt.Sprintf("%d streams have begun", n), func() bool { return l.firstTokens.Load() >= n })
+	testkit.Eventually(l.t, waitTimeout, fmt.Sprintf("%d streams have received a token", n), func() bool { return l.firstTokens.Load() >= n })
 }
 
-// wait waits for every caller and returns the answers.
+// wait waits for all callers and returns their answers.
 func (l *load) wait() []answer {
 	l.wg.Wait()
 	return l.answers
 }
 
-// checkAnswers compares every answer with what engines and service recorded: tokens
-// exactly once, in order, from one generation, all of them if it says done;
-// bookings at most once, and never if it says not run.
+// checkAnswers compares the answers with the records of engines and service. The tokens of a stream
+// must come from one generation, in order and without duplicates, and be complete if the outcome
+// is done. A booking must run at most once, and not at all if the outcome is not run. It returns how
+// often streams were resumed.
 func checkAnswers(t *testing.T, d *deployment, answers []answer) (resumes int) {
 	t.Helper()
 	generations, calls := d.generations(t), d.callCounts(t)
@@ -118,11 +119,11 @@
 	t.Helper()
 	switch {
 	case runs > 1:
-		t.Errorf("%s ran %d times", a.name, runs)
+		t.Errorf("%s ran %d times, want at most once", a.name, runs)
 	case a.outcome == client.NotRun && runs != 0:
-		t.Errorf("%s was told not run (%v) but ran", a.name, a.err)
+		t.Errorf("%s: outcome not run (%v), but the service ran it", a.name, a.err)
 	case a.outcome == client.Done && runs != 1:
-		t.Errorf("%s was told done but ran %d times", a.name, runs)
+		t.Errorf("%s: outcome done, but the service ran it %d times, want once", a.name, runs)
 	}
 }
 
@@ -130,32 +131,32 @@
 	t.Helper()
 	if a.result.Text == "" {
 		if a.outcome == client.Done {
-			t.Errorf("%s is done without a token", a.name)
+			t.Errorf("%s: outcome done without a token", a.name)
 		}
 		return
 	}
 	for attempt, rec := range generations {
-		var whole strings.Builder
+		var full strings.Builder
 		for n := range rec.Tokens {
-			whole.WriteString(engine.TokenText(attempt, n))
+			full.WriteString(engine.TokenText(attempt, n))
 		}
-		if !strings.HasPrefix(whole.String(), a.result.Text) {
+		if !strings.HasPrefix(full.String(), a.result.Text) {
 			continue
 		}
-		if a.outcome == client.Done && a.result.Text != whole.String() {
-			t.Errorf("%s is done with %d of %d tokens", a.name, a.result.Tokens, rec.Tokens)
+		if a.outcome == client.Done && a.result.Text != full.String() {
+			t.Errorf("%s: outcome done with %d of %d tokens", a.name, a.result.Tokens, rec.Tokens)
 		}
 		return
 	}
-	t.Errorf("%s (%s, %v) got %d tokens that are no generation's first ones in order", a.name, a.outcome, a.err, a.result.Tokens)
+	t.Errorf("%s (%s, %v) received %d tokens that are not the beginning of one generation", a.name, a.outcome, a.err, a.result.Tokens)
 }
 
-// requireDone fails for every answer that is not done.
+// requireDone fails the test for every answer whose outcome is not done.
 func requireDone(t *testing.T, answers []answer) {
 	t.Helper()
 	for _, a := range answers {
 		if a.outcome != client.Done {
-			t.Errorf("%s: %s, %v", a.name, a.outcome, a.err)
+			t.Errorf("%s: outcome %s, error %v, want done", a.name, a.outcome, a.err)
 		}
 	}
 }
--- a/internal/proctest/process_test.go
+++ b/internal/proctest/process_test.go
@@ -17,21 +17,21 @@
 	"time"
 )
 
-// waitTimeout bounds a process's start and any other wait for a condition. It
-// is generous: a busy machine must not change a verdict.
+// waitTimeout limits the start of a process and every other wait for a condition. It is long, so
+// that tests do not fail on a busy machine.
 const waitTimeout = 40 * time.Second
 
-// binary is the path of the built command.
+// binary is the path of the build under test.
 var binary string
 
-// maxParallelTests bounds the tests that run in parallel: each has eight
+// maxParallelTests limits the number of tests that run in parallel, as each starts about eight
 // processes.
 const maxParallelTests = "6"
 
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if err := flag.Set("test.parallel", maxParallelTests); err != nil {
-		panic(err) // the flag is the testing package's own
+		panic(err) // package testing defines the flag, so this can't fail
 	}
 	os.Exit(buildAndRun(m))
 }
@@ -52,25 +52,25 @@
 	return m.Run()
 }
 
-// process is one started process. Only its own id is ever signalled.
+// process is a started process. Signals are sent to its process id only.
 type process struct {
 	name  string
 	cmd   *exec.Cmd
 	ended chan struct{}
 
-	mu   sync.Mutex
-	out  bytes.Buffer
+	mu            sync.Mutex
+	out           bytes.Buffer
 	outputChanged *sync.Cond
-	exitErr error
+	exitErr       error
 }
 
-// start starts the binary; the process is gone when the test ends.
+// start starts the build under test. The process is killed when the test ends.
 func start(t *testing.T, name string, args ...string) *process {
 	t.Helper()
 	return startWith(t, binary, name, nil, args...)
 }
 
-// startWith starts a build of the command with more variables in its environment.
+// startWith starts a build of the command with additional environment variables.
 func startWith(t *testing.T, build, name string, environment []string, args ...string) *process {
 	t.Helper()
 	p := &process{name: name, cmd: exec.Command(build, args...), ended: make(chan struct{})}
@@ -131,7 +131,7 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	t.Fatalf("%s did not print %s=:\n%s", p.name, key, p.output())
+	t.Fatalf("%s did not print a value for %s=; output:\n%s", p.name, key, p.output())
 	return ""
 }
 
@@ -154,13 +154,13 @@
 	return nil
 }
 
-// kill ends the process as kill -9 does, also while it is stopped.
+// kill sends SIGKILL, which also ends a stopped process, and waits for the exit.
 func (p *process) kill() {
-	_ = p.signal(syscall.SIGKILL) // it has ended if this fails
+	_ = p.signal(syscall.SIGKILL) // fails only if the process has exited
 	<-p.ended
 }
 
-// freeze stops the process for a while, as a paused machine does.
+// freeze stops the process for a duration, which simulates a paused machine.
 func (p *process) freeze(t *testing.T, d time.Duration) {
 	t.Helper()
 	if err := p.signal(syscall.SIGSTOP); err != nil {
@@ -172,7 +172,7 @@
 	}
 }
 
-// drain sends SIGTERM and waits for a clean exit.
+// drain sends SIGTERM and waits for exit code 0.
 func (p *process) drain(t *testing.T) {
 	t.Helper()
 	if err := p.signal(syscall.SIGTERM); err != nil {
@@ -181,22 +181,22 @@
 	p.awaitExit(t)
 }
 
-// awaitExit waits for the clean exit of a process that has received SIGTERM.
+// awaitExit waits for exit code 0 of a process that has received SIGTERM.
 func (p *process) awaitExit(t *testing.T) {
 	t.Helper()
 	select {
 	case <-p.ended:
 	case <-time.After(waitTimeout):
-		t.Fatalf("%s did not end within %s of SIGTERM", p.name, waitTimeout)
+		t.Fatalf("%s did not exit within %s of SIGTERM", p.name, waitTimeout)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.exitErr != nil {
-		t.Errorf("%s ended with %v after SIGTERM, want exit code 0", p.name, p.exitErr)
+		t.Errorf("%s exited with %v after SIGTERM, want exit code 0", p.name, p.exitErr)
 	}
 }
 
-// peakMemoryKB returns the most memory that the process has had resident, in KB.
+// peakMemoryKB returns the peak resident memory of the process in KB.
 func (p *process) peakMemoryKB(t *testing.T) (kb int) {
 	t.Helper()
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
--- a/internal/proctest/promise_test.go
+++ b/internal/proctest/promise_test.go
@@ -12,8 +12,7 @@
 	"mulberrylug.example/mulberrylug/internal/standin/platform"
 )
 
-// All instances are replaced one after another under load, as an upgrade does.
-// No caller sees a cut.
+// All instances are replaced one after another under load, as in an upgrade. No stream may be cut.
 func TestPromise6RollingRestart(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
@@ -33,12 +32,12 @@
 	requireDone(t, answers)
 	t.Logf("answers=%d resumes=%d", len(answers), resumes)
 	if resumes != 0 {
-		t.Errorf("%d streams were cut by the restarts", resumes)
+		t.Errorf("%d streams were cut by the restarts, want 0", resumes)
 	}
 }
 
-// The whole path in separate processes: callers stream answers and book through
-// the public client, and all of it is done.
+// Callers stream generations and make bookings through the public client, with every part in a
+// separate process. All of them must succeed.
 func TestProcessServesStreamsAndBookings(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
@@ -52,14 +51,13 @@
 	checkAnswers(t, d, answers)
 	requireDone(t, answers)
 	if got := len(d.callCounts(t)); got != each {
-		t.Errorf("the service ran %d keys, want %d", got, each)
+		t.Errorf("the service ran %d different keys, want %d", got, each)
 	}
 }
 
-// Callers read streams when their entry gets kill -9. They see a pause: the
-// connection ends, they come back at another instance with their last event id,
-// which reads the same generation on at the engine. Every token arrives once
-// and in order, as the handle names the generation and the next index.
+// The entry of some streams receives SIGKILL. Its callers reconnect to another instance with their
+// last event id and resume the same generation, as the handle in the id names the generation and
+// the next index. Every token must arrive once and in order.
 func TestPromise1EntryKilledMidStream(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
@@ -75,14 +73,13 @@
 	requireDone(t, answers)
 	t.Logf("streams=%d resumes=%d", streams, resumes)
 	if resumes == 0 {
-		t.Error("no stream was resumed: the killed instance served none")
+		t.Error("no stream was resumed: the killed instance served none, so the test checks nothing")
 	}
 }
 
-// An instance and then an engine stand still in the middle of streams, and go
-// on as if nothing had been. Callers of the instance read on elsewhere, those
-// of the engine wait; nobody gets a token twice, though the frozen ones wake
-// with what they were about to send.
+// An instance and then an engine are paused during streams and continue later. Callers of the
+// instance resume at another one, those of the engine wait. No token may arrive twice, although
+// the paused processes send buffered tokens when they continue.
 func TestPromise1FrozenInstanceAndEngine(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
@@ -104,9 +101,8 @@
 	t.Logf("streams=%d resumes=%d", 2*streams, resumes)
 }
 
-// Instances get kill -9 and freeze while callers book. A key runs at most once
-// and never after "not run": the claim in the table is the only permission to
-// dispatch, and only the attempt that inserted it has it.
+// Instances receive SIGKILL or are paused while callers book. A key must run at most once, and never
+// after the outcome not run: only the attempt that inserted the claim into the table may dispatch.
 func TestPromise4BookingsWhileInstancesFail(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
@@ -134,7 +130,8 @@
 	}
 }
 
-// startTraffic starts a caller every few milliseconds until stop is closed.
+// startTraffic starts a stream and a booking every 60 ms until stop is closed. The returned channel
+// is closed once no more callers are started.
 func (l *load) startTraffic(stop <-chan struct{}) (ended chan struct{}) {
 	ended = make(chan struct{})
 	go func() {
@@ -152,9 +149,9 @@
 	return ended
 }
 
-// An instance gets SIGTERM under load while callers still hold its address. It
-// leaves the entry answers, goes on serving those who come, and ends with code 0
-// once nothing runs: no caller sees a cut.
+// An instance receives SIGTERM under load while callers still have its address cached. It leaves
+// the lists of instances, serves callers that still connect, and exits with code 0 once nothing
+// runs. No stream may be cut.
 func TestPromise6DrainUnderLoad(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
@@ -169,29 +166,28 @@
 	resumes := checkAnswers(t, d, answers)
 	requireDone(t, answers)
 	if resumes != 0 {
-		t.Errorf("%d streams were cut by the drain", resumes)
+		t.Errorf("%d streams were cut by the drain, want 0", resumes)
 	}
 }
 
-// The store goes down, comes back, and then the platform's process dies for
-// good. Streams within what is debited go on; a booking is told at once that it
-// did not run and when to come back, and is run after the outage; an instance
-// still drains without the platform.
+// The store fails and recovers, and then the platform's process is killed. Streams within debited
+// chunks continue. A booking during the outage is refused at once as not run, with a time to
+// retry, and runs after the outage. An instance can still drain without the platform.
 func TestPlatformOutage(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
 	l := newLoad(t, d)
-	l.stream(0) // debits a chunk
+	l.stream(0) // debits a chunk that covers the streams during the outage
 	l.book("before")
 	l.wait()
 	d.setFaults(t, platform.Faults{Down: true})
-	impatient := newLoad(t, d)
-	impatient.cl = client.New(client.Options{Seeds: []string{d.instances[1].value(t, "caller_address")}, APIKey: "demo-key"})
-	impatient.book("during")
-	impatient.wait()
+	withoutRetries := newLoad(t, d)
+	withoutRetries.cl = client.New(client.Options{Seeds: []string{d.instances[1].value(t, "caller_address")}, APIKey: "demo-key"})
+	withoutRetries.book("during")
+	withoutRetries.wait()
 	var p *client.Problem
-	if got := impatient.answers[0]; !errors.As(got.err, &p) || p.Outcome != client.NotRun || p.RetryAfter == 0 {
-		t.Errorf("a booking during the outage: %v, want not run and when to come back", got.err)
+	if got := withoutRetries.answers[0]; !errors.As(got.err, &p) || p.Outcome != client.NotRun || p.RetryAfter == 0 {
+		t.Errorf("booking during the outage: %v, want not run and a time to retry", got.err)
 	}
 	for n := range 6 {
 		l.stream(1 + n)
@@ -203,13 +199,13 @@
 	d.platform.kill()
 	l.stream(10)
 	l.wait()
-	checkAnswers(t, d, append(l.answers, impatient.answers...))
+	checkAnswers(t, d, append(l.answers, withoutRetries.answers...))
 	requireDone(t, l.answers)
 	d.instances[2].drain(t)
 }
 
-// Every event is one line of key=value pairs, and the ids in them can be
-// explained at any instance.
+// Every log event must be one line of key=value pairs, and any instance must be able to explain a
+// request id found in a log.
 func TestProcessLogsAndExplains(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
@@ -221,7 +217,7 @@
 	for _, p := range d.instances {
 		var lines []string
 		if err := getJSON("http://"+p.value(t, "operator_address")+"/v1/explain/"+id, &lines); err != nil || len(lines) < 3 {
-			t.Errorf("%s explains %s with %q, %v", p.name, id, lines, err)
+			t.Errorf("%s explains %s with %q, error %v; want at least 3 lines", p.name, id, lines, err)
 		}
 		if err := p.signal(syscall.SIGTERM); err != nil {
 			t.Error(err)
@@ -232,11 +228,11 @@
 		<-p.ended
 		for _, line := range strings.Split(strings.TrimSpace(p.output()), "\n") {
 			if !strings.HasPrefix(line, "time=") || !strings.Contains(line, " event=") || strings.Count(line, " request=") > 1 {
-				t.Errorf("%s: log line %q", p.name, line)
+				t.Errorf("%s: malformed log line %q", p.name, line)
 			}
 		}
 		if p.name == owner && !strings.Contains(p.output(), "request="+id+" outcome=done") {
-			t.Errorf("%s logged no line for %s", p.name, id)
+			t.Errorf("%s logged no line with outcome done for %s", p.name, id)
 		}
 	}
 }
--- a/internal/proctest/soak_test.go
+++ b/internal/proctest/soak_test.go
@@ -16,56 +16,57 @@
 	"mulberrylug.example/mulberrylug/internal/testkit"
 )
 
-// The soak plays random troubles against real processes. One short run with a
-// fixed seed belongs to every test run; more, by hand:
+// The soak test injects random faults into real processes. Every test run includes a short run
+// with a fixed seed. To run more seeds:
 //
 //	go test ./internal/proctest -run Soak -soak.seed=7 -soak.seeds=50 -soak.for=10s -timeout 60m
 //
-// This and all other tests can run with instances of two builds: see -proctest.other.
+// With -proctest.other=PATH, every second instance of this and all other tests runs a second
+// build of the command; see upgrade_test.go.
 var (
-	soakSeed  = flag.Uint64("soak.seed", 1, "first seed of the soak")
-	soakSeeds = flag.Int("soak.seeds", 1, "number of seeds, one after the other")
-	soakDuration   = flag.Duration("soak.for", 6*time.Second, "time of troubles of each seed")
+	soakSeed     = flag.Uint64("soak.seed", 1, "first seed of the soak test")
+	soakSeeds    = flag.Int("soak.seeds", 1, "number of consecutive seeds")
+	soakDuration = flag.Duration("soak.for", 6*time.Second, "duration of the fault injection for each seed")
 )
 
-// soakRegressions are seeds that have failed once, each with its cause.
+// soakRegressions are seeds that failed in the past, each with its cause.
 var soakRegressions = []uint64{}
 
 const (
-	// soakCallers ask one request after another.
+	// soakCallers is the number of callers, each of which sends one request at a time.
 	soakCallers = 9
-	// recoveryTimeout is how soon after the last trouble requests must be served.
+	// recoveryTimeout is the maximum time from the last fault until every instance serves requests.
 	recoveryTimeout = 8 * time.Second
 )
 
-// soak is one run.
+// soak is a run with one seed.
 type soak struct {
 	*fixture
 	t    *testing.T
 	rand *rand.Rand
 	stop chan struct{}
-	// relays stand before workers: the links to those can be harmed.
+	// relays are in front of some upstreams and inject faults into the connections to them.
 	relays []*relay.Relay
 
-	// restarts counts the instances that are being stopped and started; each
-	// has its turn in free, so that one stays.
-	restarts sync.WaitGroup
-	restartable     chan int
+	// restarts counts the instances that are being restarted. restartable holds the indexes of
+	// instances that may be restarted; it never contains the last one, so that one is always up.
+	restarts    sync.WaitGroup
+	restartable chan int
 
-	// mu guards what follows, and the world's procs.
-	mu    sync.Mutex
+	// mu guards the fields below and procs.
+	mu       sync.Mutex
 	requests map[string]sentRequest
-	key   string
-	// revoked holds when each key was taken away.
+	key      string
+	// revoked maps each revoked key to the time of its revocation.
 	revoked map[string]time.Time
 	served  int
 }
 
-// sentRequest is a request and what its caller saw.
+// sentRequest is a request and the response that its caller received.
 type sentRequest struct {
 	call
-	sent time.Time
-	result  result
+	sent   time.Time
+	result result
 }
 
 func TestSoak(t *testing.T) {
@@ -105,7 +106,7 @@
 	t.Logf("seed=%d requests=%d served=%d", seed, len(s.requests), s.served)
 }
 
-// addRelays adds a worker of each service behind a relay.
+// addRelays adds an upstream of each service behind a relay.
 func (s *soak) addRelays() {
 	for _, service := range []string{hosting.Pool, hosting.Desk} {
 		k, r, err := s.AddBehindRelay("behind-relay-"+service, service, func(k *hosting.Worker) {
@@ -125,8 +126,8 @@
 	}
 }
 
-// disturbLink makes a link slow, cuts its connections, swallows what they carry both ways
-// or one way, or refuses new ones.
+// disturbLink delays a relay's connections, closes them, silently drops their data in both directions
+// or one, or refuses new connections.
 func (s *soak) disturbLink() {
 	r := s.relays[s.rand.IntN(len(s.relays))]
 	switch s.rand.IntN(5) {
@@ -143,11 +144,11 @@
 	}
 }
 
-// sendRequests sends requests until the soak ends.
+// sendRequests sends requests until the run ends.
 func (s *soak) sendRequests(caller int, r *rand.Rand) {
-	// Half of the callers use an open connection until the process is gone,
-	// whatever the process says of its end. Look-ups don't: the library sends
-	// them again by itself when a kept connection breaks.
+	// Half of the callers keep a connection open until it fails, even if the instance announces
+	// that it drains. Look-ups use new connections, as net/http itself retries them when a
+	// persistent connection breaks.
 	kept := &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 1}
 	defer kept.CloseIdleConnections()
 	at := r.IntN(len(s.machines))
@@ -170,7 +171,7 @@
 		s.mu.Lock()
 		c.key = s.key
 		if r.IntN(8) == 0 && len(s.revoked) > 0 {
-			c.key = hosting.Key // a caller that has not heard of the new key
+			c.key = hosting.Key // a caller that still uses the first key
 		}
 		s.mu.Unlock()
 		a := sentRequest{call: c, sent: time.Now()}
@@ -189,10 +190,10 @@
 	}
 }
 
-// injectFault makes one thing go wrong, or right again.
+// injectFault injects one random fault, or ends the current ones.
 func (s *soak) injectFault() {
 	n := s.rand.IntN(len(s.procs))
-	worker := append(append([]*hosting.Worker(nil), s.pool...), s.desk...)[s.rand.IntN(len(s.pool)+len(s.desk))]
+	upstream := append(append([]*hosting.Worker(nil), s.pool...), s.desk...)[s.rand.IntN(len(s.pool)+len(s.desk))]
 	switch s.rand.IntN(14) {
 	case 0:
 		s.restart(syscall.SIGKILL)
@@ -213,7 +214,7 @@
 			hosting.Full, hosting.Fails, hosting.LostAnswer, hosting.Mute, hosting.Cuts,
 			hosting.Unsigned, hosting.FalsePromise, hosting.Extra, hosting.Unframed,
 		}
-		worker.SetFault(faults[s.rand.IntN(len(faults))])
+		upstream.SetFault(faults[s.rand.IntN(len(faults))])
 	case 9:
 		s.replaceEngine()
 	case 10:
@@ -227,29 +228,29 @@
 	}
 }
 
-// restart ends an instance and starts it anew a moment later. Others may be ending
-// and starting meanwhile; one stays.
-func (s *soak) restart(how syscall.Signal) {
+// restart ends an instance with a signal and starts it again. Other instances may be restarting at
+// the same time, but one always stays up.
+func (s *soak) restart(sig syscall.Signal) {
 	var n int
 	select {
 	case n = <-s.restartable:
 	default:
-		return // all but one are
+		return // all but one are restarting
 	}
 	p := s.process(n)
-	if err := p.signal(how); err != nil {
+	if err := p.signal(sig); err != nil {
 		s.t.Error(err)
 	}
 	s.restarts.Go(func() {
 		select {
 		case <-p.ended:
 		case <-time.After(10 * time.Second):
-			s.t.Errorf("%s did not end within 10 s of %v", p.name, how)
+			s.t.Errorf("%s did not exit within 10 s of %v", p.name, sig)
 			p.kill()
 		}
-		again := s.startInstance(s.t, s.machines[n])
+		restarted := s.startInstance(s.t, s.machines[n])
 		s.mu.Lock()
-		s.procs[n] = again
+		s.procs[n] = restarted
 		s.mu.Unlock()
 		s.restartable <- n
 	})
@@ -261,7 +262,7 @@
 	return s.procs[n]
 }
 
-// freeze stops an instance for up to a second and a half.
+// freeze stops an instance for 0.2 to 1.5 s.
 func (s *soak) freeze(n int) {
 	p := s.process(n)
 	if err := p.signal(syscall.SIGSTOP); err != nil {
@@ -273,7 +274,7 @@
 	}
 }
 
-// replaceEngine makes an engine announce its end and crash; another takes its place.
+// replaceEngine makes an engine announce that it leaves and crash, and adds another one.
 func (s *soak) replaceEngine() {
 	k := s.rand.IntN(len(s.pool))
 	w := s.pool[k]
@@ -284,7 +285,7 @@
 	})
 }
 
-// rotateKey takes the key away and gives another.
+// rotateKey revokes the current key and configures another one.
 func (s *soak) rotateKey() {
 	s.mu.Lock()
 	old := s.key
@@ -299,7 +300,7 @@
 	s.mu.Unlock()
 }
 
-// clearFaults ends what lasts: outages of the store and faults of workers.
+// clearFaults ends the faults that last: of the store, the relays and the upstreams.
 func (s *soak) clearFaults() {
 	s.Table.Set(hosting.Well)
 	for _, r := range s.relays {
@@ -314,64 +315,64 @@
 	}
 }
 
-// waitRecovered mends everything and waits until each instance serves again.
+// waitRecovered clears all faults and waits until each instance serves a request.
 func (s *soak) waitRecovered() {
 	s.clearFaults()
-	began := time.Now()
+	started := time.Now()
 	for k, m := range s.machines {
 		testkit.Eventually(s.t, recoveryTimeout, m.Name+" serves again", func() bool {
-			c := booking(fmt.Sprintf("calm-%d-%d", k, time.Since(began)))
+			c := booking(fmt.Sprintf("recovered-%d-%d", k, time.Since(started)))
 			c.key = s.key
 			return s.do(m, c).status == http.StatusOK
 		})
 	}
 }
 
-// check judges by what callers saw and what reached the workers.
+// check compares the responses that callers received with the arrivals at the upstreams.
 func (s *soak) check() {
 	arrivals := s.Arrivals()
 	for id, a := range s.requests {
 		list := arrivals[id]
 		once := !strings.HasPrefix(a.path, hosting.PathBrief) && !strings.HasPrefix(a.path, hosting.PathLookUp)
 		if n := countRuns(list); once && n > 1 {
-			s.t.Errorf("%s ran %d times", id, n)
+			s.t.Errorf("%s ran %d times, want at most once", id, n)
 		} else if n > 2 {
-			s.t.Errorf("%s ran %d times, its route allows two", id, n)
+			s.t.Errorf("%s ran %d times, want at most twice", id, n)
 		}
 		if once && refusedNotRun(a.result.status) && countRuns(list) > 0 {
-			s.t.Errorf("%s was told %d, but it ran", id, a.result.status)
+			s.t.Errorf("%s: status %d, which means not run, but it ran", id, a.result.status)
 		}
 		if a.result.status == http.StatusOK && !a.result.truncated {
 			checkSuccess(s.t, a, list)
 		}
 		s.mu.Lock()
-		gone, taken := s.revoked[a.key]
+		revokedAt, revoked := s.revoked[a.key]
 		s.mu.Unlock()
-		if taken && a.sent.After(gone.Add(hosting.RevokeWithin)) && countRuns(list) > 0 {
-			s.t.Errorf("%s ran with a key that was taken away %v before", id, a.sent.Sub(gone))
+		if revoked && a.sent.After(revokedAt.Add(hosting.RevokeWithin)) && countRuns(list) > 0 {
+			s.t.Errorf("%s ran with a key that was revoked %v earlier", id, a.sent.Sub(revokedAt))
 		}
 		for _, arrival := range list {
 			if arrival.Header.Get("Tenant") != hosting.Owner || arrival.Header.Get("Credential") != "" {
-				s.t.Errorf("%s reached %s with %v", id, arrival.Worker, arrival.Header)
+				s.t.Errorf("%s reached %s with headers %v, want the organisation and no key", id, arrival.Worker, arrival.Header)
 			}
 		}
 	}
 	for id := range arrivals {
-		if _, ok := s.requests[id]; !ok && !strings.HasPrefix(id, "calm-") {
-			s.t.Errorf("a request that nobody sent reached a worker: %s", id)
+		if _, ok := s.requests[id]; !ok && !strings.HasPrefix(id, "recovered-") {
+			s.t.Errorf("request %s reached an upstream, but no caller sent it", id)
 		}
 	}
 	if s.served == 0 {
-		s.t.Error("nothing was served: the soak shows nothing")
+		s.t.Error("no request was served, so the test checks nothing")
 	}
 }
 
-// checkSuccess checks that a success is one worker's whole answer.
+// checkSuccess checks that a successful response is the complete response of one upstream.
 func checkSuccess(t *testing.T, a sentRequest, list []hosting.Arrival) {
 	t.Helper()
 	if strings.HasPrefix(a.path, hosting.PathDraft) || strings.HasPrefix(a.path, hosting.PathBrief) {
 		if a.result.body != streamBody(a.id) {
-			t.Errorf("%s: the stream looks whole but is not: %d events", a.id, strings.Count(a.result.body, "\n\n"))
+			t.Errorf("%s: the stream ended without an error after %d events, want all events", a.id, strings.Count(a.result.body, "\n\n"))
 		}
 		return
 	}
@@ -380,5 +381,5 @@
 			return
 		}
 	}
-	t.Errorf("%s got %q with seal %q", a.id, a.result.body, a.result.header.Get("Response-Seal"))
+	t.Errorf("%s: body %q with seal %q, want the response and seal of an upstream that it reached", a.id, a.result.body, a.result.header.Get("Response-Seal"))
 }
--- a/internal/proctest/upgrade_test.go
+++ b/internal/proctest/upgrade_test.go
@@ -122,7 +122,7 @@
 	}
 }
 
-// replacement is an instance and the version of the configuration in force at its start.
+// replacement is an instance and the version of the configuration in force when it was started.
 type replacement struct {
 	*process
 	version int64
@@ -166,7 +166,7 @@
 	}
 	slices.Sort(want)
 	for _, p := range u.instances {
-		testkit.Eventually(t, waitTimeout, p.name+" is ready and knows the others", func() bool {
+		testkit.Eventually(t, waitTimeout, p.name+" is ready and lists all instances", func() bool {
 			var entries struct {
 				Addresses []string `json:"addresses"`
 			}
@@ -257,7 +257,7 @@
 		case a.outcome == client.Done:
 			done++
 		case !errors.As(a.err, &refused) || refused.Outcome != client.NotRun || refused.RetryAfter <= 0:
-			t.Errorf("%s: %s, %v; want done, or not run and a time to retry", a.name, a.outcome, a.err)
+			t.Errorf("%s: outcome %s, error %v; want done, or not run and a time to retry", a.name, a.outcome, a.err)
 		}
 	}
 	t.Logf("answers=%d done=%d version=%d", len(answers), done, u.version)
@@ -265,7 +265,7 @@
 		checkMessages(t, p.process)
 		checkVersions(t, p.process, "config_in_force", "number", p.version)
 		if !strings.Contains(p.output(), " event=request ") {
-			t.Errorf("%s served no request: the test shows nothing for it", p.name)
+			t.Errorf("%s served no request, so the test checks nothing about it", p.name)
 		}
 	}
 }
@@ -282,8 +282,8 @@
 	callers sync.WaitGroup
 
 	mu sync.Mutex
-	// live are the machines whose directory the callers ask.
-	live  []hosting.Machine
+	// live are the machines whose directories the callers use.
+	live     []hosting.Machine
 	requests []sentRequest
 }
 
@@ -300,7 +300,7 @@
 		u.mu.Unlock()
 		named := u.resolve(m)
 		if len(named) == 0 {
-			continue // it has begun to drain, and its callers ask another one
+			continue // it is draining or has exited, so that callers use another directory
 		}
 		id := fmt.Sprintf("u%d-%d", caller, n)
 		c := []call{generation(id), booking(id), lookUp(id)}[caller%3]
@@ -332,7 +332,7 @@
 	}
 	slices.Sort(want)
 	for _, m := range u.machines {
-		testkit.Eventually(t, waitTimeout, m.Name+" knows the others", func() bool {
+		testkit.Eventually(t, waitTimeout, m.Name+" lists all instances", func() bool {
 			named := u.resolve(m)
 			slices.Sort(named)
 			return slices.Equal(named, want)
@@ -433,7 +433,7 @@
 		checkMessages(t, p.process)
 		checkVersions(t, p.process, "configuration_adopted", "version", p.version)
 		if !strings.Contains(p.output(), " event=request_ended ") {
-			t.Errorf("%s served no request: the test shows nothing for it", p.name)
+			t.Errorf("%s served no request, so the test checks nothing about it", p.name)
 		}
 	}
 }
@@ -444,19 +444,19 @@
 	t.Helper()
 	arrivals, served := u.Arrivals(), 0
 	for _, a := range u.requests {
-		list, most := arrivals[a.id], 1
+		list, limit := arrivals[a.id], 1
 		if strings.HasPrefix(a.path, hosting.PathLookUp) {
-			most = 2
+			limit = 2
 		}
-		if n := countRuns(list); n > most {
-			t.Errorf("%s ran %d times, want at most %d", a.id, n, most)
+		if n := countRuns(list); n > limit {
+			t.Errorf("%s ran %d times, want at most %d", a.id, n, limit)
 		}
 		switch r := a.result; {
 		case r.status == http.StatusOK && !r.truncated:
 			served++
 			checkSuccess(t, a, list)
 		case !refusedNotRun(r.status) || r.header.Get("Retry-After") == "" || countRuns(list) > 0:
-			t.Errorf("%s: status %d cut %v error %v, run %d times; want success, or a refusal with a time to retry", a.id, r.status, r.truncated, r.err, countRuns(list))
+			t.Errorf("%s: status %d, truncated %v, error %v, run %d times; want success, or a refusal with a time to retry", a.id, r.status, r.truncated, r.err, countRuns(list))
 		}
 	}
 	t.Logf("requests=%d served=%d version=%d", len(u.requests), served, u.version)
