--- a/internal/proctest/hosted_large_test.go
+++ b/internal/proctest/hosted_large_test.go
@@ -12,7 +12,7 @@
 )
 
 // A service grows to more upstreams than every instance can track. It is divided into groups, each
-// with its own home, and an entry uses an upstream that it does not know on the word of the home.
+// with its own home, and an entry uses an upstream that is not in its own list if the home grants it.
 // Meanwhile generations run and some upstreams leave: each generation must run once, and its caller
 // must receive every event. The home of the undivided service must not treat upstreams that now
 // belong to groups as removed and evacuate them.
--- a/internal/proctest/hosted_move_test.go
+++ b/internal/proctest/hosted_move_test.go
@@ -233,8 +233,8 @@
 }
 
 // The leaving engine stops and copies generations as ordered, but its responses to the orders are
-// lost. The entries know the destinations from the first copy, made while the generation ran, and
-// must continue from there.
+// lost. The entries have the destinations from the first copy, which was made while the generation
+// ran, and must continue from there.
 func TestHostedMoveResponsesLost(t *testing.T) {
 	t.Parallel()
 	m := startGenerations(t, 12)
--- a/internal/proctest/hosted_test.go
+++ b/internal/proctest/hosted_test.go
@@ -18,7 +18,7 @@
 // caller sent it, with the organisation's name in place of the key.
 func TestHostedWithoutFaults(t *testing.T) {
 	t.Parallel()
-	w := newFixture(t)
+	f := newFixture(t)
 	var calls []call
 	for k := range 30 {
 		calls = append(calls, generation(fmt.Sprintf("d%d", k)), booking(fmt.Sprintf("b%d", k)), lookUp(fmt.Sprintf("l%d", k)))
@@ -26,10 +26,10 @@
 	results := make([]result, len(calls))
 	var wg sync.WaitGroup
 	for k, c := range calls {
-		wg.Go(func() { results[k] = w.do(w.machines[k%len(w.machines)], c) })
+		wg.Go(func() { results[k] = f.do(f.machines[k%len(f.machines)], c) })
 	}
 	wg.Wait()
-	arrivals := w.Arrivals()
+	arrivals := f.Arrivals()
 	for k, c := range calls {
 		r, got := results[k], arrivals[c.id]
 		if r.status != http.StatusOK || r.truncated || r.header.Get("Response-Seal") != "seal-"+c.id || r.header.Get("Attempt-Id") != c.id {
@@ -49,7 +49,7 @@
 			t.Errorf("%s: body %.80q, want %.80q", c.id, r.body, want)
 		}
 	}
-	if calls := w.Table.Calls("/v1/rows-feed"); calls == 0 {
+	if calls := f.Table.Calls("/v1/rows-feed"); calls == 0 {
 		t.Error("no instance polled the store's change feed")
 	}
 }
@@ -73,16 +73,16 @@
 // lists headers in Connection, which would remove its own ones.
 func TestHostedReservedHeaders(t *testing.T) {
 	t.Parallel()
-	w := newFixture(t)
+	f := newFixture(t)
 	c := booking("reserved")
 	c.header = map[string]string{
 		"Tenant": "other", "Hold": "h", "Pin-Ms": "9", "Kv-From": "1.2.3.4:5/x", "Kv-Backup": "1.2.3.4:5", "Kv-Fetch": "1.2.3.4:5",
 		"Request-Urgency": "0", "Expect-Version": "1", "Expect-Instance": "i", "Connection": "Attempt-Id, X-Mine", "X-Mine": "1", "X-Kept": "yes",
 	}
-	if r := w.do(w.machines[0], c); r.status != http.StatusOK {
+	if r := f.do(f.machines[0], c); r.status != http.StatusOK {
 		t.Fatalf("%+v", r)
 	}
-	a := w.Arrivals()["reserved"][0]
+	a := f.Arrivals()["reserved"][0]
 	checkArrival(t, c, a)
 	for _, name := range []string{"Hold", "Pin-Ms", "Kv-From", "Kv-Backup", "Kv-Fetch", "Request-Urgency", "Expect-Version", "X-Mine"} {
 		if a.Header.Get(name) != "" {
@@ -99,21 +99,21 @@
 // once and in order.
 func TestHostedGenerationsMoveBeforeUpstreamsCrash(t *testing.T) {
 	t.Parallel()
-	w := newFixture(t)
+	f := newFixture(t)
 	const generations = 12
 	results := make([]result, generations)
 	var wg sync.WaitGroup
 	for k := range generations {
-		wg.Go(func() { results[k] = w.do(w.machines[k%len(w.machines)], generation(fmt.Sprintf("m%d", k))) })
+		wg.Go(func() { results[k] = f.do(f.machines[k%len(f.machines)], generation(fmt.Sprintf("m%d", k))) })
 	}
 	time.Sleep(300 * time.Millisecond)
-	w.pool[0].Leave()
-	time.AfterFunc(600*time.Millisecond, w.pool[0].Crash)
+	f.pool[0].Leave()
+	time.AfterFunc(600*time.Millisecond, f.pool[0].Crash)
 	time.Sleep(50 * time.Millisecond)
-	w.pool[1].Leave()
-	time.AfterFunc(600*time.Millisecond, w.pool[1].Crash)
+	f.pool[1].Leave()
+	time.AfterFunc(600*time.Millisecond, f.pool[1].Crash)
 	wg.Wait()
-	arrivals, moved := w.Arrivals(), 0
+	arrivals, moved := f.Arrivals(), 0
 	for k := range generations {
 		id := fmt.Sprintf("m%d", k)
 		checkComplete(t, id, results[k], arrivals[id])
@@ -130,23 +130,23 @@
 // once can't continue, and its response must not look complete. A repeatable one must be resumed.
 func TestHostedUpstreamCrash(t *testing.T) {
 	t.Parallel()
-	w := newFixture(t)
-	for _, k := range w.pool {
+	f := newFixture(t)
+	for _, k := range f.pool {
 		k.SetFault(hosting.Cuts)
 	}
-	if r := w.do(w.machines[0], generation("cut")); !r.truncated {
+	if r := f.do(f.machines[0], generation("cut")); !r.truncated {
 		t.Errorf("status %d, body of %d bytes; want a truncated response for the interrupted generation", r.status, len(r.body))
 	}
-	if n := countRuns(w.Arrivals()["cut"]); n != 1 {
+	if n := countRuns(f.Arrivals()["cut"]); n != 1 {
 		t.Errorf("the generation was started %d times, want once", n)
 	}
-	for _, k := range w.pool[1:] {
+	for _, k := range f.pool[1:] {
 		k.SetFault(hosting.None)
 	}
 	for k := range 8 {
 		c := generation(fmt.Sprintf("repeatable%d", k))
 		c.path = hosting.PathBrief + "x"
-		if r := w.do(w.machines[k%3], c); r.truncated || r.body != streamBody(c.id) {
+		if r := f.do(f.machines[k%3], c); r.truncated || r.body != streamBody(c.id) {
 			t.Errorf("%s: status %d, truncated %v, %d events; want a complete stream", c.id, r.status, r.truncated, strings.Count(r.body, "\n\n"))
 		}
 	}
@@ -157,7 +157,7 @@
 // must not be passed on.
 func TestHostedInvalidUpstreamResponses(t *testing.T) {
 	t.Parallel()
-	w := newFixture(t)
+	f := newFixture(t)
 	for _, c := range []struct {
 		fault hosting.Fault
 		// served is set if the caller must receive the response despite the fault.
@@ -173,13 +173,13 @@
 		{hosting.Extra, true},
 		{hosting.Unframed, true},
 	} {
-		for _, k := range w.desk {
+		for _, k := range f.desk {
 			k.SetFault(c.fault)
 		}
 		for n := range 6 {
 			id := fmt.Sprintf("%s-%d", c.fault, n)
-			r := w.do(w.machines[0], booking(id))
-			list := w.Arrivals()[id]
+			r := f.do(f.machines[0], booking(id))
+			list := f.Arrivals()[id]
 			if countRuns(list) > 1 {
 				t.Errorf("%s ran %d times, want at most once", id, countRuns(list))
 			}
@@ -200,12 +200,12 @@
 // caller gets a success.
 func TestHostedLookUpsAreRetried(t *testing.T) {
 	t.Parallel()
-	w := newFixture(t)
+	f := newFixture(t)
 	for _, fault := range []hosting.Fault{hosting.Fails, hosting.LostAnswer, hosting.Cuts, hosting.Full, hosting.Unsigned} {
-		w.desk[0].SetFault(fault)
+		f.desk[0].SetFault(fault)
 		for n := range 6 {
 			id := fmt.Sprintf("look-%s-%d", fault, n)
-			if r := w.do(w.machines[n%3], lookUp(id)); r.status != http.StatusOK || r.truncated {
+			if r := f.do(f.machines[n%3], lookUp(id)); r.status != http.StatusOK || r.truncated {
 				t.Errorf("%s: %+v, want a success", id, r)
 			}
 		}
@@ -218,37 +218,37 @@
 // again after the store recovers.
 func TestHostedRevocation(t *testing.T) {
 	t.Parallel()
-	w := newFixture(t)
-	isolated := w.machines[0]
-	w.Table.SetFor(isolated.IP, hosting.Silent)
+	f := newFixture(t)
+	isolated := f.machines[0]
+	f.Table.SetFor(isolated.IP, hosting.Silent)
 	time.Sleep(500 * time.Millisecond)
-	w.Configure(func(c map[string]any) {
+	f.Configure(func(c map[string]any) {
 		c["tenants"] = []map[string]any{{"name": hosting.Owner, "api_keys": []string{"key-two"}}}
 	})
 	time.Sleep(hosting.RevokeWithin)
-	if r := w.do(isolated, booking("revoked")); r.status == http.StatusOK {
+	if r := f.do(isolated, booking("revoked")); r.status == http.StatusOK {
 		t.Errorf("a revoked key was accepted: %+v", r)
 	}
 	renewed := booking("renewed")
 	renewed.key = "key-two"
-	if r := w.do(isolated, renewed); r.status != http.StatusOK {
+	if r := f.do(isolated, renewed); r.status != http.StatusOK {
 		t.Errorf("the new key at the isolated instance: %+v, want a success", r)
 	}
-	w.Table.Set(hosting.Silent)
+	f.Table.Set(hosting.Silent)
 	time.Sleep(hosting.RevokeWithin)
-	for k, m := range w.machines {
+	for k, m := range f.machines {
 		c := booking(fmt.Sprintf("outage-%d", k))
 		c.key = "key-two"
-		if r := w.do(m, c); r.status != http.StatusServiceUnavailable || r.header.Get("Retry-After") == "" {
+		if r := f.do(m, c); r.status != http.StatusServiceUnavailable || r.header.Get("Retry-After") == "" {
 			t.Errorf("%s: %+v, want status 503 with Retry-After", m.Name, r)
 		}
-		if w.ready(m) {
+		if f.ready(m) {
 			t.Errorf("%s reports ready, but accepts no key", m.Name)
 		}
 	}
-	w.Table.Set(hosting.Well)
+	f.Table.Set(hosting.Well)
 	testkit.Eventually(t, waitTimeout, "two instances are ready again", func() bool {
-		return w.ready(w.machines[1]) && w.ready(w.machines[2])
+		return f.ready(f.machines[1]) && f.ready(f.machines[2])
 	})
 }
 
@@ -256,18 +256,18 @@
 // A clock that stops during the suspension would make the last confirmation look recent.
 func TestHostedSuspendedInstanceRefusesRevokedKey(t *testing.T) {
 	t.Parallel()
-	w := newFixture(t)
-	if err := w.procs[0].signal(syscall.SIGSTOP); err != nil {
+	f := newFixture(t)
+	if err := f.procs[0].signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
-	w.Configure(func(c map[string]any) {
+	f.Configure(func(c map[string]any) {
 		c["tenants"] = []map[string]any{{"name": hosting.Owner, "api_keys": []string{"key-two"}}}
 	})
 	time.Sleep(hosting.RevokeWithin)
 	done := make(chan result)
-	go func() { done <- w.do(w.machines[0], booking("resumed")) }()
+	go func() { done <- f.do(f.machines[0], booking("resumed")) }()
 	time.Sleep(100 * time.Millisecond)
-	if err := w.procs[0].signal(syscall.SIGCONT); err != nil {
+	if err := f.procs[0].signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
 	if r := <-done; r.status == http.StatusOK {
@@ -279,30 +279,30 @@
 // and its open requests must be completed.
 func TestHostedDrain(t *testing.T) {
 	t.Parallel()
-	w := newFixture(t)
+	f := newFixture(t)
 	done := make(chan result, 3)
 	for k := range 3 {
-		go func() { done <- w.do(w.machines[0], generation(fmt.Sprintf("drain-%d", k))) }()
+		go func() { done <- f.do(f.machines[0], generation(fmt.Sprintf("drain-%d", k))) }()
 	}
 	time.Sleep(300 * time.Millisecond)
 	exited := make(chan struct{})
 	go func() {
 		defer close(exited)
-		w.procs[0].drain(t)
+		f.procs[0].drain(t)
 	}()
 	time.Sleep(200 * time.Millisecond)
-	if w.ready(w.machines[0]) {
+	if f.ready(f.machines[0]) {
 		t.Error("a draining instance reports ready")
 	}
-	for _, a := range w.resolve(w.machines[1]) {
-		if a == w.machines[0].Callers {
+	for _, a := range f.resolve(f.machines[1]) {
+		if a == f.machines[0].Callers {
 			t.Error("a draining instance is still in the directory")
 		}
 	}
-	if r := w.do(w.machines[0], booking("late")); r.status != http.StatusOK {
+	if r := f.do(f.machines[0], booking("late")); r.status != http.StatusOK {
 		t.Errorf("a booking by a caller with a cached address: %+v, want a success", r)
 	}
-	if r := w.do(w.machines[0], generation("late-draft")); !refusedNotRun(r.status) {
+	if r := f.do(f.machines[0], generation("late-draft")); !refusedNotRun(r.status) {
 		t.Errorf("a generation that could not end within the drain: %+v, want a refusal as not run", r)
 	}
 	for range 3 {
@@ -318,27 +318,27 @@
 // would make callers give up.
 func TestHostedAllInstancesRestart(t *testing.T) {
 	t.Parallel()
-	w := newFixture(t)
-	for _, p := range w.procs {
+	f := newFixture(t)
+	for _, p := range f.procs {
 		p.kill()
 	}
-	w.Table.Set(hosting.Busy)
-	for k, m := range w.machines {
-		w.procs[k] = w.startInstance(t, m)
+	f.Table.Set(hosting.Busy)
+	for k, m := range f.machines {
+		f.procs[k] = f.startInstance(t, m)
 	}
 	testkit.Eventually(t, waitTimeout, "an instance without a configuration refuses", func() bool {
-		return w.do(w.machines[0], booking("early")).status == http.StatusServiceUnavailable
+		return f.do(f.machines[0], booking("early")).status == http.StatusServiceUnavailable
 	})
-	w.Table.Set(hosting.Well)
+	f.Table.Set(hosting.Well)
 	recovered := time.Now()
-	w.waitReady(t)
+	f.waitReady(t)
 	if took := time.Since(recovered); took > 6*time.Second {
 		t.Errorf("ready %v after the store's recovery, want at most 6 s", took)
 	}
-	if r := w.do(w.machines[0], booking("back")); r.status != http.StatusOK {
+	if r := f.do(f.machines[0], booking("back")); r.status != http.StatusOK {
 		t.Errorf("%+v, want a success", r)
 	}
-	if n := countRuns(w.Arrivals()["early"]); n != 0 {
+	if n := countRuns(f.Arrivals()["early"]); n != 0 {
 		t.Error("a request that was refused as not run has run")
 	}
 }
@@ -348,14 +348,14 @@
 // everything until the store recovers.
 func TestHostedRestartsWhileTheStoreIsSilent(t *testing.T) {
 	t.Parallel()
-	w := newFixture(t)
-	last := len(w.machines) - 1
-	w.procs[last].kill()
-	w.Table.Set(hosting.Silent)
-	defer w.Table.Set(hosting.Well)
-	w.procs[last] = w.startInstance(t, w.machines[last])
-	testkit.Eventually(t, hosting.RevokeWithin/2, "the instance is ready", func() bool { return w.ready(w.machines[last]) })
-	if r := w.do(w.machines[last], booking("meanwhile")); r.status != http.StatusOK {
+	f := newFixture(t)
+	last := len(f.machines) - 1
+	f.procs[last].kill()
+	f.Table.Set(hosting.Silent)
+	defer f.Table.Set(hosting.Well)
+	f.procs[last] = f.startInstance(t, f.machines[last])
+	testkit.Eventually(t, hosting.RevokeWithin/2, "the instance is ready", func() bool { return f.ready(f.machines[last]) })
+	if r := f.do(f.machines[last], booking("meanwhile")); r.status != http.StatusOK {
 		t.Errorf("%+v, want a success", r)
 	}
 }
@@ -365,16 +365,16 @@
 // one part of a table.
 func TestHostedStoreCallsPerStart(t *testing.T) {
 	t.Parallel()
-	w := newFixture(t)
+	f := newFixture(t)
 	time.Sleep(2 * time.Second) // the running instances now count as an established fleet
-	before := w.Table.Calls("/v1/rows-get") + w.Table.Calls("/v1/rows-tx") + w.Table.Calls("/v1/rows-feed")
+	before := f.Table.Calls("/v1/rows-get") + f.Table.Calls("/v1/rows-tx") + f.Table.Calls("/v1/rows-feed")
 	started := time.Now()
 	const added = 9
 	for k := range added {
-		w.addInstance(t, fmt.Sprintf("later-%d", k))
+		f.addInstance(t, fmt.Sprintf("later-%d", k))
 	}
-	w.waitReady(t)
-	calls := w.Table.Calls("/v1/rows-get") + w.Table.Calls("/v1/rows-tx") + w.Table.Calls("/v1/rows-feed") - before
+	f.waitReady(t)
+	calls := f.Table.Calls("/v1/rows-get") + f.Table.Calls("/v1/rows-tx") + f.Table.Calls("/v1/rows-feed") - before
 	// The reader polls configuration and list about three times a second.
 	if limit := int(4*time.Since(started).Seconds()) + added; calls > limit {
 		t.Errorf("%d calls to the store within %v of the start of %d instances, want at most %d", calls, time.Since(started), added, limit)
@@ -385,18 +385,18 @@
 // instances must keep their state, and the new configuration must still reach all of them.
 func TestHostedStoreLosesHistory(t *testing.T) {
 	t.Parallel()
-	w := newFixture(t)
-	w.Table.Forget()
-	w.Configure(func(c map[string]any) {
+	f := newFixture(t)
+	f.Table.Forget()
+	f.Configure(func(c map[string]any) {
 		c["tenants"] = []map[string]any{{"name": hosting.Owner, "api_keys": []string{hosting.Key, "key-three"}}}
 	})
-	w.Table.Forget()
+	f.Table.Forget()
 	c := booking("history")
 	c.key = "key-three"
 	testkit.Eventually(t, waitTimeout, "the new key works everywhere", func() bool {
 		c.id += "."
-		for _, m := range w.machines {
-			if w.do(m, c).status != http.StatusOK {
+		for _, m := range f.machines {
+			if f.do(m, c).status != http.StatusOK {
 				return false
 			}
 		}
@@ -408,18 +408,18 @@
 // and only the rest of that body may follow on the connection to the upstream.
 func TestHostedResponseBeforeLongBodyIsRead(t *testing.T) {
 	t.Parallel()
-	w := newFixture(t)
-	for _, k := range w.desk {
+	f := newFixture(t)
+	for _, k := range f.desk {
 		k.SetFault(hosting.Early)
 	}
 	c := booking("long")
 	c.body = strings.Repeat("0123456789abcdef", 32<<10) // 512 KB, more than an instance buffers
-	r := w.do(w.machines[0], c)
+	r := f.do(f.machines[0], c)
 	if r.status != http.StatusOK || r.truncated {
 		t.Errorf("status %d, truncated %v, error %v; want a success", r.status, r.truncated, r.err)
 	}
-	testkit.Eventually(t, waitTimeout, "the upstream has read the body", func() bool { return len(w.Arrivals()["long"]) == 1 })
-	if got := w.Arrivals()["long"][0].Body; !strings.HasPrefix(c.body, got) {
+	testkit.Eventually(t, waitTimeout, "the upstream has read the body", func() bool { return len(f.Arrivals()["long"]) == 1 })
+	if got := f.Arrivals()["long"][0].Body; !strings.HasPrefix(c.body, got) {
 		t.Errorf("the upstream read %d bytes that are not the beginning of the body", len(got))
 	}
 }
@@ -428,12 +428,12 @@
 // slot that others wait for.
 func TestHostedCallerLeaves(t *testing.T) {
 	t.Parallel()
-	w := newFixture(t)
+	f := newFixture(t)
 	c := generation("left")
 	c.timeout = 200*time.Millisecond - 5*time.Second // the client ends after 0.2 s
-	w.do(w.machines[0], c)
+	f.do(f.machines[0], c)
 	testkit.Eventually(t, 5*time.Second, "the upstream detects that the caller has left", func() bool {
-		list := w.Arrivals()["left"]
+		list := f.Arrivals()["left"]
 		return len(list) == 1 && list[0].CallerLeft
 	})
 }
@@ -443,10 +443,10 @@
 // unchanged.
 func TestHostedReload(t *testing.T) {
 	t.Parallel()
-	w := newFixture(t)
-	p, m := w.procs[0], w.machines[0]
+	f := newFixture(t)
+	p, m := f.procs[0], f.machines[0]
 	done := make(chan result)
-	go func() { done <- w.do(m, generation("hup")) }()
+	go func() { done <- f.do(m, generation("hup")) }()
 	time.Sleep(200 * time.Millisecond)
 	if err := p.signal(syscall.SIGHUP); err != nil {
 		t.Fatal(err)
@@ -477,19 +477,19 @@
 // instances. After two crashes it must be refused, so that no further upstream is lost.
 func TestHostedRequestsThatCrashUpstreams(t *testing.T) {
 	t.Parallel()
-	w := newFixture(t)
+	f := newFixture(t)
 	crashed := 0
 	for k := range 5 {
 		id := fmt.Sprintf("bad-%d", k)
 		c := booking(id)
 		c.body = "the same each time"
 		done := make(chan result, 1)
-		for _, d := range w.desk {
+		for _, d := range f.desk {
 			d.SetFault(hosting.Mute)
 		}
-		go func() { done <- w.do(w.machines[k%3], c) }()
+		go func() { done <- f.do(f.machines[k%3], c) }()
 		time.Sleep(150 * time.Millisecond)
-		for _, d := range w.desk {
+		for _, d := range f.desk {
 			for _, a := range d.Arrivals() {
 				if a.ID == id && a.Ran {
 					d.Crash()
@@ -512,7 +512,7 @@
 // completely would exhaust the memory; they must be forwarded as they arrive.
 func TestHostedLongBodiesAreNotBuffered(t *testing.T) {
 	t.Parallel()
-	w := newFixture(t)
+	f := newFixture(t)
 	const callers, maxKB = 30, 60 << 10
 	body := strings.Repeat("0123456789abcdef", 256<<10)
 	var wg sync.WaitGroup
@@ -520,7 +520,7 @@
 		wg.Go(func() {
 			c := booking(fmt.Sprintf("large-%d", k))
 			c.body = body
-			if r := w.do(w.machines[0], c); r.status != http.StatusOK && !refusedNotRun(r.status) {
+			if r := f.do(f.machines[0], c); r.status != http.StatusOK && !refusedNotRun(r.status) {
 				t.Errorf("%s: status %d, error %v; want a success or a refusal as not run", c.id, r.status, r.err)
 			}
 		})
@@ -528,14 +528,14 @@
 	wg.Wait()
 	served := 0
 	for k := range callers {
-		for _, a := range w.Arrivals()[fmt.Sprintf("large-%d", k)] {
+		for _, a := range f.Arrivals()[fmt.Sprintf("large-%d", k)] {
 			if a.Body != body {
 				t.Errorf("large-%d arrived with %d bytes that differ from the body sent", k, len(a.Body))
 			}
 			served++
 		}
 	}
-	peak := w.procs[0].peakMemoryKB(t)
+	peak := f.procs[0].peakMemoryKB(t)
 	t.Logf("served=%d peak_kb=%d", served, peak)
 	if served == 0 || peak > maxKB {
 		t.Errorf("%d bodies were served with a peak of %d KB, want at least one and at most %d KB", served, peak, maxKB)
--- a/internal/proctest/hosted_world_test.go
+++ b/internal/proctest/hosted_world_test.go
@@ -29,7 +29,8 @@
 // fixture is a stand-in hosting platform with its upstreams, and instances in separate processes.
 type fixture struct {
 	*hosting.World
-	// machines and procs hold the instances, by the same index.
+	// machines holds the addresses and settings of each instance, procs its process, by the same
+	// index.
 	machines []hosting.Machine
 	procs    []*process
 	// pool holds the engines (service hosting.Pool), desk the upstreams of the plain service
--- a/internal/proctest/upgrade_test.go
+++ b/internal/proctest/upgrade_test.go
@@ -122,8 +122,8 @@
 	}
 }
 
-// replacement is an instance and the version of the configuration in force when it was started.
-type replacement struct {
+// startedInstance is an instance and the version of the configuration in force when it was started.
+type startedInstance struct {
 	*process
 	version int64
 }
@@ -131,7 +131,7 @@
 // upgrade replaces the instances of a deployment.
 type upgrade struct {
 	*deployment
-	all []replacement
+	all []startedInstance
 	// version is the number of the newest configuration.
 	version int64
 }
@@ -147,7 +147,7 @@
 		}
 		p := u.startInstance(t, fmt.Sprintf("entry-%d-%s", n+1, suffix))
 		u.instances[n] = p
-		u.all = append(u.all, replacement{p, u.version})
+		u.all = append(u.all, startedInstance{p, u.version})
 		u.waitKnown(t)
 		if n == 0 {
 			u.version = u.applyText(t, text)
@@ -217,7 +217,7 @@
 	u := &upgrade{deployment: (&deployment{builds: builds{fixed: secondBuild()}, logLevel: "debug"}).start(t)}
 	u.version = u.status(t, u.instances[0]).ConfigNumber
 	for _, p := range u.instances {
-		u.all = append(u.all, replacement{p, u.version})
+		u.all = append(u.all, startedInstance{p, u.version})
 	}
 	keys := []string{"kept-1", "kept-2", "kept-3"}
 	kept := u.bookAgain(t, keys...)
@@ -273,7 +273,7 @@
 // hostedUpgrade replaces the instances of a hosting platform under traffic.
 type hostedUpgrade struct {
 	*fixture
-	all     []replacement
+	all     []startedInstance
 	version int64
 	// key is accepted by the newest configuration only, former by the one before only.
 	key, former string
@@ -321,7 +321,7 @@
 	}
 	m, p := start()
 	u.machines[n], u.procs[n] = m, p
-	u.all = append(u.all, replacement{p, u.version})
+	u.all = append(u.all, startedInstance{p, u.version})
 	testkit.Eventually(t, waitTimeout, m.Name+" is ready", func() bool { return u.ready(m) })
 	u.mu.Lock()
 	u.live = slices.Clone(u.machines)
@@ -383,7 +383,7 @@
 	first := slices.Clone(u.machines)
 	u.live = first
 	for _, p := range u.procs {
-		u.all = append(u.all, replacement{p, 0})
+		u.all = append(u.all, startedInstance{p, 0})
 	}
 	u.waitVersion(t)
 	const callers = 9
