--- a/internal/proctest/hosted_world_test.go
+++ b/internal/proctest/hosted_world_test.go
@@ -16,118 +16,132 @@
 	"mulberrylug.example/mulberrylug/internal/testkit"
 )
 
-// Sizes of the worlds: small, as several run beside each other.
+// Sizes of a fixture. They are small because several tests run in parallel. streamEvents is the
+// number of events in a streamed response.
 const (
-	hostedInstances = 3
-	poolSize        = 4
-	deskSize        = 3
-	draftSteps      = 40
-	briefSteps      = 5
+	hostedInstanceCount = 3
+	poolUpstreams       = 4
+	deskUpstreams       = 3
+	streamEvents        = 40
+	briefSteps          = 5
 )
 
-// world is a hosting platform with instances in processes of their own.
-type world struct {
+// fixture is a stand-in hosting platform with its upstreams, and instances in separate processes.
+type fixture struct {
 	*hosting.World
+	// machines holds the addresses and settings of each instance, procs its process, by the same
+	// index.
 	machines []hosting.Machine
 	procs    []*process
-	pool     []*hosting.Worker
-	desk     []*hosting.Worker
+	// pool holds the engines (service hosting.Pool), desk the upstreams of the plain service
+	// hosting.Desk.
+	pool   []*hosting.Worker
+	desk   []*hosting.Worker
+	builds builds
 }
 
-// settle starts a platform, its workers and instances, and waits until each
-// instance is ready.
-func settle(t *testing.T) *world {
+// newFixture starts a platform, its upstreams and instances, and waits until each instance is
+// ready.
+func newFixture(t *testing.T) *fixture {
+	t.Helper()
+	return newFixtureOfBuild(t, "")
+}
+
+// newFixtureOfBuild is newFixture with all instances of one build; "" alternates between the
+// build under test and -proctest.other.
+func newFixtureOfBuild(t *testing.T, build string) *fixture {
 	t.Helper()
 	base, err := hosting.NewWorld(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(base.Close)
-	w := &world{World: base}
+	f := &fixture{World: base, builds: builds{fixed: build}}
 	base.Configure(nil)
-	for k := range poolSize {
-		w.pool = append(w.pool, w.worker(t, fmt.Sprintf("engine-%d", k), hosting.Pool, func(k *hosting.Worker) {
-			k.EventEvery, k.EventCount, k.CopyTime = 25*time.Millisecond, draftSteps, 30*time.Millisecond
+	for k := range poolUpstreams {
+		f.pool = append(f.pool, f.addUpstream(t, fmt.Sprintf("engine-%d", k), hosting.Pool, func(k *hosting.Worker) {
+			k.EventEvery, k.EventCount, k.CopyTime = 25*time.Millisecond, streamEvents, 30*time.Millisecond
 		}))
 	}
-	for k := range deskSize {
-		w.desk = append(w.desk, w.worker(t, fmt.Sprintf("desk-%d", k), hosting.Desk, func(k *hosting.Worker) {
+	for k := range deskUpstreams {
+		f.desk = append(f.desk, f.addUpstream(t, fmt.Sprintf("desk-%d", k), hosting.Desk, func(k *hosting.Worker) {
 			k.Work = 10 * time.Millisecond
 		}))
 	}
-	for k := range hostedInstances {
-		w.machine(t, fmt.Sprintf("entry-%d", k))
+	for k := range hostedInstanceCount {
+		f.addInstance(t, fmt.Sprintf("entry-%d", k))
 	}
-	w.waitReady(t)
-	return w
+	f.waitReady(t)
+	return f
 }
 
-func (w *world) worker(t *testing.T, id, service string, shape func(*hosting.Worker)) *hosting.Worker {
+func (f *fixture) addUpstream(t *testing.T, id, service string, shape func(*hosting.Worker)) *hosting.Worker {
 	t.Helper()
-	k, err := w.Add(id, service, shape)
+	k, err := f.Add(id, service, shape)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return k
 }
 
-// settleZones starts a platform whose data centres, by their regions, have some engines,
-// plain services and instances each, and waits until each instance is ready. prepare may
-// change the platform before its first configuration.
-func settleZones(t *testing.T, zones map[string]string, each int, prepare func(*hosting.World)) *world {
+// newFixtureWithDataCentres starts a platform with the given data centres, mapped to their
+// regions, and waits until each instance is ready. Each data centre has perDataCentre engines,
+// plain upstreams and instances. prepare, if not nil, changes the platform before the first
+// configuration.
+func newFixtureWithDataCentres(t *testing.T, dataCentres map[string]string, perDataCentre int, prepare func(*hosting.World)) *fixture {
 	t.Helper()
 	base, err := hosting.NewWorld(t.TempDir())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(base.Close)
-	base.Zones = zones
-	w := &world{World: base}
+	base.Zones = dataCentres
+	f := &fixture{World: base}
 	if prepare != nil {
 		prepare(base)
 	}
 	base.Configure(nil)
-	for _, zone := range slices.Sorted(maps.Keys(zones)) {
-		for k := range each {
-			w.pool = append(w.pool, w.worker(t, fmt.Sprintf("engine-%s-%d", zone, k), hosting.Pool, func(k *hosting.Worker) {
-				k.Zone, k.EventEvery, k.EventCount, k.CopyTime = zone, 25*time.Millisecond, draftSteps, 30*time.Millisecond
+	for _, dc := range slices.Sorted(maps.Keys(dataCentres)) {
+		for k := range perDataCentre {
+			f.pool = append(f.pool, f.addUpstream(t, fmt.Sprintf("engine-%s-%d", dc, k), hosting.Pool, func(k *hosting.Worker) {
+				k.Zone, k.EventEvery, k.EventCount, k.CopyTime = dc, 25*time.Millisecond, streamEvents, 30*time.Millisecond
 			}))
-			w.desk = append(w.desk, w.worker(t, fmt.Sprintf("desk-%s-%d", zone, k), hosting.Desk, func(k *hosting.Worker) {
-				k.Zone, k.Work = zone, 10*time.Millisecond
+			f.desk = append(f.desk, f.addUpstream(t, fmt.Sprintf("desk-%s-%d", dc, k), hosting.Desk, func(k *hosting.Worker) {
+				k.Zone, k.Work = dc, 10*time.Millisecond
 			}))
-			w.machineIn(t, fmt.Sprintf("entry-%s-%d", zone, k), zone)
+			f.addInstanceIn(t, fmt.Sprintf("entry-%s-%d", dc, k), dc)
 		}
 	}
-	for _, m := range w.machines {
-		testkit.Eventually(t, startWithin, m.Name+" is ready and knows the others", func() bool {
-			return w.ready(m) && len(w.namedTo(m, "elsewhere", "elsewhere")) == len(w.machines)
+	for _, m := range f.machines {
+		testkit.Eventually(t, waitTimeout, m.Name+" is ready and lists all instances", func() bool {
+			return f.ready(m) && len(f.resolveFrom(m, "elsewhere", "elsewhere")) == len(f.machines)
 		})
 	}
-	return w
+	return f
 }
 
-func (w *world) machine(t *testing.T, name string) {
+func (f *fixture) addInstance(t *testing.T, name string) {
 	t.Helper()
-	w.machineIn(t, name, hosting.DefaultZone)
+	f.addInstanceIn(t, name, hosting.DefaultZone)
 }
 
-func (w *world) machineIn(t *testing.T, name, zone string) {
+func (f *fixture) addInstanceIn(t *testing.T, name, dc string) {
 	t.Helper()
-	m, err := w.MachineIn(name, zone)
+	m, err := f.MachineIn(name, dc)
 	if err != nil {
 		t.Fatal(err)
 	}
-	w.machines = append(w.machines, m)
-	w.procs = append(w.procs, w.run(t, m))
+	f.machines = append(f.machines, m)
+	f.procs = append(f.procs, f.startInstance(t, m))
 }
 
-func (w *world) run(t *testing.T, m hosting.Machine) *process {
+func (f *fixture) startInstance(t *testing.T, m hosting.Machine) *process {
 	t.Helper()
-	return startWith(t, m.Name, []string{"MULBERRYLUG_SETTINGS=" + m.Settings}, "serve")
+	return startWith(t, f.builds.next(), m.Name, []string{"MULBERRYLUG_SETTINGS=" + m.Settings}, "serve")
 }
 
-// ready reports whether a machine says that it is.
-func (w *world) ready(m hosting.Machine) bool {
+// ready reports whether an instance's readiness check succeeds.
+func (f *fixture) ready(m hosting.Machine) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+m.Ready+"/v1/readyz", nil)
@@ -142,57 +156,59 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// named returns the addresses that a machine tells callers of the default data centre to use.
-func (w *world) named(m hosting.Machine) []string {
-	return w.namedTo(m, hosting.DefaultRegion, hosting.DefaultZone)
+// resolve returns the callers' addresses in an instance's directory response for callers in the
+// default data centre; nil if there is no response.
+func (f *fixture) resolve(m hosting.Machine) []string {
+	return f.resolveFrom(m, hosting.DefaultRegion, hosting.DefaultZone)
 }
 
-// namedTo returns the addresses that a machine tells callers of a data centre to use.
-func (w *world) namedTo(m hosting.Machine, region, zone string) []string {
+// resolveFrom is resolve for callers in the given region and data centre.
+func (f *fixture) resolveFrom(m hosting.Machine, region, dc string) []string {
 	var out struct {
 		Addresses []string `json:"addresses"`
 	}
-	url := "http://" + m.Entries + "/v1/resolve?name=" + hosting.Host + "&region=" + region + "&zone=" + zone
-	if err := get(url, &out); err != nil {
+	url := "http://" + m.Entries + "/v1/resolve?name=" + hosting.Host + "&region=" + region + "&zone=" + dc
+	if err := getJSON(url, &out); err != nil {
 		return nil
 	}
 	return out.Addresses
 }
 
-func (w *world) waitReady(t *testing.T) {
+func (f *fixture) waitReady(t *testing.T) {
 	t.Helper()
-	for _, m := range w.machines {
-		testkit.Eventually(t, startWithin, m.Name+" is ready and knows the others", func() bool {
-			return w.ready(m) && len(w.named(m)) == len(w.machines)
+	for _, m := range f.machines {
+		testkit.Eventually(t, waitTimeout, m.Name+" is ready and lists all instances", func() bool {
+			return f.ready(m) && len(f.resolve(m)) == len(f.machines)
 		})
 	}
 }
 
-// call is a caller's request.
+// call is a caller's request. timeout is the value of its Deadline-Ms header; the client waits 5 s
+// longer.
 type call struct {
 	id, method, path, key, body string
 	header                      map[string]string
-	patience                    time.Duration
+	timeout                     time.Duration
 }
 
-// result is what the caller saw.
+// result is the response that a caller received.
 type result struct {
 	status int
 	header http.Header
 	body   string
-	// cut is set if the answer broke off.
-	cut bool
-	err error
+	// truncated is set if the connection ended before the end of the body.
+	truncated bool
+	err       error
 }
 
-// do makes a request on a connection of its own.
-func (w *world) do(m hosting.Machine, c call) result {
-	return w.doOn(&http.Transport{DisableKeepAlives: true, DisableCompression: true}, m, c)
+// do sends a request on a new connection.
+func (f *fixture) do(m hosting.Machine, c call) result {
+	return f.doOn(&http.Transport{DisableKeepAlives: true, DisableCompression: true}, m, c)
 }
 
-// doOn makes a request on a transport's connections.
-func (w *world) doOn(transport http.RoundTripper, m hosting.Machine, c call) result {
-	ctx, cancel := context.WithTimeout(context.Background(), c.patience+5*time.Second)
+// doOn sends a request through a transport.
+func (f *fixture) doOn(transport http.RoundTripper, m hosting.Machine, c call) result {
+	ctx, cancel := context.WithTimeout(context.Background(), c.timeout+5*time.Second)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, c.method, "http://"+m.Callers+c.path, bytes.NewBufferString(c.body))
 	if err != nil {
@@ -200,7 +216,7 @@
 	}
 	req.Host = hosting.Host
 	req.Header.Set("Attempt-Id", c.id)
-	req.Header.Set("Deadline-Ms", fmt.Sprint(c.patience.Milliseconds()))
+	req.Header.Set("Deadline-Ms", fmt.Sprint(c.timeout.Milliseconds()))
 	if c.key != "" {
 		req.Header.Set("Credential", c.key)
 	}
@@ -213,40 +229,43 @@
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(resp.Body)
-	return result{status: resp.StatusCode, header: resp.Header, body: string(body), cut: err != nil, err: err}
+	return result{status: resp.StatusCode, header: resp.Header, body: string(body), truncated: err != nil, err: err}
 }
 
-func draft(id string) call {
+// generation returns a request on the route "draft": a streamed generation that may run only once.
+func generation(id string) call {
 	return call{
-		id: id, method: http.MethodPost, path: hosting.PathDraft + "d?x=%2F", key: hosting.Key, body: "prompt of " + id, patience: 20 * time.Second,
-		header: map[string]string{"Token-Counts": fmt.Sprintf("1000,%d", 4*draftSteps), "Model": "m"},
+		id: id, method: http.MethodPost, path: hosting.PathDraft + "d?x=%2F", key: hosting.Key, body: "prompt of " + id, timeout: 20 * time.Second,
+		header: map[string]string{"Token-Counts": fmt.Sprintf("1000,%d", 4*streamEvents), "Model": "m"},
 	}
 }
 
+// booking returns a request to the plain service that may run only once.
 func booking(id string) call {
-	return call{id: id, method: http.MethodPost, path: hosting.PathBooking + "b", key: hosting.Key, body: "book " + id, patience: 3 * time.Second}
+	return call{id: id, method: http.MethodPost, path: hosting.PathBooking + "b", key: hosting.Key, body: "book " + id, timeout: 3 * time.Second}
 }
 
+// lookUp returns a request to the plain service that may be retried.
 func lookUp(id string) call {
-	return call{id: id, method: http.MethodGet, path: hosting.PathLookUp + "l?q=1", key: hosting.Key, patience: 3 * time.Second}
+	return call{id: id, method: http.MethodGet, path: hosting.PathLookUp + "l?q=1", key: hosting.Key, timeout: 3 * time.Second}
 }
 
-// events returns a whole stream of a request.
-func events(id string) string {
+// streamBody returns the complete body of a request's stream.
+func streamBody(id string) string {
 	var b strings.Builder
-	for n := 1; n <= draftSteps; n++ {
+	for n := 1; n <= streamEvents; n++ {
 		b.WriteString(hosting.Event(id, n))
 	}
 	return b.String()
 }
 
-// refusedHonestly reports whether a status promises that nothing ran.
-func refusedHonestly(status int) bool {
+// refusedNotRun reports whether a status guarantees that the request has not run.
+func refusedNotRun(status int) bool {
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
 
-// runs counts how often a request was begun anew.
-func runs(list []hosting.Arrival) (n int) {
+// countRuns counts how often a request was started from the beginning; resumed runs do not count.
+func countRuns(list []hosting.Arrival) (n int) {
 	for _, a := range list {
 		if a.Ran && !a.Resumed {
 			n++
@@ -255,13 +274,13 @@
 	return n
 }
 
-// checkWhole checks that a draft ran once, and that its caller saw every event of it.
-func checkWhole(t *testing.T, id string, r result, arrivals []hosting.Arrival) {
+// checkComplete checks that a generation was started once, and that its caller received every event.
+func checkComplete(t *testing.T, id string, r result, arrivals []hosting.Arrival) {
 	t.Helper()
-	if r.status != http.StatusOK || r.cut || r.body != events(id) {
-		t.Errorf("%s: status %d cut %v error %v, %d events of %d", id, r.status, r.cut, r.err, strings.Count(r.body, "\n\n"), draftSteps)
+	if r.status != http.StatusOK || r.truncated || r.body != streamBody(id) {
+		t.Errorf("%s: status %d, truncated %v, error %v, %d of %d events; want a complete stream", id, r.status, r.truncated, r.err, strings.Count(r.body, "\n\n"), streamEvents)
 	}
-	if n := runs(arrivals); n != 1 {
-		t.Errorf("%s was begun %d times, want once", id, n)
+	if n := countRuns(arrivals); n != 1 {
+		t.Errorf("%s was started %d times, want once", id, n)
 	}
 }
--- a/internal/proctest/load_test.go
+++ b/internal/proctest/load_test.go
@@ -15,22 +15,22 @@
 	"mulberrylug.example/mulberrylug/internal/testkit"
 )
 
-// answer is what one caller got.
+// answer is the result of one caller's request.
 type answer struct {
-	what    string
-	key     string // of a booking
+	name    string
+	key     string // of a booking, "" for a stream
 	result  client.Result
 	outcome client.Outcome
 	err     error
 }
 
-// load is a set of callers at work.
+// load is a set of concurrent callers.
 type load struct {
-	t      *testing.T
-	cl     *client.Client
-	wg     sync.WaitGroup
-	tokens atomic.Int64
-	begun  atomic.Int64 // streams with a first token
+	t           *testing.T
+	cl          *client.Client
+	wg          sync.WaitGroup
+	tokens      atomic.Int64
+	firstTokens atomic.Int64 // number of streams that have received a token
 
 	mu      sync.Mutex
 	answers []answer
@@ -40,7 +40,7 @@
 
 const callTimeout = 90 * time.Second
 
-// stream starts a caller that streams an answer.
+// stream starts a caller that streams one generation.
 func (l *load) stream(n int) {
 	l.wg.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
@@ -48,14 +48,14 @@
 		var first sync.Once
 		prompt := fmt.Sprintf("%s: delivery schedule %d", l.t.Name(), n)
 		res, err := l.cl.Stream(ctx, client.Completion{Model: "dispatch-7b", Prompt: prompt}, func(string) {
-			first.Do(func() { l.begun.Add(1) })
+			first.Do(func() { l.firstTokens.Add(1) })
 			l.tokens.Add(1)
 		})
-		l.add(answer{what: fmt.Sprintf("stream %d", n), result: res, outcome: outcomeOf(err), err: err})
+		l.add(answer{name: fmt.Sprintf("stream %d", n), result: res, outcome: outcomeOf(err), err: err})
 	})
 }
 
-// book starts a caller that books under a key.
+// book starts a caller that makes one booking under a key.
 func (l *load) book(key string) {
 	l.wg.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
@@ -63,7 +63,7 @@
 		_, err := l.cl.Do(ctx, client.Call{
 			Service: "order-desk", Path: "/refills", Body: []byte(`{"cylinders":1}`), Key: key, NotRepeatable: true,
 		})
-		l.add(answer{what: "booking " + key, key: key, outcome: outcomeOf(err), err: err})
+		l.add(answer{name: "booking " + key, key: key, outcome: outcomeOf(err), err: err})
 	})
 }
 
@@ -85,77 +85,78 @@
 	l.answers = append(l.answers, a)
 }
 
-// untilBegun waits until that many streams have their first token.
-func (l *load) untilBegun(n int64) {
+// waitForFirstTokens waits until n streams have received their first token.
+func (l *load) waitForFirstTokens(n int64) {
 	l.t.Helper()
-	testkit.Eventually(l.t, startWithin, fmt.Sprintf("%d streams have begun", n), func() bool { return l.begun.Load() >= n })
+	testkit.Eventually(l.t, waitTimeout, fmt.Sprintf("%d streams have received a token", n), func() bool { return l.firstTokens.Load() >= n })
 }
 
-// wait waits for every caller and returns the answers.
+// wait waits for all callers and returns their answers.
 func (l *load) wait() []answer {
 	l.wg.Wait()
 	return l.answers
 }
 
-// judge compares every answer with what engines and service recorded: tokens
-// exactly once, in order, from one generation, all of them if it says done;
-// bookings at most once, and never if it says not run.
-func judge(t *testing.T, d *deployment, answers []answer) (resumes int) {
+// checkAnswers compares the answers with the records of engines and service. The tokens of a stream
+// must come from one generation, in order and without duplicates, and be complete if the outcome
+// is done. A booking must run at most once, and not at all if the outcome is not run. It returns how
+// often streams were resumed.
+func checkAnswers(t *testing.T, d *deployment, answers []answer) (resumes int) {
 	t.Helper()
-	generations, calls := d.generations(t), d.calls(t)
+	generations, calls := d.generations(t), d.callCounts(t)
 	for _, a := range answers {
 		resumes += a.result.Resumes
 		if a.key != "" {
-			judgeBooking(t, a, calls[a.key])
+			checkBooking(t, a, calls[a.key])
 		} else {
-			judgeTokens(t, a, generations)
+			checkTokens(t, a, generations)
 		}
 	}
 	return resumes
 }
 
-func judgeBooking(t *testing.T, a answer, runs int) {
+func checkBooking(t *testing.T, a answer, runs int) {
 	t.Helper()
 	switch {
 	case runs > 1:
-		t.Errorf("%s ran %d times", a.what, runs)
+		t.Errorf("%s ran %d times, want at most once", a.name, runs)
 	case a.outcome == client.NotRun && runs != 0:
-		t.Errorf("%s was told not run (%v) but ran", a.what, a.err)
+		t.Errorf("%s: outcome not run (%v), but the service ran it", a.name, a.err)
 	case a.outcome == client.Done && runs != 1:
-		t.Errorf("%s was told done but ran %d times", a.what, runs)
+		t.Errorf("%s: outcome done, but the service ran it %d times, want once", a.name, runs)
 	}
 }
 
-func judgeTokens(t *testing.T, a answer, generations map[string]engine.Record) {
+func checkTokens(t *testing.T, a answer, generations map[string]engine.Record) {
 	t.Helper()
 	if a.result.Text == "" {
 		if a.outcome == client.Done {
-			t.Errorf("%s is done without a token", a.what)
+			t.Errorf("%s: outcome done without a token", a.name)
 		}
 		return
 	}
 	for attempt, rec := range generations {
-		var whole strings.Builder
+		var full strings.Builder
 		for n := range rec.Tokens {
-			whole.WriteString(engine.TokenText(attempt, n))
+			full.WriteString(engine.TokenText(attempt, n))
 		}
-		if !strings.HasPrefix(whole.String(), a.result.Text) {
+		if !strings.HasPrefix(full.String(), a.result.Text) {
 			continue
 		}
-		if a.outcome == client.Done && a.result.Text != whole.String() {
-			t.Errorf("%s is done with %d of %d tokens", a.what, a.result.Tokens, rec.Tokens)
+		if a.outcome == client.Done && a.result.Text != full.String() {
+			t.Errorf("%s: outcome done with %d of %d tokens", a.name, a.result.Tokens, rec.Tokens)
 		}
 		return
 	}
-	t.Errorf("%s (%s, %v) got %d tokens that are no generation's first ones in order", a.what, a.outcome, a.err, a.result.Tokens)
+	t.Errorf("%s (%s, %v) received %d tokens that are not the beginning of one generation", a.name, a.outcome, a.err, a.result.Tokens)
 }
 
-// mustDone fails for every answer that is not done.
-func mustDone(t *testing.T, answers []answer) {
+// requireDone fails the test for every answer whose outcome is not done.
+func requireDone(t *testing.T, answers []answer) {
 	t.Helper()
 	for _, a := range answers {
 		if a.outcome != client.Done {
-			t.Errorf("%s: %s, %v", a.what, a.outcome, a.err)
+			t.Errorf("%s: outcome %s, error %v, want done", a.name, a.outcome, a.err)
 		}
 	}
 }
--- a/internal/proctest/process_test.go
+++ b/internal/proctest/process_test.go
@@ -17,26 +17,26 @@
 	"time"
 )
 
-// startWithin bounds a process's start and any other wait for a condition. It
-// is generous: a busy machine must not change a verdict.
-const startWithin = 40 * time.Second
+// waitTimeout limits the start of a process and every other wait for a condition. It is long, so
+// that tests do not fail on a busy machine.
+const waitTimeout = 40 * time.Second
 
-// binary is the path of the built command.
+// binary is the path of the build under test.
 var binary string
 
-// deploymentsAtOnce bounds the tests that run in parallel: each has eight
+// maxParallelTests limits the number of tests that run in parallel, as each starts about eight
 // processes.
-const deploymentsAtOnce = "6"
+const maxParallelTests = "6"
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	if err := flag.Set("test.parallel", deploymentsAtOnce); err != nil {
-		panic(err) // the flag is the testing package's own
+	if err := flag.Set("test.parallel", maxParallelTests); err != nil {
+		panic(err) // package testing defines the flag, so this can't fail
 	}
-	os.Exit(run(m))
+	os.Exit(buildAndRun(m))
 }
 
-func run(m *testing.M) int {
+func buildAndRun(m *testing.M) int {
 	dir, err := os.MkdirTemp("", "proctest")
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -52,30 +52,30 @@
 	return m.Run()
 }
 
-// process is one started process. Only its own id is ever signalled.
+// process is a started process. Signals are sent to its process id only.
 type process struct {
 	name  string
 	cmd   *exec.Cmd
 	ended chan struct{}
 
-	mu   sync.Mutex
-	out  bytes.Buffer
-	line *sync.Cond
-	exit error
+	mu            sync.Mutex
+	out           bytes.Buffer
+	outputChanged *sync.Cond
+	exitErr       error
 }
 
-// start starts the binary; the process is gone when the test ends.
+// start starts the build under test. The process is killed when the test ends.
 func start(t *testing.T, name string, args ...string) *process {
 	t.Helper()
-	return startWith(t, name, nil, args...)
+	return startWith(t, binary, name, nil, args...)
 }
 
-// startWith starts the binary with more variables in its environment.
-func startWith(t *testing.T, name string, environment []string, args ...string) *process {
+// startWith starts a build of the command with additional environment variables.
+func startWith(t *testing.T, build, name string, environment []string, args ...string) *process {
 	t.Helper()
-	p := &process{name: name, cmd: exec.Command(binary, args...), ended: make(chan struct{})}
+	p := &process{name: name, cmd: exec.Command(build, args...), ended: make(chan struct{})}
 	p.cmd.Env = append(os.Environ(), environment...)
-	p.line = sync.NewCond(&p.mu)
+	p.outputChanged = sync.NewCond(&p.mu)
 	r, w := io.Pipe()
 	p.cmd.Stdout, p.cmd.Stderr = w, w
 	if err := p.cmd.Start(); err != nil {
@@ -86,10 +86,10 @@
 		err := p.cmd.Wait()
 		w.Close()
 		p.mu.Lock()
-		p.exit = err
+		p.exitErr = err
 		p.mu.Unlock()
 		close(p.ended)
-		p.line.Broadcast()
+		p.outputChanged.Broadcast()
 	}()
 	t.Cleanup(func() {
 		p.kill()
@@ -106,7 +106,7 @@
 		p.mu.Lock()
 		p.out.WriteString(sc.Text() + "\n")
 		p.mu.Unlock()
-		p.line.Broadcast()
+		p.outputChanged.Broadcast()
 	}
 }
 
@@ -119,7 +119,7 @@
 // value waits until the process has printed key=value and returns the value.
 func (p *process) value(t *testing.T, key string) string {
 	t.Helper()
-	deadline := time.Now().Add(startWithin)
+	deadline := time.Now().Add(waitTimeout)
 	for time.Now().Before(deadline) {
 		for _, field := range strings.Fields(p.output()) {
 			if v, ok := strings.CutPrefix(field, key+"="); ok {
@@ -131,7 +131,7 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	t.Fatalf("%s did not print %s=:\n%s", p.name, key, p.output())
+	t.Fatalf("%s did not print a value for %s=; output:\n%s", p.name, key, p.output())
 	return ""
 }
 
@@ -154,13 +154,13 @@
 	return nil
 }
 
-// kill ends the process as kill -9 does, also while it is stopped.
+// kill sends SIGKILL, which also ends a stopped process, and waits for the exit.
 func (p *process) kill() {
-	_ = p.signal(syscall.SIGKILL) // it has ended if this fails
+	_ = p.signal(syscall.SIGKILL) // fails only if the process has exited
 	<-p.ended
 }
 
-// freeze stops the process for a while, as a paused machine does.
+// freeze stops the process for a duration, which simulates a paused machine.
 func (p *process) freeze(t *testing.T, d time.Duration) {
 	t.Helper()
 	if err := p.signal(syscall.SIGSTOP); err != nil {
@@ -172,26 +172,32 @@
 	}
 }
 
-// drain sends SIGTERM and waits for a clean exit.
+// drain sends SIGTERM and waits for exit code 0.
 func (p *process) drain(t *testing.T) {
 	t.Helper()
 	if err := p.signal(syscall.SIGTERM); err != nil {
 		t.Error(err)
 	}
+	p.awaitExit(t)
+}
+
+// awaitExit waits for exit code 0 of a process that has received SIGTERM.
+func (p *process) awaitExit(t *testing.T) {
+	t.Helper()
 	select {
 	case <-p.ended:
-	case <-time.After(startWithin):
-		t.Fatalf("%s did not end within %s of SIGTERM", p.name, startWithin)
+	case <-time.After(waitTimeout):
+		t.Fatalf("%s did not exit within %s of SIGTERM", p.name, waitTimeout)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.exit != nil {
-		t.Errorf("%s ended with %v after SIGTERM, want exit code 0", p.name, p.exit)
+	if p.exitErr != nil {
+		t.Errorf("%s exited with %v after SIGTERM, want exit code 0", p.name, p.exitErr)
 	}
 }
 
-// peakKB returns the most memory that the process has had resident, in KB.
-func (p *process) peakKB(t *testing.T) (kb int) {
+// peakMemoryKB returns the peak resident memory of the process in KB.
+func (p *process) peakMemoryKB(t *testing.T) (kb int) {
 	t.Helper()
 	raw, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", p.cmd.Process.Pid))
 	if err != nil {
--- a/internal/proctest/soak_test.go
+++ b/internal/proctest/soak_test.go
@@ -16,54 +16,57 @@
 	"mulberrylug.example/mulberrylug/internal/testkit"
 )
 
-// The soak plays random troubles against real processes. One short run with a
-// fixed seed belongs to every test run; more, by hand:
+// The soak test injects random faults into real processes. Every test run includes a short run
+// with a fixed seed. To run more seeds:
 //
 //	go test ./internal/proctest -run Soak -soak.seed=7 -soak.seeds=50 -soak.for=10s -timeout 60m
+//
+// With -proctest.other=PATH, every second instance of this and all other tests runs a second
+// build of the command; see upgrade_test.go.
 var (
-	soakSeed  = flag.Uint64("soak.seed", 1, "first seed of the soak")
-	soakSeeds = flag.Int("soak.seeds", 1, "number of seeds, one after the other")
-	soakFor   = flag.Duration("soak.for", 6*time.Second, "time of troubles of each seed")
+	soakSeed     = flag.Uint64("soak.seed", 1, "first seed of the soak test")
+	soakSeeds    = flag.Int("soak.seeds", 1, "number of consecutive seeds")
+	soakDuration = flag.Duration("soak.for", 6*time.Second, "duration of the fault injection for each seed")
 )
 
-// soakRegressions are seeds that have failed once, each with its cause.
+// soakRegressions are seeds that failed in the past, each with its cause.
 var soakRegressions = []uint64{}
 
 const (
-	// soakCallers ask one request after another.
+	// soakCallers is the number of callers, each of which sends one request at a time.
 	soakCallers = 9
-	// calmWithin is how soon after the last trouble requests must be served.
-	calmWithin = 8 * time.Second
+	// recoveryTimeout is the maximum time from the last fault until every instance serves requests.
+	recoveryTimeout = 8 * time.Second
 )
 
-// soak is one run.
+// soak is a run with one seed.
 type soak struct {
-	*world
+	*fixture
 	t    *testing.T
 	rand *rand.Rand
 	stop chan struct{}
-	// relays stand before workers: the links to those can be harmed.
+	// relays are in front of some upstreams and inject faults into the connections to them.
 	relays []*relay.Relay
 
-	// restarts counts the instances that are being stopped and started; each
-	// has its turn in free, so that one stays.
-	restarts sync.WaitGroup
-	free     chan int
+	// restarts counts the instances that are being restarted. restartable holds the indexes of
+	// instances that may be restarted; it never contains the last one, so that one is always up.
+	restarts    sync.WaitGroup
+	restartable chan int
 
-	// mu guards what follows, and the world's procs.
-	mu    sync.Mutex
-	asked map[string]asked
-	key   string
-	// revoked holds when each key was taken away.
+	// mu guards the fields below and procs.
+	mu       sync.Mutex
+	requests map[string]sentRequest
+	key      string
+	// revoked maps each revoked key to the time of its revocation.
 	revoked map[string]time.Time
 	served  int
 }
 
-// asked is a request and what its caller saw.
-type asked struct {
+// sentRequest is a request and the response that its caller received.
+type sentRequest struct {
 	call
-	sent time.Time
-	got  result
+	sent   time.Time
+	result result
 }
 
 func TestSoak(t *testing.T) {
@@ -72,44 +75,44 @@
 		seeds = append(seeds, *soakSeed+uint64(k))
 	}
 	for _, seed := range seeds {
-		t.Run(fmt.Sprintf("seed-%d", seed), func(t *testing.T) { playSoak(t, seed) })
+		t.Run(fmt.Sprintf("seed-%d", seed), func(t *testing.T) { runSoak(t, seed) })
 	}
 }
 
-func playSoak(t *testing.T, seed uint64) {
+func runSoak(t *testing.T, seed uint64) {
 	s := &soak{
-		world: settle(t), t: t, rand: rand.New(rand.NewPCG(seed, seed)), stop: make(chan struct{}),
-		asked: map[string]asked{}, key: hosting.Key, revoked: map[string]time.Time{},
+		fixture: newFixture(t), t: t, rand: rand.New(rand.NewPCG(seed, seed)), stop: make(chan struct{}),
+		requests: map[string]sentRequest{}, key: hosting.Key, revoked: map[string]time.Time{},
 	}
-	s.link()
-	s.free = make(chan int, len(s.procs))
+	s.addRelays()
+	s.restartable = make(chan int, len(s.procs))
 	for n := range len(s.procs) - 1 {
-		s.free <- n
+		s.restartable <- n
 	}
 	var callers sync.WaitGroup
 	for k := range soakCallers {
 		r := rand.New(rand.NewPCG(seed, uint64(k)+100))
-		callers.Go(func() { s.ask(k, r) })
+		callers.Go(func() { s.sendRequests(k, r) })
 	}
-	for end := time.Now().Add(*soakFor); time.Now().Before(end); {
-		s.trouble()
+	for end := time.Now().Add(*soakDuration); time.Now().Before(end); {
+		s.injectFault()
 		time.Sleep(time.Duration(100+s.rand.IntN(500)) * time.Millisecond)
 	}
 	s.restarts.Wait()
-	s.calm()
+	s.waitRecovered()
 	close(s.stop)
 	callers.Wait()
 	s.check()
-	t.Logf("seed=%d requests=%d served=%d", seed, len(s.asked), s.served)
+	t.Logf("seed=%d requests=%d served=%d", seed, len(s.requests), s.served)
 }
 
-// link adds a worker of each service behind a relay.
-func (s *soak) link() {
+// addRelays adds an upstream of each service behind a relay.
+func (s *soak) addRelays() {
 	for _, service := range []string{hosting.Pool, hosting.Desk} {
 		k, r, err := s.AddBehindRelay("behind-relay-"+service, service, func(k *hosting.Worker) {
 			k.Work = 10 * time.Millisecond
 			if service == hosting.Pool {
-				k.EventEvery, k.EventCount, k.CopyTime = 25*time.Millisecond, draftSteps, 30*time.Millisecond
+				k.EventEvery, k.EventCount, k.CopyTime = 25*time.Millisecond, streamEvents, 30*time.Millisecond
 			}
 		})
 		if err != nil {
@@ -123,9 +126,9 @@
 	}
 }
 
-// harm makes a link slow, cuts its connections, swallows what they carry both ways
-// or one way, or refuses new ones.
-func (s *soak) harm() {
+// disturbLink delays a relay's connections, closes them, silently drops their data in both directions
+// or one, or refuses new connections.
+func (s *soak) disturbLink() {
 	r := s.relays[s.rand.IntN(len(s.relays))]
 	switch s.rand.IntN(5) {
 	case 4:
@@ -141,11 +144,11 @@
 	}
 }
 
-// ask sends requests until the soak ends.
-func (s *soak) ask(caller int, r *rand.Rand) {
-	// Half of the callers use an open connection until the process is gone,
-	// whatever the process says of its end. Look-ups don't: the library sends
-	// them again by itself when a kept connection breaks.
+// sendRequests sends requests until the run ends.
+func (s *soak) sendRequests(caller int, r *rand.Rand) {
+	// Half of the callers keep a connection open until it fails, even if the instance announces
+	// that it drains. Look-ups use new connections, as net/http itself retries them when a
+	// persistent connection breaks.
 	kept := &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 1}
 	defer kept.CloseIdleConnections()
 	at := r.IntN(len(s.machines))
@@ -156,7 +159,7 @@
 		default:
 		}
 		id := fmt.Sprintf("c%d-%d", caller, k)
-		c := draft(id)
+		c := generation(id)
 		switch {
 		case caller%3 == 1:
 			c = booking(id)
@@ -168,18 +171,18 @@
 		s.mu.Lock()
 		c.key = s.key
 		if r.IntN(8) == 0 && len(s.revoked) > 0 {
-			c.key = hosting.Key // a caller that has not heard of the new key
+			c.key = hosting.Key // a caller that still uses the first key
 		}
 		s.mu.Unlock()
-		a := asked{call: c, sent: time.Now()}
+		a := sentRequest{call: c, sent: time.Now()}
 		if caller%2 == 0 || caller%3 == 2 {
-			a.got = s.do(s.machines[r.IntN(len(s.machines))], c)
-		} else if a.got = s.doOn(kept, s.machines[at], c); a.got.err != nil {
+			a.result = s.do(s.machines[r.IntN(len(s.machines))], c)
+		} else if a.result = s.doOn(kept, s.machines[at], c); a.result.err != nil {
 			at = r.IntN(len(s.machines))
 		}
 		s.mu.Lock()
-		s.asked[id] = a
-		if a.got.status == http.StatusOK && !a.got.cut {
+		s.requests[id] = a
+		if a.result.status == http.StatusOK && !a.result.truncated {
 			s.served++
 		}
 		s.mu.Unlock()
@@ -187,10 +190,10 @@
 	}
 }
 
-// trouble makes one thing go wrong, or right again.
-func (s *soak) trouble() {
+// injectFault injects one random fault, or ends the current ones.
+func (s *soak) injectFault() {
 	n := s.rand.IntN(len(s.procs))
-	worker := append(append([]*hosting.Worker(nil), s.pool...), s.desk...)[s.rand.IntN(len(s.pool)+len(s.desk))]
+	upstream := append(append([]*hosting.Worker(nil), s.pool...), s.desk...)[s.rand.IntN(len(s.pool)+len(s.desk))]
 	switch s.rand.IntN(14) {
 	case 0:
 		s.restart(syscall.SIGKILL)
@@ -203,7 +206,7 @@
 	case 4:
 		s.Table.SetFor(s.machines[n].IP, []hosting.Mode{hosting.Busy, hosting.Silent}[s.rand.IntN(2)])
 	case 5, 6:
-		s.mend()
+		s.clearFaults()
 	case 7:
 		s.Table.Forget()
 	case 8:
@@ -211,57 +214,57 @@
 			hosting.Full, hosting.Fails, hosting.LostAnswer, hosting.Mute, hosting.Cuts,
 			hosting.Unsigned, hosting.FalsePromise, hosting.Extra, hosting.Unframed,
 		}
-		worker.SetFault(faults[s.rand.IntN(len(faults))])
+		upstream.SetFault(faults[s.rand.IntN(len(faults))])
 	case 9:
-		s.leave()
+		s.replaceEngine()
 	case 10:
-		s.revoke()
+		s.rotateKey()
 	case 12, 13:
-		s.harm()
+		s.disturbLink()
 	case 11:
-		if err := s.proc(n).signal(syscall.SIGHUP); err != nil {
+		if err := s.process(n).signal(syscall.SIGHUP); err != nil {
 			s.t.Error(err)
 		}
 	}
 }
 
-// restart ends an instance and starts it anew a moment later. Others may be ending
-// and starting meanwhile; one stays.
-func (s *soak) restart(how syscall.Signal) {
+// restart ends an instance with a signal and starts it again. Other instances may be restarting at
+// the same time, but one always stays up.
+func (s *soak) restart(sig syscall.Signal) {
 	var n int
 	select {
-	case n = <-s.free:
+	case n = <-s.restartable:
 	default:
-		return // all but one are
+		return // all but one are restarting
 	}
-	p := s.proc(n)
-	if err := p.signal(how); err != nil {
+	p := s.process(n)
+	if err := p.signal(sig); err != nil {
 		s.t.Error(err)
 	}
 	s.restarts.Go(func() {
 		select {
 		case <-p.ended:
 		case <-time.After(10 * time.Second):
-			s.t.Errorf("%s did not end within 10 s of %v", p.name, how)
+			s.t.Errorf("%s did not exit within 10 s of %v", p.name, sig)
 			p.kill()
 		}
-		again := s.run(s.t, s.machines[n])
+		restarted := s.startInstance(s.t, s.machines[n])
 		s.mu.Lock()
-		s.procs[n] = again
+		s.procs[n] = restarted
 		s.mu.Unlock()
-		s.free <- n
+		s.restartable <- n
 	})
 }
 
-func (s *soak) proc(n int) *process {
+func (s *soak) process(n int) *process {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.procs[n]
 }
 
-// freeze stops an instance for up to a second and a half.
+// freeze stops an instance for 0.2 to 1.5 s.
 func (s *soak) freeze(n int) {
-	p := s.proc(n)
+	p := s.process(n)
 	if err := p.signal(syscall.SIGSTOP); err != nil {
 		s.t.Error(err)
 	}
@@ -271,19 +274,19 @@
 	}
 }
 
-// leave makes an engine announce its end and crash; another takes its place.
-func (s *soak) leave() {
+// replaceEngine makes an engine announce that it leaves and crash, and adds another one.
+func (s *soak) replaceEngine() {
 	k := s.rand.IntN(len(s.pool))
 	w := s.pool[k]
 	w.Leave()
 	time.AfterFunc(700*time.Millisecond, func() { w.Crash(); w.Vanish() })
-	s.pool[k] = s.worker(s.t, fmt.Sprintf("engine-%d-%d", k, s.rand.IntN(1<<20)), hosting.Pool, func(k *hosting.Worker) {
-		k.EventEvery, k.EventCount, k.CopyTime = 25*time.Millisecond, draftSteps, 30*time.Millisecond
+	s.pool[k] = s.addUpstream(s.t, fmt.Sprintf("engine-%d-%d", k, s.rand.IntN(1<<20)), hosting.Pool, func(k *hosting.Worker) {
+		k.EventEvery, k.EventCount, k.CopyTime = 25*time.Millisecond, streamEvents, 30*time.Millisecond
 	})
 }
 
-// revoke takes the key away and gives another.
-func (s *soak) revoke() {
+// rotateKey revokes the current key and configures another one.
+func (s *soak) rotateKey() {
 	s.mu.Lock()
 	old := s.key
 	s.key = fmt.Sprintf("key-%d", s.rand.IntN(1<<20))
@@ -297,8 +300,8 @@
 	s.mu.Unlock()
 }
 
-// mend ends what lasts: outages of the store and faults of workers.
-func (s *soak) mend() {
+// clearFaults ends the faults that last: of the store, the relays and the upstreams.
+func (s *soak) clearFaults() {
 	s.Table.Set(hosting.Well)
 	for _, r := range s.relays {
 		r.Delay(0)
@@ -312,70 +315,71 @@
 	}
 }
 
-// calm mends everything and waits until each instance serves again.
-func (s *soak) calm() {
-	s.mend()
-	began := time.Now()
+// waitRecovered clears all faults and waits until each instance serves a request.
+func (s *soak) waitRecovered() {
+	s.clearFaults()
+	started := time.Now()
 	for k, m := range s.machines {
-		testkit.Eventually(s.t, calmWithin, m.Name+" serves again", func() bool {
-			c := booking(fmt.Sprintf("calm-%d-%d", k, time.Since(began)))
+		testkit.Eventually(s.t, recoveryTimeout, m.Name+" serves again", func() bool {
+			c := booking(fmt.Sprintf("recovered-%d-%d", k, time.Since(started)))
 			c.key = s.key
 			return s.do(m, c).status == http.StatusOK
 		})
 	}
 }
 
-// check judges by what callers saw and what reached the workers.
+// check compares the responses that callers received with the arrivals at the upstreams.
 func (s *soak) check() {
 	arrivals := s.Arrivals()
-	for id, a := range s.asked {
+	for id, a := range s.requests {
 		list := arrivals[id]
 		once := !strings.HasPrefix(a.path, hosting.PathBrief) && !strings.HasPrefix(a.path, hosting.PathLookUp)
-		if n := runs(list); once && n > 1 {
-			s.t.Errorf("%s ran %d times", id, n)
+		if n := countRuns(list); once && n > 1 {
+			s.t.Errorf("%s ran %d times, want at most once", id, n)
 		} else if n > 2 {
-			s.t.Errorf("%s ran %d times, its route allows two", id, n)
+			s.t.Errorf("%s ran %d times, want at most twice", id, n)
 		}
-		if once && refusedHonestly(a.got.status) && runs(list) > 0 {
-			s.t.Errorf("%s was told %d, but it ran", id, a.got.status)
+		if once && refusedNotRun(a.result.status) && countRuns(list) > 0 {
+			s.t.Errorf("%s: status %d, which means not run, but it ran", id, a.result.status)
 		}
-		if a.got.status == http.StatusOK && !a.got.cut {
-			s.checkWhole(id, a, list)
+		if a.result.status == http.StatusOK && !a.result.truncated {
+			checkSuccess(s.t, a, list)
 		}
 		s.mu.Lock()
-		gone, taken := s.revoked[a.key]
+		revokedAt, revoked := s.revoked[a.key]
 		s.mu.Unlock()
-		if taken && a.sent.After(gone.Add(hosting.RevokeWithin)) && runs(list) > 0 {
-			s.t.Errorf("%s ran with a key that was taken away %v before", id, a.sent.Sub(gone))
+		if revoked && a.sent.After(revokedAt.Add(hosting.RevokeWithin)) && countRuns(list) > 0 {
+			s.t.Errorf("%s ran with a key that was revoked %v earlier", id, a.sent.Sub(revokedAt))
 		}
 		for _, arrival := range list {
 			if arrival.Header.Get("Tenant") != hosting.Owner || arrival.Header.Get("Credential") != "" {
-				s.t.Errorf("%s reached %s with %v", id, arrival.Worker, arrival.Header)
+				s.t.Errorf("%s reached %s with headers %v, want the organisation and no key", id, arrival.Worker, arrival.Header)
 			}
 		}
 	}
 	for id := range arrivals {
-		if _, ok := s.asked[id]; !ok && !strings.HasPrefix(id, "calm-") {
-			s.t.Errorf("a request that nobody sent reached a worker: %s", id)
+		if _, ok := s.requests[id]; !ok && !strings.HasPrefix(id, "recovered-") {
+			s.t.Errorf("request %s reached an upstream, but no caller sent it", id)
 		}
 	}
 	if s.served == 0 {
-		s.t.Error("nothing was served: the soak shows nothing")
+		s.t.Error("no request was served, so the test checks nothing")
 	}
 }
 
-// checkWhole checks that a success is one worker's whole answer.
-func (s *soak) checkWhole(id string, a asked, list []hosting.Arrival) {
+// checkSuccess checks that a successful response is the complete response of one upstream.
+func checkSuccess(t *testing.T, a sentRequest, list []hosting.Arrival) {
+	t.Helper()
 	if strings.HasPrefix(a.path, hosting.PathDraft) || strings.HasPrefix(a.path, hosting.PathBrief) {
-		if a.got.body != events(id) {
-			s.t.Errorf("%s: the stream looks whole but is not: %d events", id, strings.Count(a.got.body, "\n\n"))
+		if a.result.body != streamBody(a.id) {
+			t.Errorf("%s: the stream ended without an error after %d events, want all events", a.id, strings.Count(a.result.body, "\n\n"))
 		}
 		return
 	}
 	for _, arrival := range list {
-		if a.got.body == hosting.Body(id, arrival.Worker) && a.got.header.Get("Response-Seal") == "seal-"+id {
+		if a.result.body == hosting.Body(a.id, arrival.Worker) && a.result.header.Get("Response-Seal") == "seal-"+a.id {
 			return
 		}
 	}
-	s.t.Errorf("%s got %q with seal %q", id, a.got.body, a.got.header.Get("Response-Seal"))
+	t.Errorf("%s: body %q with seal %q, want the response and seal of an upstream that it reached", a.id, a.result.body, a.result.header.Get("Response-Seal"))
 }
