--- a/internal/demo/config.go
+++ b/internal/demo/config.go
@@ -7,13 +7,14 @@
 	"mulberrylug.example/mulberrylug/internal/core/config"
 )
 
-// organisation is one of the demo's customers.
+// organisation is one of the demo's organisations, with its API key and its limits in the
+// form of the configuration.
 type organisation struct {
 	name, key, limits string
 }
 
-// The demo's organisations: one with ample limits and one whose limit is spent
-// within a run, so that a cost above it would show.
+// The demo's organisations: ample has limits that a run does not reach; tight has a spend
+// limit that is used up within a run, so that an overspend would be detected.
 var (
 	ample = organisation{
 		name: "nitrogen-depot", key: APIKey,
@@ -25,13 +26,13 @@
 	}
 )
 
-// APIKey is the key of the demo's larger organisation.
+// APIKey is the API key of the demo's organisation with ample limits.
 const APIKey = "demo-key"
 
-// model is the demo's only model.
+// model is the name of the demo's only model.
 const model = "dispatch-7b"
 
-// Configuration returns the demo's configuration for a fleet.
+// Configuration returns the demo's configuration, as YAML, for a fleet of the given size.
 func Configuration(o FleetOptions) string {
 	var b strings.Builder
 	b.WriteString(`deployment:
--- a/internal/demo/cost_test.go
+++ b/internal/demo/cost_test.go
@@ -25,69 +25,71 @@
 	return f
 }
 
-// parallel runs f for 0 to n-1, some at once.
+// parallel calls f for 0 to n-1, at most 16 calls at a time.
 func parallel(n int, f func(k int)) {
-	const atOnce = 16
-	turns := make(chan struct{}, atOnce)
+	const maxConcurrent = 16
+	slots := make(chan struct{}, maxConcurrent)
 	var wg sync.WaitGroup
 	for k := range n {
-		turns <- struct{}{}
+		slots <- struct{}{}
 		wg.Go(func() {
-			defer func() { <-turns }()
+			defer func() { <-slots }()
 			f(k)
 		})
 	}
 	wg.Wait()
 }
 
-// The platform serves several hundred writes a second to the whole fleet. What
-// each kind of work writes there is counted by the platform's stand-in; reads
-// that instances make each second are not the work's own.
+// The platform's table serves only several hundred writes per second to the whole fleet.
+// The test guards against more table writes per generation, booking or change than planned.
+// The platform's stand-in counts the writes. Reads are only logged, because instances also
+// read the table every second without any work.
 func TestTableCosts(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, FleetOptions{Instances: 3, Engines: 2, Services: 2})
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	cl := client.New(client.Options{Seeds: f.Seeds(), APIKey: APIKey, Retries: 3})
-	writes := func(what string, each int, most float64, work func()) {
+	checkWrites := func(kind string, count int, maxEach float64, work func()) {
 		t.Helper()
 		before := f.Platform.Counts()
 		work()
 		after := f.Platform.Counts()
-		per := float64(after.Commits-before.Commits) / float64(each)
-		t.Logf("work=%s writes=%d count=%d writes_each=%.3f reads=%d", what, after.Commits-before.Commits, each, per, after.Reads-before.Reads)
-		if per > most {
-			t.Errorf("%s: %.3f writes each, want at most %.3f", what, per, most)
+		each := float64(after.Commits-before.Commits) / float64(count)
+		t.Logf("work=%s writes=%d count=%d writes_each=%.3f reads=%d", kind, after.Commits-before.Commits, count, each, after.Reads-before.Reads)
+		if each > maxEach {
+			t.Errorf("%s: table writes each = %.3f, want at most %.3f", kind, each, maxEach)
 		}
 	}
-	const many = 100
-	writes("generation", many, 0.2, func() {
-		parallel(many, func(n int) {
-			if a := generate(ctx, cl, ample, job{n: n, words: 20}); a.outcome != client.Done {
-				t.Errorf("generation %d: %s %s", n, a.outcome, a.reason)
+	const requests = 100
+	checkWrites("generation", requests, 0.2, func() {
+		parallel(requests, func(n int) {
+			if a := generate(ctx, cl, ample, job{n: n, promptWords: 20}); a.outcome != client.Done {
+				t.Errorf("generation %d: outcome = %s (reason %s), want done", n, a.outcome, a.reason)
 			}
 		})
 	})
-	writes("booking", many, 2.1, func() {
-		parallel(many, func(n int) {
+	checkWrites("booking", requests, 2.1, func() {
+		parallel(requests, func(n int) {
 			if a := book(ctx, cl, n); a.outcome != client.Done {
-				t.Errorf("booking %d: %s %s", n, a.outcome, a.reason)
+				t.Errorf("booking %d: outcome = %s (reason %s), want done", n, a.outcome, a.reason)
 			}
 		})
 	})
-	writes("booking_repeated", many, 1.1, func() {
-		parallel(many, func(n int) { book(ctx, cl, n) })
+	checkWrites("booking_repeated", requests, 1.1, func() {
+		parallel(requests, func(n int) { book(ctx, cl, n) })
 	})
-	writes("configuration_change", 1, 1, func() { f.change(t, 2) })
-	writes("instance_failure", 1, 1, func() { f.Instances[2].Kill() })
+	checkWrites("configuration_change", 1, 1, func() { f.applyVersion(t, 2) })
+	checkWrites("instance_failure", 1, 1, func() { f.Instances[2].Kill() })
 	before := f.Platform.Counts().Reads
 	const idle = 3 * time.Second
 	time.Sleep(idle)
 	t.Logf("work=idle seconds=%.0f instances=2 reads=%d", idle.Seconds(), f.Platform.Counts().Reads-before)
 }
 
-// change applies another version and waits until it is in force everywhere.
-func (f *Fleet) change(t testing.TB, number int64) {
+// applyVersion applies a new version of the configuration and waits until it is in force
+// at all instances.
+func (f *Fleet) applyVersion(t testing.TB, number int64) {
 	t.Helper()
 	text := Configuration(FleetOptions{Engines: len(f.Engines), Services: len(f.Services)}) + fmt.Sprintf("# version %d\n", number)
 	req := apply.Request{
@@ -98,15 +100,15 @@
 		t.Fatal(err)
 	}
 	for _, i := range f.Instances {
-		testkit.Eventually(t, 20*time.Second, "the new version is in force at "+i.Name, func() bool {
+		testkit.Eventually(t, 20*time.Second, "the new configuration version to be in force at "+i.Name, func() bool {
 			st, err := i.Status(f.ctx)
 			return err == nil && st.ConfigNumber >= number
 		})
 	}
 }
 
-// processorTime is what the whole process has used.
-func processorTime(tb testing.TB) time.Duration {
+// cpuTime returns the CPU time, user and system, that this process has used.
+func cpuTime(tb testing.TB) time.Duration {
 	tb.Helper()
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
@@ -115,9 +117,9 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkTokenPath is the processor time of a token on its whole path, with
-// engine and caller in the same process; path=engine is the same without an
-// instance between them, so that the difference is the instance's.
+// BenchmarkTokenPath measures the CPU time per token from the engine to the caller, who
+// are in the same process. path=instance has an instance between them and path=engine has
+// none, so that the difference is the CPU time of the instance.
 func BenchmarkTokenPath(b *testing.B) {
 	const streams, tokens = 64, 300
 	f := startFleet(b, FleetOptions{
@@ -125,20 +127,20 @@
 		Engine: engine.Settings{Capacity: 1 << 20, MaxBatch: streams, Median: tokens, Sigma: 1e-9, Prefill: 1 << 20},
 	})
 	cl := client.New(client.Options{Seeds: f.Seeds(), APIKey: APIKey, Retries: 3})
-	if a := generate(f.ctx, cl, ample, job{words: 20}); a.outcome != client.Done { // the pool's home has its first reports now
-		b.Fatalf("first generation: %s %s", a.outcome, a.reason)
+	if a := generate(f.ctx, cl, ample, job{promptWords: 20}); a.outcome != client.Done { // the pool's home has received the first load reports when this ends
+		b.Fatalf("first generation: outcome = %s (reason %s), want done", a.outcome, a.reason)
 	}
 	for _, path := range []struct{ name, address string }{
 		{"engine", f.Engines[0].Server.Address()},
 		{"instance", f.Instances[0].CallerAddress()},
 	} {
 		b.Run("path="+path.name, func(b *testing.B) {
-			start, total, size := processorTime(b), 0, 0
+			start, total, size := cpuTime(b), 0, 0
 			for n := 0; b.Loop(); n++ {
 				tokens, bytes := f.readStreams(b, path.address, streams, n)
 				total, size = total+tokens, size+bytes
 			}
-			b.ReportMetric(float64(processorTime(b)-start)/float64(total), "cpu-ns/token")
+			b.ReportMetric(float64(cpuTime(b)-start)/float64(total), "cpu-ns/token")
 			b.ReportMetric(float64(size)/float64(total), "B/token")
 			b.ReportMetric(float64(total)/float64(b.N), "tokens/op")
 		})
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -5,6 +5,8 @@
 	"testing"
 )
 
+// Without faults a run must keep all guarantees of Report.Clean, and at least 95 in 100
+// requests must be done.
 func TestDemoWithoutFaults(t *testing.T) {
 	t.Parallel()
 	r, err := Run(context.Background(), Options{Requests: 60, Seed: 3})
@@ -12,16 +14,17 @@
 		t.Fatal(err)
 	}
 	if !r.Clean() {
-		t.Errorf("a promise was broken: %s", r.Line())
+		t.Errorf("Report.Clean() = false, want true: %s", r.Line())
 	}
 	if r.Done*100 < r.Requests*95 {
-		t.Errorf("done = %d of %d, want at least 95 in 100: %s", r.Done, r.Requests, r.Line())
+		t.Errorf("done = %d of %d requests, want at least 95 in 100: %s", r.Done, r.Requests, r.Line())
 	}
 }
 
-// The callers see whole answers or honest ends while an engine crashes, one
-// freezes, the store goes down and loses answers, an engine is reclaimed, an
-// instance is killed and one freezes. The stand-ins' records decide.
+// Callers must get complete responses or correct outcomes while an engine crashes, another
+// freezes, the store is down and later loses responses, an engine is reclaimed, an instance
+// is killed and another freezes. The callers' results are compared with the stand-ins'
+// records.
 func TestDemoWithFaults(t *testing.T) {
 	t.Parallel()
 	r, err := Run(context.Background(), Options{Requests: 150, Seed: 3, Faults: true})
@@ -29,9 +32,9 @@
 		t.Fatal(err)
 	}
 	if !r.Clean() {
-		t.Errorf("a promise was broken: %s", r.Line())
+		t.Errorf("Report.Clean() = false, want true: %s", r.Line())
 	}
 	if got := r.Done + r.NotRun + r.Partial + r.Unknown; got != r.Requests {
-		t.Errorf("outcomes = %d, want one for each of %d requests", got, r.Requests)
+		t.Errorf("outcomes = %d, want %d, one for each request", got, r.Requests)
 	}
 }
--- a/internal/demo/faults.go
+++ b/internal/demo/faults.go
@@ -8,15 +8,16 @@
 	"mulberrylug.example/mulberrylug/internal/standin/platform"
 )
 
-// fault is one failure of the run.
+// fault is one fault that a run injects.
 type fault struct {
-	// at is the part of the run at which it happens, from 0 to 1.
-	at   float64
-	what string
-	do   func()
+	// at is the time of the fault as a fraction of the run's expected duration, from 0
+	// to 1.
+	at          float64
+	description string
+	inject      func()
 }
 
-// faults lists what goes wrong in a run with faults, in order.
+// faults lists the faults of a run, in order of time.
 func (f *Fleet) faults() []fault {
 	const downFor, frozenFor = 500 * time.Millisecond, 1500 * time.Millisecond
 	store := f.Platform.SetFaults
@@ -42,11 +43,12 @@
 	}
 }
 
-// startFaults brings the faults about while requests run. The function that it
-// returns waits for the end and says which happened.
+// startFaults injects the faults while requests run. The function that it returns waits
+// until all are injected, or the context ends, and returns the descriptions of the injected
+// ones.
 func startFaults(ctx context.Context, f *Fleet, o Options) func() []string {
-	span := time.Duration(o.Requests) * arrivalMean
-	var happened []string
+	span := time.Duration(o.Requests) * meanArrivalInterval
+	var injected []string
 	var wg sync.WaitGroup
 	wg.Go(func() {
 		start := time.Now()
@@ -55,13 +57,13 @@
 			case <-ctx.Done():
 				return
 			case <-time.After(time.Until(start.Add(time.Duration(s.at * float64(span))))):
-				s.do()
-				happened = append(happened, s.what)
+				s.inject()
+				injected = append(injected, s.description)
 			}
 		}
 	})
 	return func() []string {
 		wg.Wait()
-		return happened
+		return injected
 	}
 }
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -1,6 +1,6 @@
 // Package demo starts a whole deployment on loopback TCP inside one process,
-// sends mixed generations and bookings through the public client, and compares
-// what the callers got with what the stand-ins recorded.
+// sends a mix of generations and bookings through the public client, and compares
+// the results that the callers got with the records of the stand-ins.
 package demo
 
 import (
@@ -27,10 +27,11 @@
 
 const (
 	loopback = "127.0.0.1:0"
-	// announceEvery is how often stand-ins tell the platform that they live.
-	announceEvery = 500 * time.Millisecond
-	// readyWithin bounds the start of a fleet.
-	readyWithin = 10 * time.Second
+	// announceInterval is the interval at which stand-ins announce to the platform that
+	// they are alive.
+	announceInterval = 500 * time.Millisecond
+	// readyTimeout is the maximum time until all instances of a new fleet are ready.
+	readyTimeout = 10 * time.Second
 )
 
 // Fleet is a whole deployment in one process.
@@ -54,12 +55,12 @@
 	*engine.Engine
 	Server *standin.Server
 	Name   string
-	// Link is what the instances reach the engine through, if the fleet has
-	// relays.
+	// Link is the relay through which the instances reach the engine; nil if the fleet
+	// has no relays.
 	Link *relay.Relay
 }
 
-// Service is a stand-in service worker with its server.
+// Service is a stand-in for one upstream of a plain service, with its server.
 type Service struct {
 	*service.Service
 	Server *standin.Server
@@ -70,28 +71,32 @@
 type Instance struct {
 	*daemon.Daemon
 	Name string
-	// Link is what callers reach the instance through, if the fleet has relays.
+	// Link is the relay through which callers reach the instance; nil if the fleet has
+	// no relays.
 	Link   *relay.Relay
 	cancel context.CancelFunc
-	ended  chan struct{}
+	// ended is closed when the instance has stopped.
+	ended chan struct{}
 }
 
-// FleetOptions size a fleet.
+// FleetOptions sets the size and the setup of a fleet.
 type FleetOptions struct {
 	Instances int
 	Engines   int
 	Services  int
-	Engine    engine.Settings
-	// Relays puts a relay before each engine and each instance, so that
-	// their links can be cut and silenced.
+	// Engine holds the settings of all engines; each gets its own Name and OnCrash.
+	Engine engine.Settings
+	// Relays puts a relay in front of each engine and each instance, so that their
+	// connections can be cut and silenced.
 	Relays bool
-	Log    hclog.Logger
-	// Configuration replaces the demo's own.
+	// Log receives the instances' log. Nil discards it.
+	Log hclog.Logger
+	// Configuration replaces the demo's configuration, if it is not nil.
 	Configuration []config.File
 }
 
-// StartFleet starts everything, applies the configuration and waits until each
-// instance serves.
+// StartFleet starts the stand-ins and the instances, applies the configuration and waits
+// until each instance serves.
 func StartFleet(ctx context.Context, o FleetOptions) (*Fleet, error) {
 	if o.Log == nil {
 		o.Log = hclog.NewNullLogger()
@@ -136,7 +141,7 @@
 	return f.waitReady()
 }
 
-// AddInstance starts another instance.
+// AddInstance starts another instance. It does not wait until the instance is ready.
 func (f *Fleet) AddInstance(name string) error {
 	inst := &Instance{Name: name, ended: make(chan struct{})}
 	var linkErr error
@@ -163,7 +168,7 @@
 	return nil
 }
 
-// relay starts a relay to an address if the fleet has relays, else returns nil.
+// relay starts a relay to an address if the fleet has relays. Otherwise it returns nil.
 func (f *Fleet) relay(target string) (*relay.Relay, error) {
 	if !f.relays {
 		return nil, nil
@@ -171,7 +176,8 @@
 	return relay.Start(target)
 }
 
-// address is where callers reach the instance, given where it listens.
+// address returns the address at which callers reach the instance, given the address on
+// which it listens.
 func (i *Instance) address(listened string) string {
 	if i.Link != nil {
 		return i.Link.Address()
@@ -179,7 +185,8 @@
 	return listened
 }
 
-// Kill stops an instance as a crash does, as far as one process allows.
+// Kill stops an instance without a shutdown, as far as possible within one process, and
+// waits until it has stopped.
 func (i *Instance) Kill() {
 	i.Daemon.Kill()
 	i.cancel()
@@ -209,12 +216,13 @@
 	return nil
 }
 
-// Crash loses everything in the engine's memory and comes back after a while.
+// Crash closes the engine's server, drops its memory and starts the server again after the
+// duration down.
 func (e *Engine) Crash(down time.Duration) {
 	e.Server.Close()
 	e.Reboot()
 	time.Sleep(down)
-	_ = e.Server.Reopen() // the port was ours; if it is taken, the engine stays dead
+	_ = e.Server.Reopen() // if another process has taken the port, the engine stays down
 }
 
 func (f *Fleet) addService(name string) error {
@@ -229,22 +237,23 @@
 	return nil
 }
 
+// announce announces an upstream to the platform at an interval until the fleet stops.
 func (f *Fleet) announce(name, role, address string, leaving func() bool) {
 	f.wg.Go(func() {
-		standin.Every(f.ctx, announceEvery, func() {
+		standin.Every(f.ctx, announceInterval, func() {
 			m := membership.Member{Name: name, Role: role, DataCentre: "kochi-a", Address: address, State: membership.Live}
 			if leaving() {
 				m.State = membership.Leaving
 			}
-			_ = f.client.Announce(f.ctx, m) // told again in a moment
+			_ = f.client.Announce(f.ctx, m) // repeated after announceInterval
 		})
 	})
 }
 
-// Store returns the platform's adapter.
+// Store returns the fleet's client of the platform.
 func (f *Fleet) Store() *platformclient.Client { return f.client }
 
-// Seeds lists the caller addresses of all instances.
+// Seeds returns the addresses of all instances for callers.
 func (f *Fleet) Seeds() []string {
 	var out []string
 	for _, i := range f.Instances {
@@ -253,8 +262,9 @@
 	return out
 }
 
+// waitReady waits until each instance has a configuration and sees all instances.
 func (f *Fleet) waitReady() error {
-	deadline := time.Now().Add(readyWithin)
+	deadline := time.Now().Add(readyTimeout)
 	for _, i := range f.Instances {
 		for {
 			st, err := i.Status(f.ctx)
@@ -265,7 +275,7 @@
 				break
 			}
 			if time.Now().After(deadline) {
-				return fmt.Errorf("instance %s was not ready within %s: %+v", i.Name, readyWithin, st)
+				return fmt.Errorf("instance %s was not ready within %s: %+v", i.Name, readyTimeout, st)
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
@@ -273,7 +283,7 @@
 	return nil
 }
 
-// Stop ends everything.
+// Stop stops the instances and the stand-ins.
 func (f *Fleet) Stop() {
 	f.cancel()
 	for _, e := range f.Engines {
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -10,8 +10,8 @@
 	"mulberrylug.example/mulberrylug/internal/standin/engine"
 )
 
-// Report is the result of a demo run. Everything but the outcomes is counted
-// from what the stand-ins recorded.
+// Report is the result of a demo run. Outcomes and reasons are those that the callers got;
+// the other counts compare the callers' results with the stand-ins' records.
 type Report struct {
 	Requests         int            `json:"requests"`
 	Done             int            `json:"done"`
@@ -29,7 +29,7 @@
 	AnswersCrossed   int            `json:"answers_crossed"`
 	Overspend        int64          `json:"overspend"`
 	Reasons          map[string]int `json:"reasons"`
-	// Faults lists the failures that were brought about, in order.
+	// Faults lists the descriptions of the injected faults, in order.
 	Faults []string `json:"faults,omitempty"`
 }
 
@@ -42,27 +42,29 @@
 	return string(raw)
 }
 
-// Clean reports whether nothing that must hold was broken.
+// Clean reports whether the run kept all guarantees: no token was lost, duplicated or out
+// of order, no booking was executed twice, no request with the outcome not_run was executed,
+// no caller got the response to another request, and no organisation overspent.
 func (r Report) Clean() bool {
 	return r.TokensLost+r.TokensDuplicated+r.TokensOutOfOrder+r.BookingsRunTwice+r.NotRunButRan+r.AnswersCrossed == 0 && r.Overspend == 0
 }
 
-// judge compares the callers' answers with the stand-ins' records.
-func judge(f *Fleet, answers []answer) Report {
-	r := Report{Requests: len(answers), Reasons: map[string]int{}}
-	ran := recorded(f)
-	for _, a := range answers {
+// verify compares the callers' results with the stand-ins' records.
+func verify(f *Fleet, results []result) Report {
+	r := Report{Requests: len(results), Reasons: map[string]int{}}
+	ran := collectRecords(f)
+	for _, a := range results {
 		r.countOutcome(a)
 		if a.booking {
-			r.judgeBooking(a, ran)
+			r.verifyBooking(a, ran)
 		} else {
-			r.judgeTokens(a, ran)
+			r.verifyTokens(a, ran)
 		}
 	}
 	return r
 }
 
-func (r *Report) countOutcome(a answer) {
+func (r *Report) countOutcome(a result) {
 	switch a.outcome {
 	case client.Done:
 		r.Done++
@@ -78,21 +80,23 @@
 	}
 }
 
-// records are what the stand-ins did.
+// records holds the work that the stand-ins executed.
 type records struct {
 	generations []engine.Record
-	// byHash maps the hash in each token's text to its generation.
+	// byHash maps the hash at the start of each token's text to its generation.
 	byHash map[string]engine.Record
-	// prompts counts the generations of a prompt.
-	prompts  map[string]int
+	// prompts holds the number of generations by prompt text.
+	prompts map[string]int
+	// bookings holds the number of executed calls by booking key.
 	bookings map[string]int
-	// answers maps what the service answered to the key of that call.
-	answers map[string]string
-	calls   int
+	// keyByResponse maps the response body of each executed call to its booking key.
+	keyByResponse map[string]string
+	// calls is the number of executed calls.
+	calls int
 }
 
-func recorded(f *Fleet) records {
-	ran := records{byHash: map[string]engine.Record{}, bookings: map[string]int{}, prompts: map[string]int{}, answers: map[string]string{}}
+func collectRecords(f *Fleet) records {
+	ran := records{byHash: map[string]engine.Record{}, bookings: map[string]int{}, prompts: map[string]int{}, keyByResponse: map[string]string{}}
 	for _, e := range f.Engines {
 		for _, rec := range e.Records() {
 			ran.generations = append(ran.generations, rec)
@@ -104,14 +108,16 @@
 	for _, s := range f.Services {
 		for n, c := range s.Calls() {
 			ran.bookings[c.Key]++
-			ran.answers[fmt.Sprintf(`{"worker":%q,"booking":%d}`, s.Name, n+1)] = c.Key
+			ran.keyByResponse[fmt.Sprintf(`{"worker":%q,"booking":%d}`, s.Name, n+1)] = c.Key
 			ran.calls++
 		}
 	}
 	return ran
 }
 
-func (r *Report) judgeBooking(a answer, ran records) {
+// verifyBooking checks that the booking was executed at most once, not at all if the
+// outcome is not_run, and that the caller got its own response.
+func (r *Report) verifyBooking(a result, ran records) {
 	runs := ran.bookings[a.key]
 	r.BookingsAsked++
 	if runs > 0 {
@@ -123,14 +129,14 @@
 	if runs > 0 && a.outcome == client.NotRun {
 		r.NotRunButRan++
 	}
-	if a.outcome == client.Done && ran.answers[string(a.body)] != a.key {
+	if a.outcome == client.Done && ran.keyByResponse[string(a.body)] != a.key {
 		r.AnswersCrossed++
 	}
 }
 
-// judgeTokens checks that the tokens are those of one generation, in order
-// from 0, and all of them if the answer is done.
-func (r *Report) judgeTokens(a answer, ran records) {
+// verifyTokens checks that the tokens are those of one generation of the caller's prompt,
+// in order from index 0 and without gaps, and complete if the outcome is done.
+func (r *Report) verifyTokens(a result, ran records) {
 	tokens := strings.Fields(a.text)
 	if a.outcome == client.NotRun && ran.prompts[a.prompt] > 0 {
 		r.NotRunButRan++
--- a/internal/demo/run.go
+++ b/internal/demo/run.go
@@ -15,48 +15,60 @@
 )
 
 const (
-	// bookingShare of the requests are bookings; the rest are generations,
-	// of which wholeShare are asked for whole and the others streamed.
+	// bookingShare is the fraction of the requests that are bookings. The others are
+	// generations.
 	bookingShare = 0.3
-	wholeShare   = 0.2
-	// tightEvery gives one request in so many to the organisation whose
-	// limit is tight.
-	tightEvery = 25
-	// arrivalMean is the mean pause between two requests.
-	arrivalMean = 15 * time.Millisecond
-	// requestTimeout bounds one request of the demo.
+	// unstreamedShare is the fraction of the generations that are requested as one
+	// response. The others are streamed.
+	unstreamedShare = 0.2
+	// tightInterval is n where every n-th request is a streamed generation of the
+	// organisation with the tight limit, whatever the fractions above say.
+	tightInterval = 25
+	// meanArrivalInterval is the mean time between the starts of two requests.
+	meanArrivalInterval = 15 * time.Millisecond
+	// requestTimeout is the maximum duration of one request, with its retries.
 	requestTimeout = 25 * time.Second
-	// retries is how often the demo's callers come back after a refusal.
-	retries = 3
-	// settleFor lets cancels and settlements arrive before the records are read.
-	settleFor = 500 * time.Millisecond
+	// maxRetries is the maximum number of retries of a request after refusals.
+	maxRetries = 3
+	// settleDelay gives cancellations and settlements time to arrive before the
+	// stand-ins' records are read.
+	settleDelay = 500 * time.Millisecond
 )
 
-// Options of a demo run.
+// Options sets up a demo run.
 type Options struct {
+	// Requests is the number of requests.
 	Requests int
-	Seed     uint64
-	Faults   bool
-	Log      hclog.Logger
-	// Progress is called now and then with the number of ended requests.
+	// Seed determines the workload.
+	Seed uint64
+	// Faults injects faults during the run.
+	Faults bool
+	// Log receives the instances' log. Nil discards it.
+	Log hclog.Logger
+	// Progress, if not nil, is called after each request with the number of ended
+	// requests and the number of all requests.
 	Progress func(ended, of int)
 }
 
-// answer is what one caller got.
-type answer struct {
+// result is the result of one request as its caller got it.
+type result struct {
+	// booking is set for a booking. The request is a generation otherwise.
 	booking bool
-	// key is a booking's, prompt a generation's.
-	key     string
-	prompt  string
+	// key is the key of a booking.
+	key string
+	// prompt is the prompt of a generation.
+	prompt string
+	// request is the request id.
 	request string
-	// text is a generation's answer, body a booking's.
-	text    string
+	// text is the text that a generation produced, as far as it arrived.
+	text string
+	// body is the response body of a booking.
 	body    []byte
 	outcome client.Outcome
 	reason  string
 }
 
-// Run runs the demo and reports.
+// Run starts a fleet, executes the workload and returns the report.
 func Run(ctx context.Context, o Options) (Report, error) {
 	fo := FleetOptions{Instances: 3, Engines: 3, Services: 2, Relays: o.Faults, Log: o.Log}
 	f, err := StartFleet(ctx, fo)
@@ -69,26 +81,28 @@
 	if o.Faults {
 		faults = startFaults(ctx, f, o)
 	}
-	answers := drive(ctx, f, o)
-	happened := faults()
-	time.Sleep(settleFor)
-	r := judge(f, answers)
-	r.Faults = happened
-	r.Overspend, err = overspend(recorded(f), Configuration(fo), start, time.Now())
+	results := drive(ctx, f, o)
+	injected := faults()
+	time.Sleep(settleDelay)
+	r := verify(f, results)
+	r.Faults = injected
+	r.Overspend, err = overspend(collectRecords(f), Configuration(fo), start, time.Now())
 	return r, err
 }
 
-// callers are the clients of the demo's organisations.
+// callers holds the clients of the demo's organisations.
 type callers struct {
 	ample, tight *client.Client
-	seeds        []string
+	// seeds holds the addresses of the instances, for requests without the client.
+	seeds []string
 }
 
 func newCallers(f *Fleet) *callers {
 	seeds := f.Seeds()
 	return &callers{
-		ample: client.New(client.Options{Seeds: seeds, APIKey: ample.key, Retries: retries}),
-		// A spent limit says to come back in the next period: not in this run.
+		ample: client.New(client.Options{Seeds: seeds, APIKey: ample.key, Retries: maxRetries}),
+		// No retries: a refusal for a used-up spend limit permits a retry only in the
+		// next accounting period, after the end of the run.
 		tight: client.New(client.Options{Seeds: seeds, APIKey: tight.key}),
 		seeds: seeds,
 	}
@@ -96,38 +110,39 @@
 
 // job is one request of the workload.
 type job struct {
-	n              int
-	booking, whole bool
-	words          int
-	pause          time.Duration
+	n                   int
+	booking, unstreamed bool
+	promptWords         int
+	delay               time.Duration
 }
 
-// workload draws the requests from the seed.
+// workload generates the requests of a run. The same seed gives the same requests.
 func workload(o Options) []job {
 	rng := rand.New(rand.NewPCG(o.Seed, 0))
 	jobs := make([]job, o.Requests)
 	for n := range jobs {
 		jobs[n] = job{
-			n: n, booking: rng.Float64() < bookingShare, whole: rng.Float64() < wholeShare,
-			words: 5 + rng.IntN(200), pause: time.Duration(rng.ExpFloat64() * float64(arrivalMean)),
+			n: n, booking: rng.Float64() < bookingShare, unstreamed: rng.Float64() < unstreamedShare,
+			promptWords: 5 + rng.IntN(200), delay: time.Duration(rng.ExpFloat64() * float64(meanArrivalInterval)),
 		}
 	}
 	return jobs
 }
 
-// drive sends the requests at seeded times and collects the answers.
-func drive(ctx context.Context, f *Fleet, o Options) []answer {
+// drive sends the requests at the times that the seed determines and returns their results
+// by request number.
+func drive(ctx context.Context, f *Fleet, o Options) []result {
 	c := newCallers(f)
-	answers := make([]answer, o.Requests)
+	results := make([]result, o.Requests)
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	ended := 0
 	for n, j := range workload(o) {
-		time.Sleep(j.pause)
+		time.Sleep(j.delay)
 		wg.Go(func() {
 			ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 			defer cancel()
-			answers[n] = c.do(ctx, j)
+			results[n] = c.send(ctx, j)
 			mu.Lock()
 			defer mu.Unlock()
 			ended++
@@ -137,24 +152,25 @@
 		})
 	}
 	wg.Wait()
-	return answers
+	return results
 }
 
-func (c *callers) do(ctx context.Context, j job) answer {
+// send sends one request and returns its result.
+func (c *callers) send(ctx context.Context, j job) result {
 	switch {
-	case j.n%tightEvery == tightEvery-1:
+	case j.n%tightInterval == tightInterval-1:
 		return generate(ctx, c.tight, tight, j)
 	case j.booking:
 		return book(ctx, c.ample, j.n)
-	case j.whole:
-		return generateWhole(ctx, c.seeds, j)
+	case j.unstreamed:
+		return generateUnstreamed(ctx, c.seeds, j)
 	default:
 		return generate(ctx, c.ample, ample, j)
 	}
 }
 
-func book(ctx context.Context, cl *client.Client, n int) answer {
-	a := answer{booking: true, key: fmt.Sprintf("refill-%d", n)}
+func book(ctx context.Context, cl *client.Client, n int) result {
+	a := result{booking: true, key: fmt.Sprintf("refill-%d", n)}
 	body := fmt.Appendf(nil, `{"cylinders":%d}`, n)
 	res, err := cl.Do(ctx, client.Call{Service: "order-desk", Path: "/refills", Body: body, Key: a.key, NotRepeatable: true})
 	a.request, a.body = res.RequestID, res.Body
@@ -162,20 +178,22 @@
 	return a
 }
 
-// promptOf is unique to a request and names its organisation, so that the
-// engines' records show whose generation each was.
+// promptOf returns the prompt of a request. It is unique to the request and begins with
+// the organisation's name, so that the engines' records identify the organisation of each
+// generation.
 func promptOf(org organisation, j job) string {
-	return fmt.Sprintf("%s %d:", org.name, j.n) + strings.Repeat(" cylinder", j.words)
+	return fmt.Sprintf("%s %d:", org.name, j.n) + strings.Repeat(" cylinder", j.promptWords)
 }
 
-func generate(ctx context.Context, cl *client.Client, org organisation, j job) answer {
-	a := answer{prompt: promptOf(org, j)}
+func generate(ctx context.Context, cl *client.Client, org organisation, j job) result {
+	a := result{prompt: promptOf(org, j)}
 	res, err := cl.Stream(ctx, client.Completion{Model: model, Prompt: a.prompt}, nil)
 	a.request, a.text = res.RequestID, res.Text
 	a.outcome, a.reason = outcomeOf(err)
 	return a
 }
 
+// outcomeOf returns the outcome and the reason that an error of the client stands for.
 func outcomeOf(err error) (client.Outcome, string) {
 	var p *client.Problem
 	switch {
--- a/internal/demo/spend.go
+++ b/internal/demo/spend.go
@@ -8,9 +8,9 @@
 	"mulberrylug.example/mulberrylug/internal/core/config"
 )
 
-// overspend returns by how many millionths the work that engines and service
-// recorded passed what the configuration allowed its organisations, in the
-// accounting periods that the run touched.
+// overspend returns the amount, in millionths of the currency unit, by which the recorded
+// work costs more than the organisations' spend limits allow. The limits of all accounting
+// periods that the run touched are added up.
 func overspend(ran records, text string, start, end time.Time) (int64, error) {
 	cfg, err := config.Parse([]config.File{{Name: "demo.yaml", Data: []byte(text)}})
 	if err != nil {
--- a/internal/demo/raw_test.go
+++ b/internal/demo/streams_test.go
@@ -10,9 +10,8 @@
 	"testing"
 )
 
-// readStreams reads some streams at once from an address, an instance's or an
-// engine's, and returns how many tokens
-// and bytes came.
+// readStreams reads several streams concurrently from the address of an instance or an
+// engine. It returns the total number of tokens and bytes received.
 func (f *Fleet) readStreams(tb testing.TB, address string, streams, round int) (tokens, size int) {
 	tb.Helper()
 	var total, bytes atomic.Int64
@@ -39,7 +38,8 @@
 	return int(total.Load()), int(bytes.Load())
 }
 
-// countEvents counts the data lines of a stream but for its end, and its bytes.
+// countEvents sends a request for a stream and returns the number of its token events and
+// of its bytes. The last data event carries no token and is not counted.
 func countEvents(req *http.Request) (events, size int, err error) {
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
@@ -47,7 +47,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return 0, 0, fmt.Errorf("status %d", resp.StatusCode)
+		return 0, 0, fmt.Errorf("stream request: status = %d, want 200", resp.StatusCode)
 	}
 	events = -1
 	sc := bufio.NewScanner(resp.Body)
--- a/internal/demo/whole.go
+++ b/internal/demo/unstreamed.go
@@ -13,24 +13,26 @@
 	"mulberrylug.example/mulberrylug/client"
 )
 
-// wholeClient opens a connection for each request: a pooled one may be dead.
-var wholeClient = &http.Client{Transport: &http.Transport{
+// unstreamedClient opens a new connection for each request, because a pooled connection
+// may be dead after a fault.
+var unstreamedClient = &http.Client{Transport: &http.Transport{
 	DialContext: (&net.Dialer{Timeout: time.Second}).DialContext, DisableKeepAlives: true,
 }}
 
-// wholeTimeout bounds one such request: a connection that has gone silent shows
-// only by it, as a whole answer has no keep-alives.
-const wholeTimeout = 12 * time.Second
+// unstreamedTimeout is the maximum duration of one request that is not streamed, with its
+// retries. Only this timeout detects a silent connection, because a response that is not
+// streamed carries no keep-alives.
+const unstreamedTimeout = 12 * time.Second
 
-// generateWhole asks for an answer that is not streamed, as any HTTP library
-// does, and comes back when a refusal says when.
-func generateWhole(ctx context.Context, seeds []string, j job) answer {
-	ctx, cancel := context.WithTimeout(ctx, wholeTimeout)
+// generateUnstreamed requests a generation that is not streamed, with a plain HTTP client.
+// If a refusal names a time for a retry, it retries at most maxRetries times.
+func generateUnstreamed(ctx context.Context, seeds []string, j job) result {
+	ctx, cancel := context.WithTimeout(ctx, unstreamedTimeout)
 	defer cancel()
-	a := answer{prompt: promptOf(ample, j)}
+	a := result{prompt: promptOf(ample, j)}
 	for try := 0; ; try++ {
-		wait := askWhole(ctx, seeds[rand.IntN(len(seeds))], &a)
-		if a.outcome != client.NotRun || wait == 0 || try >= retries {
+		wait := requestUnstreamed(ctx, seeds[rand.IntN(len(seeds))], &a)
+		if a.outcome != client.NotRun || wait == 0 || try >= maxRetries {
 			return a
 		}
 		select {
@@ -41,8 +43,9 @@
 	}
 }
 
-// askWhole fills the answer in and returns when to come back, 0 for never.
-func askWhole(ctx context.Context, address string, a *answer) time.Duration {
+// requestUnstreamed sends one request and stores its result in a. It returns the time after
+// which a retry is permitted, or 0 if the response names none.
+func requestUnstreamed(ctx context.Context, address string, a *result) time.Duration {
 	body, err := json.Marshal(client.Completion{Model: model, Prompt: a.prompt})
 	if err != nil { // a struct of strings and numbers always encodes
 		panic(err)
@@ -52,7 +55,7 @@
 		panic(err)
 	}
 	req.Header.Set("Authorization", "Bearer "+ample.key)
-	resp, err := wholeClient.Do(req)
+	resp, err := unstreamedClient.Do(req)
 	if err != nil {
 		a.outcome, a.reason = client.Unknown, "connection_lost"
 		return 0
