--- a/internal/demo/config.go
+++ b/internal/demo/config.go
@@ -13,7 +13,7 @@
 	name, key, limits string
 }
 
-// The demo's organisations: ample has limits that a run does not reach; tight has a spend
+// The demo's organisations: ample has high limits; tight has a spend
 // limit that is used up within a run, so that an overspend would be detected.
 var (
 	ample = organisation{
--- a/internal/demo/cost_test.go
+++ b/internal/demo/cost_test.go
@@ -117,8 +117,8 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// BenchmarkTokenPath measures the CPU time per token from the engine to the caller, who
-// are in the same process. path=instance has an instance between them and path=engine has
+// BenchmarkTokenPath measures the CPU time per token from the engine to the caller. Both
+// run in this process. path=instance has an instance between them and path=engine has
 // none, so that the difference is the CPU time of the instance.
 func BenchmarkTokenPath(b *testing.B) {
 	const streams, tokens = 64, 300
@@ -127,7 +127,7 @@
 		Engine: engine.Settings{Capacity: 1 << 20, MaxBatch: streams, Median: tokens, Sigma: 1e-9, Prefill: 1 << 20},
 	})
 	cl := client.New(client.Options{Seeds: f.Seeds(), APIKey: APIKey, Retries: 3})
-	if a := generate(f.ctx, cl, ample, job{promptWords: 20}); a.outcome != client.Done { // the pool's home has received the first load reports when this ends
+	if a := generate(f.ctx, cl, ample, job{promptWords: 20}); a.outcome != client.Done { // after this request the pool's home has the first load reports
 		b.Fatalf("first generation: outcome = %s (reason %s), want done", a.outcome, a.reason)
 	}
 	for _, path := range []struct{ name, address string }{
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -52,13 +52,13 @@
 // verify compares the callers' results with the stand-ins' records.
 func verify(f *Fleet, results []result) Report {
 	r := Report{Requests: len(results), Reasons: map[string]int{}}
-	ran := collectRecords(f)
+	recs := collectRecords(f)
 	for _, a := range results {
 		r.countOutcome(a)
 		if a.booking {
-			r.verifyBooking(a, ran)
+			r.verifyBooking(a, recs)
 		} else {
-			r.verifyTokens(a, ran)
+			r.verifyTokens(a, recs)
 		}
 	}
 	return r
@@ -96,29 +96,29 @@
 }
 
 func collectRecords(f *Fleet) records {
-	ran := records{byHash: map[string]engine.Record{}, bookings: map[string]int{}, prompts: map[string]int{}, keyByResponse: map[string]string{}}
+	recs := records{byHash: map[string]engine.Record{}, bookings: map[string]int{}, prompts: map[string]int{}, keyByResponse: map[string]string{}}
 	for _, e := range f.Engines {
 		for _, rec := range e.Records() {
-			ran.generations = append(ran.generations, rec)
+			recs.generations = append(recs.generations, rec)
 			hash, _, _ := strings.Cut(engine.TokenText(rec.Attempt, 0), "-")
-			ran.byHash[hash] = rec
-			ran.prompts[rec.PromptText]++
+			recs.byHash[hash] = rec
+			recs.prompts[rec.PromptText]++
 		}
 	}
 	for _, s := range f.Services {
 		for n, c := range s.Calls() {
-			ran.bookings[c.Key]++
-			ran.keyByResponse[fmt.Sprintf(`{"worker":%q,"booking":%d}`, s.Name, n+1)] = c.Key
-			ran.calls++
+			recs.bookings[c.Key]++
+			recs.keyByResponse[fmt.Sprintf(`{"worker":%q,"booking":%d}`, s.Name, n+1)] = c.Key
+			recs.calls++
 		}
 	}
-	return ran
+	return recs
 }
 
 // verifyBooking checks that the booking was executed at most once, not at all if the
 // outcome is not_run, and that the caller got its own response.
-func (r *Report) verifyBooking(a result, ran records) {
-	runs := ran.bookings[a.key]
+func (r *Report) verifyBooking(a result, recs records) {
+	runs := recs.bookings[a.key]
 	r.BookingsAsked++
 	if runs > 0 {
 		r.BookingsRun++
@@ -129,16 +129,16 @@
 	if runs > 0 && a.outcome == client.NotRun {
 		r.NotRunButRan++
 	}
-	if a.outcome == client.Done && ran.keyByResponse[string(a.body)] != a.key {
+	if a.outcome == client.Done && recs.keyByResponse[string(a.body)] != a.key {
 		r.AnswersCrossed++
 	}
 }
 
 // verifyTokens checks that the tokens are those of one generation of the caller's prompt,
 // in order from index 0 and without gaps, and complete if the outcome is done.
-func (r *Report) verifyTokens(a result, ran records) {
+func (r *Report) verifyTokens(a result, recs records) {
 	tokens := strings.Fields(a.text)
-	if a.outcome == client.NotRun && ran.prompts[a.prompt] > 0 {
+	if a.outcome == client.NotRun && recs.prompts[a.prompt] > 0 {
 		r.NotRunButRan++
 	}
 	if len(tokens) == 0 {
@@ -164,7 +164,7 @@
 			next++
 		}
 	}
-	rec := ran.byHash[first]
+	rec := recs.byHash[first]
 	if rec.PromptText != a.prompt {
 		r.AnswersCrossed++
 	}
--- a/internal/demo/spend.go
+++ b/internal/demo/spend.go
@@ -11,15 +11,15 @@
 // overspend returns the amount, in millionths of the currency unit, by which the recorded
 // work costs more than the organisations' spend limits allow. The limits of all accounting
 // periods that the run touched are added up.
-func overspend(ran records, text string, start, end time.Time) (int64, error) {
+func overspend(recs records, text string, start, end time.Time) (int64, error) {
 	cfg, err := config.Parse([]config.File{{Name: "demo.yaml", Data: []byte(text)}})
 	if err != nil {
 		return 0, err
 	}
 	v := config.Compile(1, "", cfg)
 	price := v.Model(model)
-	spent := map[string]int64{ample.name: int64(ran.calls) * int64(v.Service("order-desk").CallPrice)}
-	for _, g := range ran.generations {
+	spent := map[string]int64{ample.name: int64(recs.calls) * int64(v.Service("order-desk").CallPrice)}
+	for _, g := range recs.generations {
 		org, _, _ := strings.Cut(g.PromptText, " ")
 		spent[org] += (int64(g.Prompt)*int64(price.PromptPrice) + int64(g.Tokens)*int64(price.OutputPrice)) / 1000
 	}
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -105,7 +105,7 @@
 // callers received.
 type Record struct {
 	Attempt string
-	// PromptText is the prompt, Prompt its length in tokens.
+	// PromptText is the prompt. Prompt is its length in tokens.
 	PromptText string
 	Prompt     int
 	// Tokens is the number of tokens produced so far.
--- a/internal/standin/hosting/engine.go
+++ b/internal/standin/hosting/engine.go
@@ -21,7 +21,7 @@
 	once    sync.Once
 }
 
-func (r *generation) stop() { r.once.Do(func() { close(r.stopped) }) }
+func (g *generation) stop() { g.once.Do(func() { close(g.stopped) }) }
 
 // Event returns the text of a generation's event n, in the format of server-sent events.
 func Event(id string, n int) string { return fmt.Sprintf("id: %d\ndata: %s.%d\n\n", n, id, n) }
@@ -30,7 +30,7 @@
 // is stopped by a move or a crash. A request with Kv-From resumes from a copy, one with
 // Last-Event-Id after that event.
 func (w *Worker) serveStream(rw http.ResponseWriter, r *http.Request, a *Arrival, fault Fault) {
-	first := 0
+	received := 0 // number of events that the caller has already
 	if from := r.Header.Get("Kv-From"); from != "" {
 		_, handle, _ := strings.Cut(from, "/")
 		w.mu.Lock()
@@ -45,14 +45,14 @@
 		}
 	}
 	if last := r.Header.Get("Last-Event-Id"); last != "" {
-		first, _ = strconv.Atoi(last)
+		received, _ = strconv.Atoi(last)
 	}
 	if fault == Mute {
 		<-r.Context().Done()
 		w.withLock(a, func() { a.CallerLeft = true })
 		return
 	}
-	gen := &generation{id: a.ID, events: first, stopped: make(chan struct{})}
+	gen := &generation{id: a.ID, events: received, stopped: make(chan struct{})}
 	w.withLock(a, func() { w.generations[a.ID] = gen })
 	defer w.withLock(a, func() {
 		if w.generations[a.ID] == gen {
@@ -62,7 +62,7 @@
 	rw.Header().Set("Content-Type", "text/event-stream")
 	rw.Header().Set("Response-Seal", "seal-"+a.ID)
 	flush := http.NewResponseController(rw)
-	for n := first + 1; n <= w.EventCount; n++ {
+	for n := received + 1; n <= w.EventCount; n++ {
 		select {
 		case <-time.After(w.EventEvery):
 		case <-gen.stopped:
@@ -73,7 +73,7 @@
 		}
 		if fault == Cuts && n > w.EventCount/2 {
 			_, _ = io.WriteString(rw, Event(a.ID, n)[:6]) // an error means that the caller has disconnected
-			_ = flush.Flush()                             // likewise
+			_ = flush.Flush()                             // an error means that the caller has disconnected
 			panic(http.ErrAbortHandler)
 		}
 		w.withLock(a, func() { gen.events, a.Events = n, a.Events+1 })
@@ -140,11 +140,11 @@
 }
 
 // storeCopy stores a copy of a generation, unless the fault NoCopies is set.
-func (w *Worker) storeCopy(handle string, r *generation) {
+func (w *Worker) storeCopy(handle string, gen *generation) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.fault != NoCopies {
-		w.copies[handle] = r
+		w.copies[handle] = gen
 	}
 }
 
@@ -178,8 +178,8 @@
 	defer w.mu.Unlock()
 	rw.Header().Set("Content-Type", "application/json")
 	runs := [][]any{}
-	for _, r := range w.generations {
-		runs = append(runs, []any{r.id, promptTokens + r.events, r.events, 5})
+	for _, g := range w.generations {
+		runs = append(runs, []any{g.id, promptTokens + g.events, g.events, 5})
 	}
 	_ = json.NewEncoder(rw).Encode(map[string]any{
 		"running": len(w.generations), "waiting": 0, "state": w.reportedState(), "runs": runs,
--- a/internal/standin/hosting/plain.go
+++ b/internal/standin/hosting/plain.go
@@ -112,8 +112,9 @@
 	}
 }
 
-// extraResponseDelay is the time between a response and its repetition. It is chosen so
-// that in some cases the next request has been sent by then, and in others it has not.
+// extraResponseDelay is the time between a response and its repetition: late enough that
+// in some cases the next request is already in transit, and early enough that in others it
+// is not.
 const extraResponseDelay = 20 * time.Millisecond
 
 // respondEarly responds before it reads the request body.
@@ -127,7 +128,7 @@
 	rw.Header().Set("Response-Seal", "seal-"+id)
 	rw.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	_, _ = io.WriteString(rw, body)            // an error means that the caller has disconnected
-	_ = http.NewResponseController(rw).Flush() // likewise
+	_ = http.NewResponseController(rw).Flush() // an error means that the caller has disconnected
 	rest, _ := io.ReadAll(r.Body)              // after an error, the part that was read is recorded
 	a := &Arrival{Worker: w.ID, ID: id, Method: r.Method, Target: r.RequestURI, Header: r.Header.Clone(), Body: string(rest), Ran: true}
 	w.mu.Lock()
