--- a/internal/demo/run.go
+++ b/internal/demo/run.go
@@ -110,10 +110,10 @@
 
 // job is one request of the workload.
 type job struct {
-	n                   int
-	booking, unstreamed bool
-	promptWords         int
-	delay               time.Duration
+	n                   int           // index of the request, from 0
+	booking, unstreamed bool          // neither is set for a streamed generation
+	promptWords         int           // words in a generation's prompt
+	delay               time.Duration // time since the start of the previous request
 }
 
 // workload generates the requests of a run. The same seed gives the same requests.
--- a/internal/demo/unstreamed.go
+++ b/internal/demo/unstreamed.go
@@ -51,7 +51,7 @@
 		panic(err)
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/v1/completions", bytes.NewReader(body))
-	if err != nil { // the addresses are the demo's own
+	if err != nil { // the addresses come from the fleet and are valid
 		panic(err)
 	}
 	req.Header.Set("Authorization", "Bearer "+ample.key)
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -79,14 +79,14 @@
 // generation is one answer that the engine produces, with its prompt.
 type generation struct {
 	id         string
-	prompt     int
-	length     int
-	priority   int
-	arrival    int
-	prefill    int
-	tokens     int
+	prompt     int // tokens in the prompt
+	length     int // tokens in the complete answer
+	priority   int // a lower number is served first
+	arrival    int // sequence number of the generation at this engine
+	prefill    int // tokens still to be computed before decoding continues
+	tokens     int // answer tokens produced so far
 	state      state
-	blocks     []uint64
+	blocks     []uint64 // hashes of the prompt's blocks in the prompt cache
 	promptText string
 	// boot is the id of the engine's boot that produces the generation.
 	boot string
@@ -128,20 +128,20 @@
 	mu          sync.Mutex
 	changed     *sync.Cond
 	boot        string
-	leaving     bool
-	frozenUntil time.Time
+	leaving     bool      // about to be reclaimed
+	frozenUntil time.Time // zero or past if the engine is not frozen
 	faults      StreamFaults
 	lostGens    map[string]*generation // those of the boot before the last crash, for StreamFaults.RerunLost
-	gens        map[string]*generation
-	order       []*generation // waiting and running, by arrival
-	records     []*generation // all generations ever accepted, over all boots
-	reports     []timedReport
+	gens        map[string]*generation // those of the present boot, by id
+	order       []*generation          // waiting and running, by arrival
+	records     []*generation          // all generations ever accepted, over all boots
+	reports     []timedReport          // oldest first
 	cache       *prefixcache.Cache
 	events      eventLog
 	orders      orderBook
 
-	arrivals    int
-	preemptions int64
+	arrivals    int   // number of accepted generations
+	preemptions int64 // number of preemptions, over all boots
 }
 
 // timedReport is a load report with the time at which it was recorded.
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -59,11 +59,11 @@
 	mu             sync.Mutex
 	table          *memtable.Table
 	objects        map[string][]byte
-	members        map[string]announcement
-	history        []snapshot
+	members        map[string]announcement // by name
+	history        []snapshot              // oldest first
 	faults         Faults
 	counts         Counts
-	nextWeightLoad time.Time
+	nextWeightLoad time.Time // earliest time of the next load from the weight store
 	hooks          []hook
 }
 
