--- a/internal/demo/cost_test.go
+++ b/internal/demo/cost_test.go
@@ -100,7 +100,7 @@
 		t.Fatal(err)
 	}
 	for _, i := range f.Instances {
-		testkit.Eventually(t, 20*time.Second, "the new configuration version to be in force at "+i.Name, func() bool {
+		testkit.Eventually(t, 20*time.Second, "the new configuration version is in force at "+i.Name, func() bool {
 			st, err := i.Status(f.ctx)
 			return err == nil && st.ConfigNumber >= number
 		})
