--- a/internal/apply/remote.go
+++ b/internal/apply/remote.go
@@ -12,46 +12,46 @@
 	"mulberrylug.example/mulberrylug/internal/core/config"
 )
 
-// Answer is the body of an instance's HTTP response to an operator who applies a
+// Result is the body of an instance's HTTP response to an operator who applies a
 // change through it. Exactly one field is set.
-type Answer struct {
+type Result struct {
 	Applied   *core.ConfigPointer `json:"applied,omitempty"`
 	Problems  config.Problems     `json:"problems,omitempty"`
 	Conflict  *Conflict           `json:"conflict,omitempty"`
-	Undecided *UndecidedAnswer    `json:"undecided,omitempty"`
+	Undecided *UndecidedResult    `json:"undecided,omitempty"`
 	// Failed is the reason why nothing was applied.
 	Failed string `json:"failed,omitempty"`
 }
 
-// UndecidedAnswer is the JSON form of an Undecided.
-type UndecidedAnswer struct {
+// UndecidedResult is the JSON form of an Undecided.
+type UndecidedResult struct {
 	ApplyID string `json:"apply_id"`
 	Base    int64  `json:"base"`
 	Cause   string `json:"cause"`
 }
 
-// AnswerOf returns the HTTP status and the body for a result of Apply or Cordon.
-func AnswerOf(p core.ConfigPointer, err error) (int, Answer) {
+// ResultOf returns the HTTP status and the body for a result of Apply or Cordon.
+func ResultOf(p core.ConfigPointer, err error) (int, Result) {
 	var conflict *Conflict
 	var undecided *Undecided
 	var problems config.Problems
 	switch {
 	case err == nil:
-		return http.StatusOK, Answer{Applied: &p}
+		return http.StatusOK, Result{Applied: &p}
 	case errors.As(err, &problems):
-		return http.StatusUnprocessableEntity, Answer{Problems: problems}
+		return http.StatusUnprocessableEntity, Result{Problems: problems}
 	case errors.As(err, &conflict):
-		return http.StatusConflict, Answer{Conflict: conflict}
+		return http.StatusConflict, Result{Conflict: conflict}
 	case errors.As(err, &undecided):
-		u := &UndecidedAnswer{ApplyID: undecided.ApplyID, Base: undecided.Base, Cause: undecided.Err.Error()}
-		return http.StatusGatewayTimeout, Answer{Undecided: u}
+		u := &UndecidedResult{ApplyID: undecided.ApplyID, Base: undecided.Base, Cause: undecided.Err.Error()}
+		return http.StatusGatewayTimeout, Result{Undecided: u}
 	default:
-		return http.StatusServiceUnavailable, Answer{Failed: err.Error()}
+		return http.StatusServiceUnavailable, Result{Failed: err.Error()}
 	}
 }
 
 // result returns the result of Apply or Cordon that the answer was made from.
-func (a Answer) result() (core.ConfigPointer, error) {
+func (a Result) result() (core.ConfigPointer, error) {
 	switch {
 	case a.Applied != nil:
 		return *a.Applied, nil
@@ -67,10 +67,10 @@
 	}
 }
 
-// Through sends an apply to an instance's operator address. It returns the same
+// ApplyThrough sends an apply to an instance's operator address. It returns the same
 // results as Apply. Without a response the outcome is unknown, as the instance
 // may have applied the configuration.
-func Through(ctx context.Context, address string, req Request) (core.ConfigPointer, error) {
+func ApplyThrough(ctx context.Context, address string, req Request) (core.ConfigPointer, error) {
 	return post(ctx, address, "/v1/apply", req, Undecided{ApplyID: req.ApplyID, Base: req.Base})
 }
 
@@ -100,7 +100,7 @@
 		return noResponse(err)
 	}
 	defer resp.Body.Close()
-	var a Answer
+	var a Result
 	if err := json.NewDecoder(resp.Body).Decode(&a); err != nil {
 		return noResponse(fmt.Errorf("status %d: decode response: %w", resp.StatusCode, err))
 	}
--- a/internal/cli/config.go
+++ b/internal/cli/config.go
@@ -142,7 +142,7 @@
 // apply puts a configuration in force; see apply.Apply.
 func (t *target) apply(ctx context.Context, req apply.Request) (core.ConfigPointer, error) {
 	if t.operatorAddress != "" {
-		return apply.Through(ctx, t.operatorAddress, req)
+		return apply.ApplyThrough(ctx, t.operatorAddress, req)
 	}
 	return apply.Apply(ctx, platform.NewClient(t.platformURL), req)
 }
--- a/internal/conn/dial.go
+++ b/internal/conn/dial.go
@@ -60,25 +60,25 @@
 	return nil
 }
 
-// Presence is the state of a process as shown by an attempt to connect to its address.
-type Presence int
+// ProbeResult is the state of a process as shown by an attempt to connect to its address.
+type ProbeResult int
 
 // Results of Probe.
 const (
-	// Listens: the connection was accepted.
-	Listens Presence = iota + 1
-	// Refuses: the host refused the connection, as no process listens at the address; the
+	// Listening: the connection was accepted.
+	Listening ProbeResult = iota + 1
+	// Refused: the host refused the connection, as no process listens at the address; the
 	// process has ended.
-	Refuses
-	// Silent: there was no response within the timeout; the host or the network path to it is
+	Refused
+	// TimedOut: there was no response within the timeout; the host or the network path to it is
 	// down.
-	Silent
-	// Unknown: the attempt failed for another reason, which says nothing about the process.
-	Unknown
+	TimedOut
+	// ProbeFailed: the attempt failed for another reason, which says nothing about the process.
+	ProbeFailed
 )
 
 // Probe attempts to connect to an address and reports the result.
-func Probe(address string, timeout time.Duration) Presence {
+func Probe(address string, timeout time.Duration) ProbeResult {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	c, err := Dialer().DialContext(ctx, "tcp", address)
@@ -86,13 +86,13 @@
 	switch {
 	case err == nil:
 		c.Close()
-		return Listens
+		return Listening
 	case errors.Is(err, syscall.ECONNREFUSED):
-		return Refuses
+		return Refused
 	case errors.As(err, &netErr) && netErr.Timeout():
-		return Silent
+		return TimedOut
 	}
-	return Unknown
+	return ProbeFailed
 }
 
 func dial(ctx context.Context, address string) (net.Conn, error) {
--- a/internal/conn/exchange.go
+++ b/internal/conn/exchange.go
@@ -92,10 +92,10 @@
 	return err
 }
 
-// ReadAnswer reads the head of the next final response to a request with the given method;
+// ReadResponse reads the head of the next final response to a request with the given method;
 // informational (1xx) responses are skipped. The body must be read to its end before the
 // connection is reused.
-func (c *Conn) ReadAnswer(method string) (*http.Response, error) {
+func (c *Conn) ReadResponse(method string) (*http.Response, error) {
 	for {
 		resp, err := http.ReadResponse(c.r, &http.Request{Method: method})
 		if err != nil {
@@ -107,9 +107,9 @@
 	}
 }
 
-// Clean reports whether the connection can be reused for another exchange after a response whose
+// Reusable reports whether the connection can be reused for another exchange after a response whose
 // body was read to its end.
-func (c *Conn) Clean(resp *http.Response) bool {
+func (c *Conn) Reusable(resp *http.Response) bool {
 	return !resp.Close && resp.ContentLength >= -1 && (resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0) && c.r.Buffered() == 0
 }
 
--- a/internal/conn/pool.go
+++ b/internal/conn/pool.go
@@ -53,7 +53,7 @@
 		if c == nil {
 			break
 		}
-		if time.Now().Before(c.idleUntil) && c.reusable() {
+		if time.Now().Before(c.idleUntil) && c.idleAndOpen() {
 			return c, nil
 		}
 		c.Close()
@@ -118,10 +118,10 @@
 	}
 }
 
-// reusable reports whether an idle connection is open and has received nothing. Bytes that
+// idleAndOpen reports whether an idle connection is open and has received nothing. Bytes that
 // arrived on an idle connection belong to no request, and an end of file means that the server
 // has closed it.
-func (c *Conn) reusable() bool {
+func (c *Conn) idleAndOpen() bool {
 	if c.r.Buffered() > 0 {
 		return false
 	}
--- a/internal/core/action.go
+++ b/internal/core/action.go
@@ -47,10 +47,10 @@
 	// Link is the number of the connection within the attempt. Events that arrive over
 	// the connection carry the same number.
 	Link int
-	// Before is the expiry of the grant, after which the call must not be sent. It is checked
+	// SendBefore is the expiry of the grant, after which the call must not be sent. It is checked
 	// right before the first byte. Timeout bounds the call.
-	Before  time.Time
-	Timeout time.Duration
+	SendBefore time.Time
+	Timeout    time.Duration
 }
 
 // Cancel tells an engine to stop a generation.
@@ -134,8 +134,8 @@
 // ObjectResult.
 type Fetch struct{ Hash string }
 
-// Poll requests an upstream's load report. The result arrives as an UpstreamReport or an
-// UpstreamSilent.
+// Poll requests an upstream's load report. The result arrives as an UpstreamReport or a
+// PollFailed.
 type Poll struct {
 	Upstream string
 	Address  string
@@ -155,8 +155,8 @@
 	Pairs []any
 }
 
-// Explained is the result of AskExplain with the same ID.
-type Explained struct {
+// ExplainResult is the result of RequestExplain with the same ID.
+type ExplainResult struct {
 	ID    uint64
 	Lines []string
 }
@@ -178,5 +178,5 @@
 func (Poll) action()          {}
 func (Count) action()         {}
 func (Log) action()           {}
-func (Explained) action()     {}
+func (ExplainResult) action() {}
 func (Exit) action()          {}
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -85,8 +85,8 @@
 }
 
 // grantRequest returns the n-th grant request to the home of a pool.
-func grantRequest(pool string, n int) msg.GrantAsk {
-	return msg.GrantAsk{Pool: pool, Ask: placement.Ask{
+func grantRequest(pool string, n int) msg.GrantRequest {
+	return msg.GrantRequest{Pool: pool, Request: placement.Request{
 		Attempt: attemptName(n), Org: orgName(n % 1000), Fingerprint: uint64(n) + 1, Prompt: 250, MaxOutput: 500,
 		Prefix: make([]uint64, 8), MaxWait: 20 * time.Second,
 	}}
@@ -99,7 +99,7 @@
 	v := config.Compile(1, "", sizeTarget.config())
 	p := v.Pool(v.PoolOf(upstreamName(0)))
 	for _, u := range p.Upstreams {
-		h.handle(core.UpstreamReport{Asked: h.now, Report: report(u, 0)})
+		h.handle(core.UpstreamReport{PolledAt: h.now, Report: report(u, 0)})
 	}
 	n := 0
 	for range len(p.Upstreams) * gensPerEngine {
@@ -118,7 +118,7 @@
 	for b.Loop() {
 		req := grantRequest(pool, n)
 		h.inst.Handle(h.now, core.PeerMessage{From: "entry-1", Msg: req})
-		h.inst.Handle(h.now, core.PeerMessage{From: "entry-1", Msg: msg.GrantEnd{Pool: pool, Attempt: req.Ask.Attempt, Tokens: 250}})
+		h.inst.Handle(h.now, core.PeerMessage{From: "entry-1", Msg: msg.GrantEnd{Pool: pool, Attempt: req.Request.Attempt, Tokens: 250}})
 		n++
 	}
 }
@@ -130,7 +130,7 @@
 	r := report(upstreams[0], gensPerEngine)
 	b.ReportAllocs()
 	for b.Loop() {
-		h.inst.Handle(h.now, core.UpstreamReport{Asked: h.now, Report: r})
+		h.inst.Handle(h.now, core.UpstreamReport{PolledAt: h.now, Report: r})
 	}
 }
 
@@ -140,7 +140,7 @@
 	h, pool, upstreams := newPoolHomeHarness(b)
 	m := msg.Announce{Pool: pool}
 	for n := range runningPerInstance {
-		m.Running = append(m.Running, msg.RunningAttempt{Ask: grantRequest(pool, n).Ask, Upstream: upstreams[0], Tokens: n})
+		m.Running = append(m.Running, msg.RunningAttempt{Request: grantRequest(pool, n).Request, Upstream: upstreams[0], Tokens: n})
 	}
 	b.ReportAllocs()
 	for b.Loop() {
@@ -158,9 +158,9 @@
 			b.ReportAllocs()
 			n := 0
 			for b.Loop() {
-				req := budget.Ask{Request: attemptName(n), Org: orgName(n % orgs), Limits: limits, Amount: 1000, Tokens: 500}
-				h.handle(core.PeerMessage{From: "entry-1", Msg: msg.ReserveAsk{Ask: req}})
-				h.handle(core.PeerMessage{From: "entry-1", Msg: msg.Settle{Org: req.Org, Request: req.Request, Used: 500, Tokens: 250}})
+				req := budget.Request{RequestID: attemptName(n), Org: orgName(n % orgs), Limits: limits, Amount: 1000, Tokens: 500}
+				h.handle(core.PeerMessage{From: "entry-1", Msg: msg.ReserveRequest{Request: req}})
+				h.handle(core.PeerMessage{From: "entry-1", Msg: msg.Settle{Org: req.Org, Request: req.RequestID, Used: 500, Tokens: 250}})
 				n++
 			}
 		})
--- a/internal/core/book.go
+++ b/internal/core/book.go
@@ -10,13 +10,13 @@
 
 // Reasons of booking outcomes.
 const (
-	ReasonStore       = "store_unavailable"
-	ReasonKeyReused   = "idempotency_key_reused"
-	ReasonNoRecord    = "earlier_attempt_unknown"
-	ReasonInProgress  = "earlier_attempt_in_progress"
-	ReasonReleased    = "earlier_attempt_not_run"
-	ReasonUpstreamCut = "upstream_failed"
-	ReasonGrantLapsed = "grant_lapsed"
+	ReasonStore          = "store_unavailable"
+	ReasonKeyReused      = "idempotency_key_reused"
+	ReasonNoRecord       = "earlier_attempt_unknown"
+	ReasonInProgress     = "earlier_attempt_in_progress"
+	ReasonReleased       = "earlier_attempt_not_run"
+	ReasonUpstreamFailed = "upstream_failed"
+	ReasonGrantExpired   = "grant_lapsed"
 )
 
 const (
@@ -38,7 +38,7 @@
 	r.book.claims++
 	r.book.record = booking.NewClaim(now, r.attempt, r.BodyHash, r.service.Timeout.D()+recordSlack)
 	i.recordDecision(now, r.ID, "claim", "row", r.bookingRow(), "base", r.book.baseVersion)
-	i.emit(Commit{Op: opClaim + r.ID, Tx: booking.Put(r.bookingRow(), r.book.baseVersion, r.book.record)})
+	i.emit(Commit{Op: opClaim + r.ID, Tx: booking.PutTx(r.bookingRow(), r.book.baseVersion, r.book.record)})
 }
 
 func (r *request) bookingRow() string {
@@ -69,7 +69,7 @@
 	case booking.Dispatch:
 		r.book.version = row.Version
 		i.dispatchClaimed(now, r)
-	case booking.ClaimAgain:
+	case booking.RetryClaim:
 		i.reclaim(now, r, row)
 	case booking.Fence:
 		i.fence(now, r)
@@ -130,7 +130,7 @@
 func (i *Instance) fence(now time.Time, r *request) {
 	r.phase = phaseFencing
 	i.count("bookings_total", "claim_answer_lost")
-	tx, _ := booking.Undo(now, table.Row{Key: r.bookingRow(), Version: r.book.baseVersion}, r.book.baseVersion, r.attempt, r.BodyHash)
+	tx, _ := booking.UndoClaim(now, table.Row{Key: r.bookingRow(), Version: r.book.baseVersion}, r.book.baseVersion, r.attempt, r.BodyHash)
 	i.emit(Commit{Op: opFence + r.ID, Tx: tx})
 }
 
@@ -139,7 +139,7 @@
 func (i *Instance) dispatchClaimed(now time.Time, r *request) {
 	if now.After(r.run.sendBefore) {
 		i.releaseKey(now, r)
-		i.refuse(now, r, notRunFinish(ReasonGrantLapsed, retryAfterReleased))
+		i.refuse(now, r, notRunFinish(ReasonGrantExpired, retryAfterReleased))
 		return
 	}
 	i.dispatch(now, r)
@@ -149,12 +149,12 @@
 func (i *Instance) releaseKey(now time.Time, r *request) {
 	rec := r.book.record
 	rec.State = booking.Released
-	i.writeBack(now, pendingWrite{tx: booking.Put(r.bookingRow(), r.book.version, rec)})
+	i.writeBack(now, pendingWrite{tx: booking.PutTx(r.bookingRow(), r.book.version, rec)})
 }
 
 // undoClaim ensures in the background that a claim with an unknown result does not occupy the key.
 func (i *Instance) undoClaim(now time.Time, r *request, row table.Row) {
-	tx, ok := booking.Undo(now, row, r.book.baseVersion, r.attempt, r.BodyHash)
+	tx, ok := booking.UndoClaim(now, row, r.book.baseVersion, r.attempt, r.BodyHash)
 	if ok {
 		i.writeBack(now, pendingWrite{tx: tx, undo: true, baseVersion: r.book.baseVersion, attempt: r.attempt, bodyHash: r.BodyHash})
 	}
@@ -167,7 +167,7 @@
 	r.book.record.State, r.book.record.Status, r.book.record.Body = booking.Done, f.Status, f.Body
 	i.endGrant(r, false)
 	i.recordDecision(now, r.ID, "record")
-	i.emit(Commit{Op: opRecord + r.ID, Tx: booking.Put(r.bookingRow(), r.book.version, r.book.record)})
+	i.emit(Commit{Op: opRecord + r.ID, Tx: booking.PutTx(r.bookingRow(), r.book.version, r.book.record)})
 }
 
 // onRecorded finishes the request. If the result of writing the record is unknown, the write is
@@ -179,7 +179,7 @@
 	}
 	if res.Status != table.Committed {
 		i.count("bookings_total", "record_answer_lost")
-		i.writeBack(now, pendingWrite{tx: booking.Put(r.bookingRow(), r.book.version, r.book.record)})
+		i.writeBack(now, pendingWrite{tx: booking.PutTx(r.bookingRow(), r.book.version, r.book.record)})
 	}
 	i.finish(now, r, r.book.pendingFinish)
 }
@@ -188,7 +188,7 @@
 // the key is released and the request has not run. Otherwise the outcome is Unknown and the call
 // is never retried.
 func (i *Instance) bookingFailed(now time.Time, r *request, e UpstreamFailed) {
-	f := Finish{Status: status.BadGateway, Reason: ReasonUpstreamCut, Step: e.Step, Peer: r.run.upstream}
+	f := Finish{Status: status.BadGateway, Reason: ReasonUpstreamFailed, Step: e.Step, Peer: r.run.upstream}
 	if !e.Sent {
 		i.releaseKey(now, r)
 		f.Status, f.RetryAfter = status.ServiceUnavailable, retryAfterNoHome
@@ -198,6 +198,6 @@
 	f.Outcome = Unknown
 	rec := r.book.record
 	rec.State = booking.Unknown
-	i.writeBack(now, pendingWrite{tx: booking.Put(r.bookingRow(), r.book.version, rec)})
+	i.writeBack(now, pendingWrite{tx: booking.PutTx(r.bookingRow(), r.book.version, rec)})
 	i.finish(now, r, f)
 }
--- a/internal/core/booking/booking.go
+++ b/internal/core/booking/booking.go
@@ -14,9 +14,9 @@
 // Prefix is the table key prefix of all bookings.
 const Prefix = "booking/"
 
-// Keep is how long the outcome of a key is stored after its claim. A repeat after that runs as a
-// new call.
-const Keep = 24 * time.Hour
+// OutcomeTTL is how long the outcome of a key is stored after its claim. A repeat after that runs
+// as a new call.
+const OutcomeTTL = 24 * time.Hour
 
 // Row states.
 const (
@@ -56,14 +56,14 @@
 func NewClaim(now time.Time, attempt, bodyHash string, within time.Duration) Record {
 	return Record{
 		Attempt: attempt, BodyHash: bodyHash, State: Claimed,
-		Until: now.Add(within).UnixMilli(), Expires: now.Add(Keep).UnixMilli(),
+		Until: now.Add(within).UnixMilli(), Expires: now.Add(OutcomeTTL).UnixMilli(),
 	}
 }
 
-// Put returns the transaction that replaces a row of the given version, 0 if absent, by a
+// PutTx returns the transaction that replaces a row of the given version, 0 if absent, by a
 // record. Every change of a booking is such a compare-and-set, so that a late write never
 // overwrites a state that its writer has not read.
-func Put(rowKey string, version int64, rec Record) table.Tx {
+func PutTx(rowKey string, version int64, rec Record) table.Tx {
 	return table.Tx{
 		Conds:  []table.Cond{{Key: rowKey, Version: version}},
 		Writes: []table.Write{{Key: rowKey, Value: encode(rec)}},
@@ -85,9 +85,9 @@
 	Await
 	// Refuse: the key was used with a different body.
 	Refuse
-	// ClaimAgain: no attempt holds the key; claim it again, against the current version of the
+	// RetryClaim: no attempt holds the key; claim it again, against the current version of the
 	// row.
-	ClaimAgain
+	RetryClaim
 	// Fence: the response was lost; ensure that the claim cannot commit later.
 	Fence
 	// NotRun: the claim can no longer commit, so that nothing ran.
@@ -108,7 +108,7 @@
 	}
 }
 
-// AfterFence returns the step after the result of Undo, which was sent because the claim's
+// AfterFence returns the step after the result of UndoClaim, which was sent because the claim's
 // response was lost.
 func AfterFence(now time.Time, res table.Result, rowKey, attempt, bodyHash string) Step {
 	switch res.Status {
@@ -124,14 +124,14 @@
 // AfterRow returns the step of an attempt that found the given row.
 func AfterRow(now time.Time, row table.Row, attempt, bodyHash string) Step {
 	if row.Version == 0 {
-		return ClaimAgain
+		return RetryClaim
 	}
 	rec, err := Decode(row.Value)
 	switch {
 	case err != nil:
 		return AnswerUnknown
 	case rec.State == Released:
-		return ClaimAgain
+		return RetryClaim
 	case rec.BodyHash != bodyHash:
 		return Refuse
 	case rec.State == Done:
@@ -147,11 +147,11 @@
 	}
 }
 
-// Undo returns the transaction that removes the claim of an attempt that never dispatched, and
+// UndoClaim returns the transaction that removes the claim of an attempt that never dispatched, and
 // that prevents the claim from committing later. row is the row as last read, base the version
 // that the claim required. ok is false if nothing is left to undo: the row has changed, so that
 // the claim can no longer commit.
-func Undo(now time.Time, row table.Row, base int64, attempt, bodyHash string) (tx table.Tx, ok bool) {
+func UndoClaim(now time.Time, row table.Row, base int64, attempt, bodyHash string) (tx table.Tx, ok bool) {
 	rec, err := Decode(row.Value)
 	landed := err == nil && rec.State == Claimed && rec.Attempt == attempt
 	if row.Version != base && !landed {
@@ -159,7 +159,7 @@
 	}
 	rec = NewClaim(now, attempt, bodyHash, 0)
 	rec.State = Released
-	return Put(row.Key, row.Version, rec), true
+	return PutTx(row.Key, row.Version, rec), true
 }
 
 // Expired returns the transaction that deletes the expired rows among rows. ok is false if there
--- a/internal/core/bookwait.go
+++ b/internal/core/bookwait.go
@@ -64,7 +64,7 @@
 		return
 	}
 	step := booking.AfterRow(now, row, r.attempt, r.BodyHash)
-	if step == booking.ClaimAgain {
+	if step == booking.RetryClaim {
 		i.refuse(now, r, notRunFinish(ReasonReleased, retryAfterReleased))
 		return
 	}
@@ -104,7 +104,7 @@
 	switch {
 	case !e.OK:
 		i.refuse(now, r, notRunFinish(ReasonStore, retryAfterStore))
-	case step == booking.ClaimAgain:
+	case step == booking.RetryClaim:
 		i.refuse(now, r, r.book.pendingFinish)
 	default:
 		i.finishFromRow(now, r, step, row)
--- a/internal/core/budget/account.go
+++ b/internal/core/budget/account.go
@@ -27,7 +27,7 @@
 	row           Row
 	readAt        time.Time
 	pending       *transfer
-	waiting       []Ask
+	waiting       []Request
 	reserved      reservations
 	requestBucket bucket
 	tokenBucket   bucket
@@ -44,10 +44,10 @@
 
 // configure applies the limits of the newest configuration seen. Requests from entries that
 // still use an older configuration do not restore its limits.
-func (a *account) configure(now time.Time, ask Ask) {
-	if ask.Version >= a.configVersion {
-		a.setLimits(ask.Limits)
-		a.configVersion = ask.Version
+func (a *account) configure(now time.Time, req Request) {
+	if req.Version >= a.configVersion {
+		a.setLimits(req.Limits)
+		a.configVersion = req.Version
 	}
 	a.startPeriod(PeriodOf(now, a.limits))
 }
@@ -96,7 +96,7 @@
 }
 
 func (a *account) isWaiting(request string) bool {
-	return slices.ContainsFunc(a.waiting, func(w Ask) bool { return w.Request == request })
+	return slices.ContainsFunc(a.waiting, func(w Request) bool { return w.RequestID == request })
 }
 
 // reservedAmount returns the sum of the reservations that may still be refunded.
--- a/internal/core/budget/budget.go
+++ b/internal/core/budget/budget.go
@@ -34,10 +34,10 @@
 	accountTTL = 10 * time.Minute
 )
 
-// Ask is a request for a reservation.
-type Ask struct {
-	Request string
-	Org     string
+// Request is a request for a reservation.
+type Request struct {
+	RequestID string
+	Org       string
 	// Entry is the requesting instance, Boot identifies its current run.
 	Entry string
 	Boot  string
@@ -52,20 +52,20 @@
 	Hold time.Duration
 }
 
-// Out is an action that the home requests: exactly one field is set.
-type Out struct {
-	Answer *Answer
-	Debit  *Debit
-	Reread *Reread
+// Action is an action that the home requests: exactly one field is set.
+type Action struct {
+	Response *Response
+	Debit    *Debit
+	Reread   *Reread
 }
 
-// Answer grants or refuses a reservation.
-type Answer struct {
-	Org     string
-	Entry   string
-	Request string
-	Granted bool
-	// Waiting is set if the decision needs a debit; it follows in another Answer.
+// Response grants or refuses a reservation.
+type Response struct {
+	Org       string
+	Entry     string
+	RequestID string
+	Granted   bool
+	// Waiting is set if the decision needs a debit; it follows in another Response.
 	Waiting    bool
 	Reason     string
 	RetryAfter time.Duration
@@ -94,8 +94,9 @@
 // Accounts returns the number of accounts in memory.
 func (h *Home) Accounts() int { return len(h.accounts) }
 
-// Moving reports whether a transfer is in flight, i.e. a chunk is being debited or returned.
-func (h *Home) Moving() bool {
+// TransferInFlight reports whether a transfer is in flight, i.e. a chunk is being debited or
+// returned.
+func (h *Home) TransferInFlight() bool {
 	for _, a := range h.accounts {
 		if a.pending != nil && !a.pending.unresolved {
 			return true
@@ -104,48 +105,48 @@
 	return false
 }
 
-// Ask processes a request for a reservation. The decision comes at once or after a debit. Ask is
+// Reserve processes a request for a reservation. The decision comes at once or after a debit. It is
 // idempotent by request.
-func (h *Home) Ask(now time.Time, ask Ask) []Out {
-	a := h.accounts[ask.Org]
+func (h *Home) Reserve(now time.Time, req Request) []Action {
+	a := h.accounts[req.Org]
 	if a == nil {
-		a = &account{org: ask.Org, limits: ask.Limits}
-		h.accounts[ask.Org] = a
+		a = &account{org: req.Org, limits: req.Limits}
+		h.accounts[req.Org] = a
 	}
 	a.lastUsed = now
-	h.boots[ask.Entry] = ask.Boot
-	a.configure(now, ask)
-	outs := append(h.admit(now, a, ask), h.serveWaiting(now, a)...)
-	if a.isWaiting(ask.Request) {
-		outs = append(outs, Out{Answer: &Answer{Org: ask.Org, Entry: ask.Entry, Request: ask.Request, Waiting: true}})
+	h.boots[req.Entry] = req.Boot
+	a.configure(now, req)
+	outs := append(h.admit(now, a, req), h.serveWaiting(now, a)...)
+	if a.isWaiting(req.RequestID) {
+		outs = append(outs, Action{Response: &Response{Org: req.Org, Entry: req.Entry, RequestID: req.RequestID, Waiting: true}})
 	}
 	return outs
 }
 
-func (h *Home) admit(now time.Time, a *account, ask Ask) []Out {
-	if a.reserved.find(ask.Request) >= 0 {
-		return []Out{granted(ask)}
+func (h *Home) admit(now time.Time, a *account, req Request) []Action {
+	if a.reserved.find(req.RequestID) >= 0 {
+		return []Action{granted(req)}
 	}
-	if a.isWaiting(ask.Request) {
+	if a.isWaiting(req.RequestID) {
 		return nil
 	}
 	if len(a.reserved)+len(a.waiting) >= a.limits.Concurrent {
-		return []Out{refused(ask, ReasonConcurrent, retryConcurrent)}
+		return []Action{refused(req, ReasonConcurrent, retryConcurrent)}
 	}
 	if wait := a.tokenBucket.check(now, a.limits.TokensPerSecond); wait > 0 {
-		return []Out{refused(ask, ReasonTokens, wait)}
+		return []Action{refused(req, ReasonTokens, wait)}
 	}
 	if wait := a.requestBucket.take(now, 1, a.limits.RequestsPerSecond); wait > 0 {
-		return []Out{refused(ask, ReasonRate, wait)}
+		return []Action{refused(req, ReasonRate, wait)}
 	}
-	a.waiting = append(a.waiting, ask)
+	a.waiting = append(a.waiting, req)
 	return nil
 }
 
 // serveWaiting grants waiting requests from the available amount. If that is too low, it debits
 // another chunk.
-func (h *Home) serveWaiting(now time.Time, a *account) []Out {
-	var outs []Out
+func (h *Home) serveWaiting(now time.Time, a *account) []Action {
+	var outs []Action
 	for len(a.waiting) > 0 && a.waiting[0].Amount <= a.available {
 		outs = append(outs, a.grantHead(now))
 	}
@@ -165,26 +166,26 @@
 	}
 }
 
-func (a *account) grantHead(now time.Time) Out {
-	ask := a.waiting[0]
+func (a *account) grantHead(now time.Time) Action {
+	req := a.waiting[0]
 	a.popWaiting()
-	a.available -= ask.Amount
+	a.available -= req.Amount
 	a.reserved = append(a.reserved, reservation{
-		request: ask.Request, amount: ask.Amount, epoch: a.epoch,
-		entry: ask.Entry, boot: ask.Boot, expires: now.Add(ask.Hold),
+		request: req.RequestID, amount: req.Amount, epoch: a.epoch,
+		entry: req.Entry, boot: req.Boot, expires: now.Add(req.Hold),
 	})
-	return granted(ask)
+	return granted(req)
 }
 
 // Settle ends a reservation, charges the amount used and the output tokens, and returns the rest
 // to the chunk. It is idempotent by request.
-func (h *Home) Settle(now time.Time, org, request string, used config.Money, tokens int) []Out {
+func (h *Home) Settle(now time.Time, org, request string, used config.Money, tokens int) []Action {
 	a := h.accounts[org]
 	if a == nil {
 		return nil
 	}
 	a.lastUsed = now
-	a.waiting = slices.DeleteFunc(a.waiting, func(w Ask) bool { return w.Request == request })
+	a.waiting = slices.DeleteFunc(a.waiting, func(w Request) bool { return w.RequestID == request })
 	r, ok := a.reserved.take(request)
 	if !ok {
 		return nil
@@ -198,8 +199,8 @@
 // Tick ends the reservations of dead entries at their maximum, returns amounts that this home no
 // longer needs and drops idle accounts. alive reports whether an entry is still listed, isHome
 // whether this instance is the home of an organisation.
-func (h *Home) Tick(now time.Time, alive, isHome func(name string) bool) []Out {
-	var outs []Out
+func (h *Home) Tick(now time.Time, alive, isHome func(name string) bool) []Action {
+	var outs []Action
 	for entry := range h.boots {
 		if !alive(entry) {
 			delete(h.boots, entry)
@@ -233,9 +234,9 @@
 	})
 }
 
-func (h *Home) cleanUp(now time.Time, a *account, isHome func(org string) bool) []Out {
+func (h *Home) cleanUp(now time.Time, a *account, isHome func(org string) bool) []Action {
 	if a.pending != nil && a.pending.unresolved && !h.storeDown {
-		return []Out{a.retryPending()}
+		return []Action{a.retryPending()}
 	}
 	if !a.idle() || isHome(a.org) && now.Sub(a.lastUsed) < accountTTL {
 		return nil
@@ -250,24 +251,24 @@
 	return nil
 }
 
-func (h *Home) refuseHead(a *account, reason string, after time.Duration) []Out {
-	ask := a.waiting[0]
+func (h *Home) refuseHead(a *account, reason string, after time.Duration) []Action {
+	req := a.waiting[0]
 	a.popWaiting()
-	return []Out{refused(ask, reason, after)}
+	return []Action{refused(req, reason, after)}
 }
 
-func (h *Home) refuseAll(a *account, reason string, after time.Duration) []Out {
-	var outs []Out
+func (h *Home) refuseAll(a *account, reason string, after time.Duration) []Action {
+	var outs []Action
 	for len(a.waiting) > 0 {
 		outs = append(outs, h.refuseHead(a, reason, after)...)
 	}
 	return outs
 }
 
-func granted(ask Ask) Out {
-	return Out{Answer: &Answer{Org: ask.Org, Entry: ask.Entry, Request: ask.Request, Granted: true}}
+func granted(req Request) Action {
+	return Action{Response: &Response{Org: req.Org, Entry: req.Entry, RequestID: req.RequestID, Granted: true}}
 }
 
-func refused(ask Ask, reason string, after time.Duration) Out {
-	return Out{Answer: &Answer{Org: ask.Org, Entry: ask.Entry, Request: ask.Request, Reason: reason, RetryAfter: after}}
+func refused(req Request, reason string, after time.Duration) Action {
+	return Action{Response: &Response{Org: req.Org, Entry: req.Entry, RequestID: req.RequestID, Reason: reason, RetryAfter: after}}
 }
--- a/internal/core/budget/budget_test.go
+++ b/internal/core/budget/budget_test.go
@@ -247,7 +247,7 @@
 	h := budget.NewHome("h")
 	before := heap()
 	for n := range orgs {
-		h.Ask(now, budget.Ask{Request: "r", Org: fmt.Sprint("org-", n), Entry: "e", Boot: "b", Limits: limits, Amount: spend + 1})
+		h.Reserve(now, budget.Request{RequestID: "r", Org: fmt.Sprint("org-", n), Entry: "e", Boot: "b", Limits: limits, Amount: spend + 1})
 	}
 	t.Logf("bytes=%d for each account", (int64(heap())-int64(before))/orgs)
 	yes := func(string) bool { return true }
--- a/internal/core/budget/ledger_test.go
+++ b/internal/core/budget/ledger_test.go
@@ -32,14 +32,14 @@
 	amounts map[string]config.Money
 	// spent is the cost of the granted work by period.
 	spent   map[int64]config.Money
-	answers map[string]budget.Answer
+	answers map[string]budget.Response
 	// commits counts the transactions sent, including those that were not committed.
 	commits int
 }
 
 type queuedOut struct {
 	home *budget.Home
-	out  budget.Out
+	out  budget.Action
 }
 
 type grant struct {
@@ -54,7 +54,7 @@
 	l := &ledger{
 		now: time.Date(2026, 3, 1, 8, 0, 0, 0, time.UTC), table: memtable.New(),
 		limits:  config.Limits{Spend: spend, Period: "hour", RequestsPerSecond: 1e6, TokensPerSecond: 1e6, Concurrent: 1000},
-		amounts: map[string]config.Money{}, spent: map[int64]config.Money{}, answers: map[string]budget.Answer{},
+		amounts: map[string]config.Money{}, spent: map[int64]config.Money{}, answers: map[string]budget.Response{},
 	}
 	for n := range homes {
 		l.homes = append(l.homes, nil)
@@ -74,23 +74,23 @@
 	l.requestCount++
 	id := fmt.Sprint("r", l.requestCount)
 	l.amounts[id] = amount
-	l.handle(l.homes[n], l.homes[n].Ask(l.now, budget.Ask{
-		Request: id, Org: "depot", Entry: "entry", Boot: boot, Version: l.configVersion, Limits: l.limits,
+	l.handle(l.homes[n], l.homes[n].Reserve(l.now, budget.Request{
+		RequestID: id, Org: "depot", Entry: "entry", Boot: boot, Version: l.configVersion, Limits: l.limits,
 		Amount: amount, Hold: 10 * time.Minute,
 	}))
 	return id
 }
 
 // handle records a home's answers and queues its other actions.
-func (l *ledger) handle(h *budget.Home, outs []budget.Out) {
+func (l *ledger) handle(h *budget.Home, outs []budget.Action) {
 	for _, o := range outs {
-		if o.Answer == nil {
+		if o.Response == nil {
 			l.queue = append(l.queue, queuedOut{home: h, out: o})
 			continue
 		}
-		l.answers[o.Answer.Request] = *o.Answer
-		if o.Answer.Granted {
-			g := grant{home: h, request: o.Answer.Request, amount: l.amounts[o.Answer.Request], period: budget.PeriodOf(l.now, l.limits)}
+		l.answers[o.Response.RequestID] = *o.Response
+		if o.Response.Granted {
+			g := grant{home: h, request: o.Response.RequestID, amount: l.amounts[o.Response.RequestID], period: budget.PeriodOf(l.now, l.limits)}
 			l.grants = append(l.grants, g)
 			l.spent[g.period] += g.amount
 		}
--- a/internal/core/budget/transfers.go
+++ b/internal/core/budget/transfers.go
@@ -35,7 +35,7 @@
 }
 
 // startTransfer starts a transfer of amount. An account has at most one transfer in flight.
-func (h *Home) startTransfer(a *account, amount config.Money) Out {
+func (h *Home) startTransfer(a *account, amount config.Money) Action {
 	id := h.nextTransferID()
 	a.pending = &transfer{id: id, amount: amount, period: a.period, epoch: a.epoch, tx: a.transferTx(id, amount)}
 	return a.sendPending()
@@ -46,36 +46,36 @@
 	return fmt.Sprintf("%s-%d", h.name, h.transfers)
 }
 
-func (a *account) sendPending() Out {
+func (a *account) sendPending() Action {
 	p := a.pending
 	p.unresolved = false
 	p.tries++
-	return Out{Debit: &Debit{Org: a.org, ID: p.id, Tx: p.tx}}
+	return Action{Debit: &Debit{Org: a.org, ID: p.id, Tx: p.tx}}
 }
 
 // retryPending retries a transfer whose outcome is unknown, with a new count of tries.
-func (a *account) retryPending() Out {
+func (a *account) retryPending() Action {
 	a.pending.tries = 0
 	return a.sendPending()
 }
 
-func (h *Home) startReread(a *account) Out {
+func (h *Home) startReread(a *account) Action {
 	a.pending = &transfer{id: h.nextTransferID(), readOnly: true}
-	return Out{Reread: &Reread{Org: a.org, ID: a.pending.id, Key: rowKey(a.org, a.limits.Period)}}
+	return Action{Reread: &Reread{Org: a.org, ID: a.pending.id, Key: rowKey(a.org, a.limits.Period)}}
 }
 
 // debitChunk debits another chunk for the first waiting request, or refuses the request if the
 // limit is used up. If the cached row is older than maxRowAge, it rereads the row instead of
 // refusing.
-func (h *Home) debitChunk(now time.Time, a *account) []Out {
+func (h *Home) debitChunk(now time.Time, a *account) []Action {
 	need := a.waiting[0].Amount - a.available
 	left := a.limits.Spend - a.debited()
 	if need <= left {
 		chunk := min(max(need, a.limits.Spend/chunksPerLimit), left)
-		return []Out{h.startTransfer(a, chunk)}
+		return []Action{h.startTransfer(a, chunk)}
 	}
 	if now.Sub(a.readAt) >= maxRowAge && a.waiting[0].Amount <= a.limits.Spend {
-		return []Out{h.startReread(a)}
+		return []Action{h.startReread(a)}
 	}
 	after := untilNextPeriod(now, a.limits)
 	if a.reservedAmount()+left >= need {
@@ -87,7 +87,7 @@
 // Debited processes the result of a transfer. Without a response the same transaction is tried
 // again: it requires the row's version and writes the transfer's id into the row, so that it
 // takes effect at most once and the row shows whether it did.
-func (h *Home) Debited(now time.Time, org, id string, res table.Result) []Out {
+func (h *Home) Debited(now time.Time, org, id string, res table.Result) []Action {
 	a := h.accounts[org]
 	if a == nil || a.pending == nil || a.pending.id != id {
 		return nil
@@ -107,7 +107,7 @@
 
 // finishTransfer makes a debited chunk available. A chunk of an older period or limit must not
 // be spent; one of an older limit is returned.
-func (h *Home) finishTransfer(now time.Time, a *account, p *transfer) []Out {
+func (h *Home) finishTransfer(now time.Time, a *account, p *transfer) []Action {
 	switch {
 	case p.amount < 0:
 	case p.epoch == a.epoch:
@@ -120,14 +120,14 @@
 
 // onNoResponse retries a transfer without a response, or marks it as unresolved. Transfers of an
 // older period are dropped.
-func (h *Home) onNoResponse(now time.Time, a *account) []Out {
+func (h *Home) onNoResponse(now time.Time, a *account) []Action {
 	p := a.pending
 	if p.period != a.period && !p.readOnly {
 		a.pending = nil
 		return h.serveWaiting(now, a)
 	}
 	if p.tries < maxTransferTries && !h.storeDown {
-		return []Out{a.sendPending()}
+		return []Action{a.sendPending()}
 	}
 	p.unresolved = true
 	if p.amount < 0 {
@@ -137,7 +137,7 @@
 }
 
 // Reread processes the organisation's row; ok is false if the table did not respond.
-func (h *Home) Reread(now time.Time, org, id string, row table.Row, ok bool) []Out {
+func (h *Home) Reread(now time.Time, org, id string, row table.Row, ok bool) []Action {
 	a := h.accounts[org]
 	if a == nil || a.pending == nil || a.pending.id != id {
 		return nil
@@ -153,7 +153,7 @@
 
 // returnExcess returns the excess to the row. It is deducted here before the transaction is
 // sent, so that a lost response cannot cause it to be spent twice.
-func (h *Home) returnExcess(a *account) Out {
+func (h *Home) returnExcess(a *account) Action {
 	amount := a.excess
 	a.excess = 0
 	return h.startTransfer(a, -amount)
--- a/internal/core/configadopt.go
+++ b/internal/core/configadopt.go
@@ -100,7 +100,7 @@
 	if next.from != i.self {
 		others = append(others, next.from)
 	}
-	for _, name := range i.view.Entries() {
+	for _, name := range i.view.LiveInstances() {
 		if name != i.self && name != next.from {
 			others = append(others, name)
 		}
@@ -112,10 +112,10 @@
 
 func (i *Instance) requestObjectPart(from string) {
 	next := &i.configs.pending
-	i.send(from, msg.ConfigObjectAsk{Hash: next.Hash, Offset: len(next.received), Address: i.selfMember().PeerAddress})
+	i.send(from, msg.ConfigObjectRequest{Hash: next.Hash, Offset: len(next.received), Address: i.selfMember().PeerAddress})
 }
 
-func (i *Instance) onConfigObjectAsk(from string, m msg.ConfigObjectAsk) {
+func (i *Instance) onConfigObjectRequest(from string, m msg.ConfigObjectRequest) {
 	object := i.configs.object
 	if m.Hash != i.ConfigHash() || m.Offset < 0 || m.Offset >= len(object) {
 		return
@@ -213,7 +213,7 @@
 // for applyAnnounceDuration, as messages can be lost and new instances can join.
 func (i *Instance) announceApplied(now time.Time) {
 	if now.Sub(i.configs.appliedAt) < applyAnnounceDuration {
-		i.broadcast(msg.ConfigTold{Number: i.ConfigNumber(), Hash: i.ConfigHash(), Cordoned: i.cordons.DataCentres})
+		i.broadcast(msg.ConfigVersion{Number: i.ConfigNumber(), Hash: i.ConfigHash(), Cordoned: i.cordons.DataCentres})
 	}
 }
 
@@ -221,7 +221,7 @@
 // so that they need not wait for their next poll.
 func (i *Instance) announceInDataCentre(now time.Time) {
 	own := i.selfMember().DataCentre
-	for _, name := range i.view.Entries() {
+	for _, name := range i.view.LiveInstances() {
 		if m, _ := i.view.Member(name); name != i.self && m.DataCentre == own {
 			i.send(name, i.configUpdate(now, 0))
 		}
--- a/internal/core/configpoll.go
+++ b/internal/core/configpoll.go
@@ -46,7 +46,7 @@
 func (i *Instance) pollAllDataCentres(now time.Time) {
 	polled := map[string]bool{i.self: true}
 	seen := map[string]bool{}
-	for _, name := range i.view.Entries() {
+	for _, name := range i.view.LiveInstances() {
 		m, _ := i.view.Member(name)
 		if seen[m.DataCentre] {
 			continue
@@ -94,7 +94,7 @@
 
 func (i *Instance) pollReader(now time.Time, reader string) {
 	n := i.startQuery(now, reader)
-	i.send(reader, msg.ConfigAsk{Ask: n, Address: i.selfMember().PeerAddress})
+	i.send(reader, msg.ConfigRequest{Number: n, Address: i.selfMember().PeerAddress})
 }
 
 // expireQueries removes queries that timed out and replies that are too old. A reader that did
--- a/internal/core/configsync.go
+++ b/internal/core/configsync.go
@@ -144,7 +144,7 @@
 	}
 	own := i.selfMember().DataCentre
 	others := 0
-	for _, name := range i.view.Entries() {
+	for _, name := range i.view.LiveInstances() {
 		if name == i.self {
 			continue
 		}
@@ -208,29 +208,29 @@
 	i.observeVersion(now, p, at, i.self)
 }
 
-func (i *Instance) onConfigAsk(now time.Time, from string, m msg.ConfigAsk) {
-	i.emit(Send{To: from, Address: m.Address, Msg: i.configUpdate(now, m.Ask)})
+func (i *Instance) onConfigRequest(now time.Time, from string, m msg.ConfigRequest) {
+	i.emit(Send{To: from, Address: m.Address, Msg: i.configUpdate(now, m.Number)})
 }
 
-func (i *Instance) configUpdate(now time.Time, query int64) msg.ConfigTold {
-	return msg.ConfigTold{
+func (i *Instance) configUpdate(now time.Time, query int64) msg.ConfigVersion {
+	return msg.ConfigVersion{
 		Number: i.ConfigNumber(), Hash: i.ConfigHash(), Cordoned: i.cordons.DataCentres,
-		Confirmed: now.Sub(i.configs.confirmed), Ask: query, Down: i.tableDown(now),
+		ConfirmedAge: now.Sub(i.configs.confirmed), Request: query, TableDown: i.tableDown(now),
 	}
 }
 
-func (i *Instance) onConfigTold(now time.Time, from string, m msg.ConfigTold) {
+func (i *Instance) onConfigVersion(now time.Time, from string, m msg.ConfigVersion) {
 	p := ConfigPointer{Number: m.Number, Hash: m.Hash, Cordoned: m.Cordoned}
-	sentAt, ok := i.configs.takeQuery(m.Ask, from)
+	sentAt, ok := i.configs.takeQuery(m.Request, from)
 	if !ok { // an announcement or a late reply: its version may be new, but it confirms nothing
 		i.observeVersion(now, p, time.Time{}, from)
 		return
 	}
-	i.configs.replies[from] = configReply{queriedAt: sentAt, tableDown: m.Down}
+	i.configs.replies[from] = configReply{queriedAt: sentAt, tableDown: m.TableDown}
 	if member, _ := i.view.Member(from); i.configs.respondingSince[member.DataCentre].IsZero() {
 		i.configs.respondingSince[member.DataCentre] = now
 	}
-	i.observeVersion(now, p, sentAt.Add(-m.Confirmed), from)
+	i.observeVersion(now, p, sentAt.Add(-m.ConfirmedAge), from)
 }
 
 // ConfirmedAge returns the time since the last confirmation that no newer version was in force.
@@ -256,7 +256,7 @@
 func (i *Instance) Requests() int { return len(i.requests) }
 
 // Instances returns the number of live instances in this instance's view.
-func (i *Instance) Instances() int { return len(i.view.Entries()) }
+func (i *Instance) Instances() int { return len(i.view.LiveInstances()) }
 
 // Ready reports whether the instance accepts requests.
 func (i *Instance) Ready(now time.Time) bool { return i.notReadyReason(now) == "" }
--- a/internal/core/cordon_test.go
+++ b/internal/core/cordon_test.go
@@ -17,7 +17,7 @@
 		sim := newSimulation(2, "1.00")
 		sim.warmUpEngines()
 		entry, other := sim.instances[k], sim.instances[1-k]
-		update := msg.ConfigTold{Number: 2, Hash: sim.hash, Cordoned: []string{"kochi-a"}}
+		update := msg.ConfigVersion{Number: 2, Hash: sim.hash, Cordoned: []string{"kochi-a"}}
 		sim.handle(entry, core.PeerMessage{From: other.name, Msg: update})
 		if !entry.inst.Cordons().Has("kochi-a") {
 			t.Fatal("the entry has not applied the cordon that it received")
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -120,10 +120,10 @@
 		i.onRequest(now, e)
 	case CallerResume:
 		i.onResume(now, e)
-	case CallerGone:
-		i.onCallerGone(now, e.ID)
+	case CallerDisconnected:
+		i.onCallerDisconnected(now, e.ID)
 	case PeerMessage:
-		i.view.Heard(e.From)
+		i.view.ClearSuspicion(e.From)
 		i.onPeer(now, e.From, e.Msg)
 	case UpstreamToken:
 		i.onToken(now, e)
@@ -131,14 +131,14 @@
 		i.onAlive(now, e)
 	case UpstreamEnd:
 		i.onEnd(now, e)
-	case UpstreamAnswer:
-		i.onAnswer(now, e)
+	case UpstreamResponse:
+		i.onUpstreamResponse(now, e)
 	case UpstreamFailed:
 		i.onFailed(now, e)
 	case UpstreamReport:
 		i.onReport(now, e)
-	case UpstreamSilent:
-		i.onSilent(now, e)
+	case PollFailed:
+		i.onPollFailed(now, e)
 	case CommitResult:
 		i.onCommit(now, e)
 	case ReadResult:
@@ -147,10 +147,10 @@
 		i.onScan(now, e)
 	case ObjectResult:
 		i.onObject(now, e)
-	case TurnAnswer:
+	case TurnResult:
 		i.onTurn(now, e)
-	case OrderAnswer:
-		i.onOrderAnswer(now, e)
+	case OrderResult:
+		i.onOrderResult(now, e)
 	case ConfigApplied:
 		i.onConfigApplied(now, e)
 	case InstanceList:
@@ -164,46 +164,46 @@
 
 func (i *Instance) onPeer(now time.Time, from string, m msg.Message) {
 	switch m := m.(type) {
-	case msg.GrantAsk:
-		i.onGrantAsk(now, from, m)
-	case msg.GrantAnswer:
-		i.onGrantAnswer(now, from, m)
+	case msg.GrantRequest:
+		i.onGrantRequest(now, from, m)
+	case msg.GrantResponse:
+		i.onGrantResponse(now, from, m)
 	case msg.GrantEnd:
 		i.onGrantEnd(now, m)
 	case msg.Announce:
 		i.onAnnounce(now, from, m)
-	case msg.ReserveAsk:
-		i.onReserveAsk(now, from, m)
-	case msg.ReserveAnswer:
-		i.onReserveAnswer(now, from, m)
+	case msg.ReserveRequest:
+		i.onReserveRequest(now, from, m)
+	case msg.ReserveResponse:
+		i.onReserveResponse(now, from, m)
 	case msg.Settle:
 		i.onSettle(now, m)
 	case msg.Strike:
 		i.onStrike(now, m)
-	case msg.StrikesAsk:
-		i.onStrikesAsk(now, from)
+	case msg.StrikesRequest:
+		i.onStrikesRequest(now, from)
 	case msg.Strikes:
 		i.onStrikes(now, m)
 	case msg.Adopted:
 		i.onAdopted(now, m)
-	case msg.FollowAsk:
-		i.onFollowAsk(now, from, m)
-	case msg.FollowAnswer:
-		i.onFollowAnswer(from, m)
-	case msg.ConfigTold:
-		i.onConfigTold(now, from, m)
-	case msg.ConfigAsk:
-		i.onConfigAsk(now, from, m)
-	case msg.ConfigObjectAsk:
-		i.onConfigObjectAsk(from, m)
+	case msg.FollowRequest:
+		i.onFollowRequest(now, from, m)
+	case msg.FollowResponse:
+		i.onFollowResponse(from, m)
+	case msg.ConfigVersion:
+		i.onConfigVersion(now, from, m)
+	case msg.ConfigRequest:
+		i.onConfigRequest(now, from, m)
+	case msg.ConfigObjectRequest:
+		i.onConfigObjectRequest(from, m)
 	case msg.ConfigObjectPart:
 		i.onConfigObjectPart(now, from, m)
 	case msg.Leaving:
 		i.view.MarkLeaving(now, from)
-	case msg.ExplainAsk:
-		i.onExplainAsk(from, m)
-	case msg.ExplainAnswer:
-		i.emit(Explained{ID: m.ID, Lines: m.Lines})
+	case msg.ExplainRequest:
+		i.onExplainRequest(from, m)
+	case msg.ExplainResponse:
+		i.emit(ExplainResult{ID: m.ID, Lines: m.Lines})
 	}
 }
 
@@ -241,7 +241,7 @@
 
 // broadcast sends a message to all other live instances.
 func (i *Instance) broadcast(m msg.Message) {
-	for _, name := range i.view.Entries() {
+	for _, name := range i.view.LiveInstances() {
 		if name != i.self {
 			i.send(name, m)
 		}
--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -59,7 +59,7 @@
 // unfinished reports whether an exit would lose a request, a pending write of a booking's row or
 // the return of a chunk.
 func (i *Instance) unfinished(now time.Time) bool {
-	return len(i.requests) > 0 || i.hasRecentWriteBacks(now) || i.orgs.Moving()
+	return len(i.requests) > 0 || i.hasRecentWriteBacks(now) || i.orgs.TransferInFlight()
 }
 
 func (i *Instance) entryTTL() time.Duration {
@@ -86,7 +86,7 @@
 	e := Entries{TTL: i.entryTTL()}
 	own := i.selfMember().DataCentre
 	var far, suspected []string
-	for _, name := range i.view.Entries() {
+	for _, name := range i.view.LiveInstances() {
 		m, _ := i.view.Member(name)
 		switch {
 		case !i.mayConnect(apiKey, m.DataCentre):
--- a/internal/core/entry.go
+++ b/internal/core/entry.go
@@ -53,8 +53,8 @@
 	if f := r.checkLimits(); f != nil {
 		return f
 	}
-	if i.suspects.Judge(now, r.Fingerprint) == suspect.Refused {
-		wait := i.suspects.Until(r.Fingerprint).Sub(now)
+	if i.suspects.Verdict(now, r.Fingerprint) == suspect.Refused {
+		wait := i.suspects.ExpiresAt(r.Fingerprint).Sub(now)
 		return &Finish{Status: status.UnprocessableEntity, Reason: ReasonPoison, Step: "admit", RetryAfter: wait}
 	}
 	if r.NotRepeatable && i.tableHealth.down() {
--- a/internal/core/event.go
+++ b/internal/core/event.go
@@ -50,8 +50,8 @@
 	LastEventID string
 }
 
-// CallerGone reports that a caller's connection has ended before the answer was complete.
-type CallerGone struct{ ID string }
+// CallerDisconnected reports that a caller's connection has ended before the answer was complete.
+type CallerDisconnected struct{ ID string }
 
 // PeerMessage is a message from another instance.
 type PeerMessage struct {
@@ -93,8 +93,8 @@
 // tokens produced until then are charged, but the answer is incomplete.
 const FinishCancelled = "cancelled"
 
-// UpstreamAnswer is the complete answer of a plain service.
-type UpstreamAnswer struct {
+// UpstreamResponse is the complete answer of a plain service.
+type UpstreamResponse struct {
 	Request string
 	Attempt string
 	Status  int
@@ -108,8 +108,8 @@
 	Link    int
 	// Sent is false only if no byte of the call can have reached the upstream.
 	Sent bool
-	// Gone is set if the upstream replied that it has no such generation.
-	Gone bool
+	// NotFound is set if the upstream replied that it has no such generation.
+	NotFound bool
 	// Step is the step of the call that failed.
 	Step string
 	Err  string
@@ -118,12 +118,12 @@
 // UpstreamReport is the load report of an upstream, the result of a Poll.
 type UpstreamReport struct {
 	Report placement.Report
-	// Asked is the time at which the poll was sent. The report may be as old as that.
-	Asked time.Time
+	// PolledAt is the time at which the poll was sent. The report may be as old as that.
+	PolledAt time.Time
 }
 
-// UpstreamSilent reports that a Poll got no reply.
-type UpstreamSilent struct {
+// PollFailed reports that a Poll got no reply.
+type PollFailed struct {
 	Upstream string
 	// Refused is set if the upstream's address refused the connection, as no process listens there.
 	Refused bool
@@ -176,22 +176,22 @@
 // Tick makes the instance perform periodic work and check timeouts.
 type Tick struct{}
 
-func (CallerRequest) event()  {}
-func (CallerResume) event()   {}
-func (CallerGone) event()     {}
-func (PeerMessage) event()    {}
-func (UpstreamToken) event()  {}
-func (UpstreamAlive) event()  {}
-func (UpstreamEnd) event()    {}
-func (UpstreamAnswer) event() {}
-func (UpstreamFailed) event() {}
-func (UpstreamReport) event() {}
-func (UpstreamSilent) event() {}
-func (CommitResult) event()   {}
-func (ReadResult) event()     {}
-func (ScanResult) event()     {}
-func (ObjectResult) event()   {}
-func (ConfigApplied) event()  {}
-func (InstanceList) event()   {}
-func (Drain) event()          {}
-func (Tick) event()           {}
+func (CallerRequest) event()      {}
+func (CallerResume) event()       {}
+func (CallerDisconnected) event() {}
+func (PeerMessage) event()        {}
+func (UpstreamToken) event()      {}
+func (UpstreamAlive) event()      {}
+func (UpstreamEnd) event()        {}
+func (UpstreamResponse) event()   {}
+func (UpstreamFailed) event()     {}
+func (UpstreamReport) event()     {}
+func (PollFailed) event()         {}
+func (CommitResult) event()       {}
+func (ReadResult) event()         {}
+func (ScanResult) event()         {}
+func (ObjectResult) event()       {}
+func (ConfigApplied) event()      {}
+func (InstanceList) event()       {}
+func (Drain) event()              {}
+func (Tick) event()               {}
--- a/internal/core/explain.go
+++ b/internal/core/explain.go
@@ -81,19 +81,19 @@
 	}
 }
 
-// AskExplain queries the instance that a request id names for its decisions on the request. The
-// result is an Explained action with the same id.
-func (i *Instance) AskExplain(id uint64, request string) []Action {
+// RequestExplain queries the instance that a request id names for its decisions on the request. The
+// result is an ExplainResult action with the same id.
+func (i *Instance) RequestExplain(id uint64, request string) []Action {
 	owner, _, _ := strings.Cut(request, ":")
 	if owner == i.self {
-		return []Action{Explained{ID: id, Lines: i.Explain(request)}}
+		return []Action{ExplainResult{ID: id, Lines: i.Explain(request)}}
 	}
-	i.send(owner, msg.ExplainAsk{ID: id, Request: request})
+	i.send(owner, msg.ExplainRequest{ID: id, Request: request})
 	out := i.actions
 	i.actions = nil
 	return out
 }
 
-func (i *Instance) onExplainAsk(from string, m msg.ExplainAsk) {
-	i.send(from, msg.ExplainAnswer{ID: m.ID, Lines: i.Explain(m.Request)})
+func (i *Instance) onExplainRequest(from string, m msg.ExplainRequest) {
+	i.send(from, msg.ExplainResponse{ID: m.ID, Lines: i.Explain(m.Request)})
 }
--- a/internal/core/failure.go
+++ b/internal/core/failure.go
@@ -52,7 +52,7 @@
 // failureFinish returns the finish of a request whose last attempt failed.
 func (r *request) failureFinish(e UpstreamFailed) Finish {
 	f := Finish{
-		Outcome: NotRun, Status: status.BadGateway, Reason: ReasonUpstreamCut, Step: e.Step, Peer: r.run.upstream,
+		Outcome: NotRun, Status: status.BadGateway, Reason: ReasonUpstreamFailed, Step: e.Step, Peer: r.run.upstream,
 		RetryAfter: retryAfterNoHome, Tokens: r.seq.Next(),
 	}
 	switch {
--- a/internal/core/fleet/directory_test.go
+++ b/internal/core/fleet/directory_test.go
@@ -22,7 +22,7 @@
 				f = New(start, b, regions, 0)
 				f.SetSelf(start, true, false, true)
 			} else {
-				f.Heard(start, b)
+				f.OnHeartbeat(start, b)
 			}
 		}
 	}
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -88,8 +88,8 @@
 		f.self.Leaving = leaving
 		f.view.SetSelfState(memberOf(f.self).State)
 	}
-	f.self.Ready, f.self.Reads = ready, reads
-	f.self.Settled = now.Sub(f.started) >= eligibleAge
+	f.self.Ready, f.self.StoreReachable = ready, reads
+	f.self.Eligible = now.Sub(f.started) >= eligibleAge
 }
 
 // Contact classifies a received heartbeat.
@@ -105,8 +105,8 @@
 	Regained
 )
 
-// Heard processes a received heartbeat.
-func (f *Fleet) Heard(now time.Time, b msg.Heartbeat) Contact {
+// OnHeartbeat processes a received heartbeat.
+func (f *Fleet) OnHeartbeat(now time.Time, b msg.Heartbeat) Contact {
 	if b.Name == f.self.Name {
 		return Known
 	}
--- a/internal/core/fleet/fleet_test.go
+++ b/internal/core/fleet/fleet_test.go
@@ -15,7 +15,7 @@
 func heartbeat(k int) msg.Heartbeat {
 	return msg.Heartbeat{
 		Name: fmt.Sprintf("i%02d", k), DataCentre: "dc", CallerAddress: fmt.Sprintf("10.0.0.%d:80", k),
-		PeerAddress: fmt.Sprintf("10.0.0.%d:7200", k), Boot: "b", Ready: true, Reads: true,
+		PeerAddress: fmt.Sprintf("10.0.0.%d:7200", k), Boot: "b", Ready: true, StoreReachable: true,
 	}
 }
 
@@ -24,7 +24,7 @@
 	f := New(start, heartbeat(self), nil, 0)
 	f.SetSelf(start, true, false, true)
 	for k := range n {
-		f.Heard(start, heartbeat(k))
+		f.OnHeartbeat(start, heartbeat(k))
 	}
 	return f
 }
@@ -35,10 +35,10 @@
 	f := fleetOf(0, 5)
 	leaving, unready := heartbeat(1), heartbeat(2)
 	leaving.Leaving, unready.Ready = true, false
-	f.Heard(start, leaving)
-	f.Heard(start, unready)
+	f.OnHeartbeat(start, leaving)
+	f.OnHeartbeat(start, unready)
 	now := start.Add(f.deadAfter("dc") + time.Millisecond)
-	f.Heard(now, heartbeat(4))
+	f.OnHeartbeat(now, heartbeat(4))
 	f.Tick(now)
 	want := []string{heartbeat(0).CallerAddress, heartbeat(4).CallerAddress}
 	if got := f.Addresses(Place{}, 64); !slices.Equal(got, want) {
@@ -52,7 +52,7 @@
 	if !slices.Equal(lost, []string{"i01", "i02"}) || f.Size() != 3 {
 		t.Errorf("lost %v, size %d; want i01 and i02 lost, size 3", lost, f.Size())
 	}
-	if f.Heard(start.Add(2*f.deadAfter("dc")), heartbeat(1)) != Regained {
+	if f.OnHeartbeat(start.Add(2*f.deadAfter("dc")), heartbeat(1)) != Regained {
 		t.Error("heartbeat after silence is not reported as Regained")
 	}
 	f.Tick(start.Add(ForgetAfter + 3*f.deadAfter("dc")))
@@ -82,7 +82,7 @@
 	f := fleetOf(0, 2)
 	restarted := heartbeat(1)
 	restarted.Boot = "c"
-	if f.Heard(start, heartbeat(1)) != Known || f.Heard(start, restarted) != Regained {
+	if f.OnHeartbeat(start, heartbeat(1)) != Known || f.OnHeartbeat(start, restarted) != Regained {
 		t.Error("want Known for a heartbeat of the same run and Regained for one of another run")
 	}
 }
@@ -95,8 +95,8 @@
 	before := f.Readers(start)
 	for k := range 5 {
 		if b := heartbeat(k); slices.Contains(before, b.Name) {
-			b.Reads = false
-			f.Heard(start, b)
+			b.StoreReachable = false
+			f.OnHeartbeat(start, b)
 			if k == 0 {
 				f.SetSelf(start, true, false, false)
 			}
@@ -116,15 +116,15 @@
 	f := fleetOf(0, 2)
 	peer := heartbeat(1)
 	now := start.Add(f.resetInterval("dc"))
-	f.Heard(now, peer)
-	if !f.Unheard(now, peer) || f.Unheard(now.Add(f.HeartbeatInterval("dc")), peer) {
+	f.OnHeartbeat(now, peer)
+	if !f.MustResetConnection(now, peer) || f.MustResetConnection(now.Add(f.HeartbeatInterval("dc")), peer) {
 		t.Error("want a reset at the first heartbeat and none at the next")
 	}
-	peer.Hears = true
-	if f.Unheard(now.Add(2*f.resetInterval("dc")), peer) {
+	peer.ReceivesYours = true
+	if f.MustResetConnection(now.Add(2*f.resetInterval("dc")), peer) {
 		t.Error("reset of the connection to an instance that receives the heartbeats")
 	}
-	if f.Unheard(start, heartbeat(1)) {
+	if f.MustResetConnection(start, heartbeat(1)) {
 		t.Error("reset of the connection to an instance that has just become known")
 	}
 }
@@ -158,15 +158,15 @@
 func TestAnInstanceThatRefusesConnectionsIsDead(t *testing.T) {
 	f := fleetOf(0, 3)
 	tried := start.Add(50 * time.Millisecond)
-	if !f.Gone(tried, tried, "i01") || slices.Contains(f.Live(), "i01") || len(f.Addresses(Place{}, 64)) != 2 {
+	if !f.OnConnectionRefused(tried, tried, "i01") || slices.Contains(f.Live(), "i01") || len(f.Addresses(Place{}, 64)) != 2 {
 		t.Errorf("live instances %v, addresses %v; want both without i01", f.Live(), f.Addresses(Place{}, 64))
 	}
-	if f.Gone(tried, tried, "i01") || f.Gone(tried, tried, "i99") {
+	if f.OnConnectionRefused(tried, tried, "i01") || f.OnConnectionRefused(tried, tried, "i99") {
 		t.Error("change reported for an instance that is dead already or unknown")
 	}
 	restarted := heartbeat(1)
 	restarted.Boot = "c"
-	if f.Heard(tried.Add(time.Millisecond), restarted) != Regained || f.Gone(tried.Add(2*time.Millisecond), tried, "i01") {
+	if f.OnHeartbeat(tried.Add(time.Millisecond), restarted) != Regained || f.OnConnectionRefused(tried.Add(2*time.Millisecond), tried, "i01") {
 		t.Error("the next process does not count as alive after its heartbeat")
 	}
 }
@@ -185,7 +185,7 @@
 	}
 	now := start.Add(f.deadAfter("dc0") + time.Millisecond)
 	f.Tick(now)
-	if f.Hears(now, "i003") || !f.Hears(now, "i001") {
+	if f.IsAlive(now, "i003") || !f.IsAlive(now, "i001") {
 		t.Error("want the silent instance of this data centre dead and that of another one alive")
 	}
 	if small := fleetInThreeDCs(0, 13); small.HeartbeatInterval("dc0") != minInterval || small.HeartbeatInterval("dc1") != minInterval {
--- a/internal/core/fleet/join.go
+++ b/internal/core/fleet/join.go
@@ -90,38 +90,40 @@
 	return JoinWait
 }
 
-// Answered processes a seed's response; known is the resulting number of known instances. The
+// OnResponse processes a seed's response; known is the resulting number of known instances. The
 // response of an isolated seed, which has lost contact with most instances, is ignored: the
 // seed may be on the minority side of a partition. Seeds that have just started themselves
 // are asked again until their responses hardly increase the number of known instances.
-func (j *Join) Answered(a msg.JoinAnswer, known int) {
+func (j *Join) OnResponse(a msg.JoinResponse, known int) {
 	if a.Isolated {
 		return
 	}
 	j.responses++
 	grown := known - j.known
 	j.known = known
-	if a.Settled || j.responses > 1 && grown*growthDivisor <= known {
+	if a.Eligible || j.responses > 1 && grown*growthDivisor <= known {
 		j.complete = true
 	}
 }
 
-// JoinAsk returns a request for the member list of another instance.
-func (f *Fleet) JoinAsk() msg.JoinAsk { return msg.JoinAsk{Sender: f.self, Known: f.liveDigest()} }
+// JoinRequest returns a request for the member list of another instance.
+func (f *Fleet) JoinRequest() msg.JoinRequest {
+	return msg.JoinRequest{Sender: f.self, Digest: f.liveDigest()}
+}
 
-// JoinAnswer returns the response to a JoinAsk. ready is set once this instance has joined. The
-// response has no member list if the sender already has the same one.
-func (f *Fleet) JoinAnswer(ask msg.JoinAsk, ready bool) msg.JoinAnswer {
-	a := msg.JoinAnswer{
-		Settled:  ready && f.self.Settled,
-		Isolated: len(f.members)-len(f.live) > len(f.live)+1 && f.self.Settled,
+// JoinResponse returns the response to a JoinRequest. ready is set once this instance has joined.
+// The response has no member list if the sender already has the same one.
+func (f *Fleet) JoinResponse(req msg.JoinRequest, ready bool) msg.JoinResponse {
+	a := msg.JoinResponse{
+		Eligible: ready && f.self.Eligible,
+		Isolated: len(f.members)-len(f.live) > len(f.live)+1 && f.self.Eligible,
 	}
-	if ask.Known == f.liveDigest() {
+	if req.Digest == f.liveDigest() {
 		return a
 	}
 	a.Size = len(f.live) + 1
 	a.Instances = append(a.Instances, f.self)
-	for _, name := range f.introduced(ask.Sender.DataCentre) {
+	for _, name := range f.introduced(req.Sender.DataCentre) {
 		a.Instances = append(a.Instances, f.members[name].Heartbeat)
 	}
 	return a
@@ -152,9 +154,9 @@
 	return out
 }
 
-// Told records the fleet size that another instance reported. This instance may know only a
+// SetSizeHint records the fleet size that another instance reported. This instance may know only a
 // part of the fleet so far.
-func (f *Fleet) Told(now time.Time, size int) {
+func (f *Fleet) SetSizeHint(now time.Time, size int) {
 	if size > len(f.members)+1 {
 		f.sizeHint, f.sizeHintAt = size, now
 	}
@@ -183,5 +185,5 @@
 // MustRegister reports whether this instance needs a row in the store. Instances whose seeds
 // do not respond find readers and relays there.
 func (f *Fleet) MustRegister(now time.Time, s Sources) bool {
-	return s.Relays && now.Sub(f.started) >= registerAfter
+	return s.IsSource && now.Sub(f.started) >= registerAfter
 }
--- a/internal/core/fleet/join_test.go
+++ b/internal/core/fleet/join_test.go
@@ -9,7 +9,7 @@
 
 // seedReply is the response of a seed, and the number of known instances after it.
 type seedReply struct {
-	msg.JoinAnswer
+	msg.JoinResponse
 	known int
 }
 
@@ -26,7 +26,7 @@
 		case JoinAskSeeds:
 			requests++
 			if a := answer(at); a != nil {
-				j.Answered(a.JoinAnswer, a.known)
+				j.OnResponse(a.JoinResponse, a.known)
 			}
 		case JoinWait:
 		}
@@ -35,7 +35,7 @@
 }
 
 func TestJoining(t *testing.T) {
-	always := func(a msg.JoinAnswer, known int) func(time.Duration) *seedReply {
+	always := func(a msg.JoinResponse, known int) func(time.Duration) *seedReply {
 		return func(time.Duration) *seedReply { return &seedReply{a, known} }
 	}
 	// starting simulates a fleet of 200 whose instances all start within 0.3 s. The seeds respond
@@ -57,11 +57,11 @@
 		to       time.Duration
 		requests int // minimum
 	}{
-		{"replaced instance, seeds know the fleet: done at the first response", true, always(msg.JoinAnswer{Settled: true}, 200), JoinDone, 0, 20 * time.Millisecond, 1},
+		{"replaced instance, seeds know the fleet: done at the first response", true, always(msg.JoinResponse{Eligible: true}, 200), JoinDone, 0, 20 * time.Millisecond, 1},
 		{"all start at once: done when all are known", true, starting(0), JoinDone, 300 * time.Millisecond, 500 * time.Millisecond, 4},
 		{"seeds start last: done after another request", true, starting(280 * time.Millisecond), JoinDone, 380 * time.Millisecond, 500 * time.Millisecond, 5},
 		{"known instances keep growing: done after the timeout", true, func(d time.Duration) *seedReply { return &seedReply{known: int(100 * d.Seconds())} }, JoinDone, growthTimeout, growthTimeout, 7},
-		{"seeds are cut off from the others: the store", true, always(msg.JoinAnswer{Isolated: true, Settled: true}, 3), JoinByStore, seedTimeout, seedTimeout, 5},
+		{"seeds are cut off from the others: the store", true, always(msg.JoinResponse{Isolated: true, Eligible: true}, 3), JoinByStore, seedTimeout, seedTimeout, 5},
 		{"seeds do not respond: the store", true, func(time.Duration) *seedReply { return nil }, JoinByStore, seedTimeout, seedTimeout, 5},
 		{"no seeds: the store", false, nil, JoinByStore, 0, 0, 0},
 	} {
@@ -79,24 +79,24 @@
 	f := fleetOf(0, 6)
 	now := start.Add(10 * time.Second)
 	for k := 1; k < 5; k++ {
-		f.Heard(now, heartbeat(k))
+		f.OnHeartbeat(now, heartbeat(k))
 	}
 	f.Tick(now)
 	f.SetSelf(now, true, false, true)
 	newcomer := heartbeat(9)
-	f.Heard(now, newcomer)
-	a := f.JoinAnswer(msg.JoinAsk{Sender: newcomer, Known: New(now, newcomer, nil, 0).JoinAsk().Known}, true)
+	f.OnHeartbeat(now, newcomer)
+	a := f.JoinResponse(msg.JoinRequest{Sender: newcomer, Digest: New(now, newcomer, nil, 0).JoinRequest().Digest}, true)
 	listed := map[string]bool{}
 	for _, b := range a.Instances {
 		listed[b.Name] = true
 	}
-	if len(listed) != 6 || !listed["i00"] || !listed["i04"] || listed["i05"] || !a.Settled || a.Isolated {
-		t.Errorf("settled %v, isolated %v, instances %v; want settled and the six live instances", a.Settled, a.Isolated, listed)
+	if len(listed) != 6 || !listed["i00"] || !listed["i04"] || listed["i05"] || !a.Eligible || a.Isolated {
+		t.Errorf("eligible %v, isolated %v, instances %v; want eligible and the six live instances", a.Eligible, a.Isolated, listed)
 	}
-	if same := f.JoinAnswer(msg.JoinAsk{Known: f.JoinAsk().Known}, true); same.Instances != nil {
+	if same := f.JoinResponse(msg.JoinRequest{Digest: f.JoinRequest().Digest}, true); same.Instances != nil {
 		t.Errorf("%d instances sent to a sender that already knows them, want none", len(same.Instances))
 	}
-	if young := fleetOf(0, 6); young.JoinAnswer(msg.JoinAsk{}, true).Settled || f.JoinAnswer(msg.JoinAsk{}, false).Settled {
+	if young := fleetOf(0, 6); young.JoinResponse(msg.JoinRequest{}, true).Eligible || f.JoinResponse(msg.JoinRequest{}, false).Eligible {
 		t.Error("response of an instance that has just started or not joined is settled")
 	}
 }
@@ -106,10 +106,10 @@
 func TestAnIsolatedSeedReportsIt(t *testing.T) {
 	f := fleetOf(0, 12)
 	now := start.Add(10 * time.Second)
-	f.Heard(now, heartbeat(1))
+	f.OnHeartbeat(now, heartbeat(1))
 	f.Tick(now)
 	f.SetSelf(now, true, false, true)
-	if !f.JoinAnswer(msg.JoinAsk{}, true).Isolated {
+	if !f.JoinResponse(msg.JoinRequest{}, true).Isolated {
 		t.Error("seed that has lost ten of eleven other instances does not report that it is isolated")
 	}
 }
--- a/internal/core/fleet/liveness.go
+++ b/internal/core/fleet/liveness.go
@@ -27,28 +27,28 @@
 	ForgetAfter = 30 * time.Second
 )
 
-// Unheard processes a received heartbeat and reports whether its sender does not receive this
-// instance's heartbeats, in which case the connection to it must be reset. Resets are rate
-// limited.
-func (f *Fleet) Unheard(now time.Time, b msg.Heartbeat) bool {
+// MustResetConnection processes a received heartbeat and reports whether its sender does not
+// receive this instance's heartbeats, in which case the connection to it must be reset. Resets are
+// rate limited.
+func (f *Fleet) MustResetConnection(now time.Time, b msg.Heartbeat) bool {
 	m := f.members[b.Name]
-	if b.Hears || m == nil || now.Sub(m.LearnedAt) < f.resetInterval(m.DataCentre) || now.Sub(m.resetAt) < f.resetInterval(m.DataCentre) {
+	if b.ReceivesYours || m == nil || now.Sub(m.LearnedAt) < f.resetInterval(m.DataCentre) || now.Sub(m.resetAt) < f.resetInterval(m.DataCentre) {
 		return false
 	}
 	m.resetAt = now
 	return true
 }
 
-// Hears reports whether another instance counts as alive.
-func (f *Fleet) Hears(now time.Time, name string) bool {
+// IsAlive reports whether another instance counts as alive.
+func (f *Fleet) IsAlive(now time.Time, name string) bool {
 	m := f.members[name]
 	return m != nil && f.alive(now, m)
 }
 
-// Gone records that an instance's port refused a connection at the time tried: its process has
-// ended, unless a newer heartbeat has arrived. Gone reports whether the instance counted as alive
-// until now.
-func (f *Fleet) Gone(now, tried time.Time, name string) bool {
+// OnConnectionRefused records that an instance's port refused a connection at the time tried: its
+// process has ended, unless a newer heartbeat has arrived. OnConnectionRefused reports whether the
+// instance counted as alive until now.
+func (f *Fleet) OnConnectionRefused(now, tried time.Time, name string) bool {
 	m := f.members[name]
 	if m == nil || !f.alive(now, m) || m.LastSeen.After(tried) {
 		return false
--- a/internal/core/fleet/presence.go
+++ b/internal/core/fleet/presence.go
@@ -124,7 +124,7 @@
 		}
 		delete(unmatched, b.Name)
 	}
-	p.Gone = slices.Sorted(maps.Keys(unmatched))
+	p.Removed = slices.Sorted(maps.Keys(unmatched))
 	return p
 }
 
@@ -137,7 +137,7 @@
 	for _, b := range changes.Members {
 		next[b.Name] = b
 	}
-	for _, name := range changes.Gone {
+	for _, name := range changes.Removed {
 		delete(next, name)
 	}
 	out := make([]msg.Heartbeat, 0, len(next))
@@ -203,8 +203,8 @@
 		p.Members = append(p.Members, f.members[name].Heartbeat)
 	}
 	for k := range p.Members {
-		p.Members[k].Hears = false // concerns only the sender and the receiver of a heartbeat
-		p.Members[k].Answer = false
+		p.Members[k].ReceivesYours = false // concerns only the sender and the receiver of a heartbeat
+		p.Members[k].WantsResponse = false
 	}
 	p.Digest = digestOf(p.Members)
 	return p
@@ -286,9 +286,9 @@
 	return out
 }
 
-// HeardPresence processes a received announcement. It returns false if the announcement
+// OnPresence processes a received announcement. It returns false if the announcement
 // refers to a member list that is not known here and must be requested.
-func (f *Fleet) HeardPresence(now time.Time, a msg.Presence) bool {
+func (f *Fleet) OnPresence(now time.Time, a msg.Presence) bool {
 	if a.DataCentre == f.self.DataCentre {
 		return true // heartbeats arrive directly
 	}
@@ -385,7 +385,7 @@
 // memberDigest returns a hash of an instance's announced state.
 func memberDigest(b msg.Heartbeat) uint64 {
 	flags := []byte{'-', '-', '-', '-'}
-	for k, set := range []bool{b.Ready, b.Leaving, b.Reads, b.Settled} {
+	for k, set := range []bool{b.Ready, b.Leaving, b.StoreReachable, b.Eligible} {
 		if set {
 			flags[k] = '+'
 		}
--- a/internal/core/fleet/presence_test.go
+++ b/internal/core/fleet/presence_test.go
@@ -89,7 +89,7 @@
 		s.sentAt[name] = s.now
 		for _, m := range v.Others() {
 			if m.DataCentre == v.self.DataCentre && s.reaches(name, m.Name) {
-				s.views[m.Name].Heard(s.now, v.self)
+				s.views[m.Name].OnHeartbeat(s.now, v.self)
 			}
 		}
 		v.Tick(s.now)
@@ -110,7 +110,7 @@
 	var unknown []string
 	for _, p := range list {
 		s.listed += len(p.Members)
-		if !s.views[to].HeardPresence(s.now, p) {
+		if !s.views[to].OnPresence(s.now, p) {
 			unknown = append(unknown, p.Source)
 		}
 	}
@@ -131,7 +131,7 @@
 func (s *fleetSim) countDeadPairs() (n int) {
 	for name, v := range s.views {
 		for other := range s.views {
-			if !s.dead[name] && !s.dead[other] && name != other && !v.Hears(s.now, other) {
+			if !s.dead[name] && !s.dead[other] && name != other && !v.IsAlive(s.now, other) {
 				n++
 			}
 		}
@@ -142,7 +142,7 @@
 // countSeeingAlive counts the live instances that count the named one as alive.
 func (s *fleetSim) countSeeingAlive(name string) (n int) {
 	for other, v := range s.views {
-		if !s.dead[other] && other != name && v.Hears(s.now, name) {
+		if !s.dead[other] && other != name && v.IsAlive(s.now, name) {
 			n++
 		}
 	}
--- a/internal/core/fleet/sources.go
+++ b/internal/core/fleet/sources.go
@@ -38,11 +38,11 @@
 type Sources struct {
 	// Choice lists the sources that the instance may query.
 	watch.Choice
-	// Relays is set if other instances get their updates from this one, so that it needs the
+	// IsSource is set if other instances get their updates from this one, so that it needs the
 	// complete data.
-	Relays bool
-	// Relayed is set if this instance gets its updates from a relay.
-	Relayed bool
+	IsSource bool
+	// FromRelay is set if this instance gets its updates from a relay.
+	FromRelay bool
 }
 
 // Sources returns where this instance gets updates from: the reader from the store, the
@@ -53,22 +53,22 @@
 	readers := f.Readers(now)
 	rank := slices.Index(readers, f.self.Name)
 	s := Sources{Choice: watch.Choice{
-		Reads: rank == 0, Standby: rank > 0, Large: f.large(), Others: f.rotated(f.live), Ask: f.withoutSelf(readers),
+		Reads: rank == 0, Standby: rank > 0, Large: f.large(), Others: f.rotated(f.live), Designated: f.withoutSelf(readers),
 	}}
 	if rank >= 0 || !s.Large {
-		s.Relays = rank >= 0
+		s.IsSource = rank >= 0
 		return s
 	}
 	near := f.relays(now, f.self.DataCentre)
-	if s.Relays = slices.Contains(near, f.self.Name); s.Relays {
+	if s.IsSource = slices.Contains(near, f.self.Name); s.IsSource {
 		return s
 	}
 	if isHome {
-		s.Ask = append(s.Ask, f.rotated(near)...)
+		s.Designated = append(s.Designated, f.rotated(near)...)
 		return s
 	}
-	s.Relayed = len(near) > 0
-	s.Ask = append(f.rotated(near), s.Ask...)
+	s.FromRelay = len(near) > 0
+	s.Designated = append(f.rotated(near), s.Designated...)
 	return s
 }
 
@@ -95,7 +95,7 @@
 // rendezvous order, among those that can read the store. If no instance can, the list is
 // empty, and instances that would query a reader query the store instead.
 func (f *Fleet) Readers(now time.Time) []string {
-	return f.largest(now, readersKey, readerCount, func(b msg.Heartbeat) bool { return b.Reads })
+	return f.largest(now, readersKey, readerCount, func(b msg.Heartbeat) bool { return b.StoreReachable })
 }
 
 // relays lists the relays of a data centre.
@@ -148,9 +148,9 @@
 // Without this, a rolling restart would move every role to each instance in turn.
 func compareEligible(a, b msg.Heartbeat) int {
 	switch {
-	case a.Settled == b.Settled:
+	case a.Eligible == b.Eligible:
 		return 0
-	case a.Settled:
+	case a.Eligible:
 		return -1
 	}
 	return 1
@@ -178,6 +178,6 @@
 		return msg.Heartbeat{Leaving: true}
 	}
 	b := m.Heartbeat
-	b.Reads = b.Reads || !m.wasAlive
+	b.StoreReachable = b.StoreReachable || !m.wasAlive
 	return b
 }
--- a/internal/core/fleet/sources_test.go
+++ b/internal/core/fleet/sources_test.go
@@ -23,7 +23,7 @@
 	f := New(start, member(self), nil, 0)
 	f.SetSelf(start, true, false, true)
 	for k := range n {
-		f.Heard(start, member(k))
+		f.OnHeartbeat(start, member(k))
 	}
 	return f
 }
@@ -38,29 +38,29 @@
 	for k := 0; k < n; k += sample - 1 { // covers all data centres
 		f := fleetInThreeDCs(k, n)
 		s := f.Sources(start, false)
-		if len(s.Ask) == 0 {
+		if len(s.Designated) == 0 {
 			t.Fatalf("instance %d has no source", k)
 		}
-		first := f.heartbeatOf(s.Ask[0])
+		first := f.heartbeatOf(s.Designated[0])
 		switch {
 		case s.Reads:
 			if f.self.Class != 8 {
 				t.Errorf("reader %s runs on a small machine", f.self.Name)
 			}
-		case s.Relays:
-			if !slices.Contains(f.Readers(start), s.Ask[0]) || f.self.Class != 8 || s.Relayed {
-				t.Errorf("relay %s queries %s, want a reader", f.self.Name, s.Ask[0])
+		case s.IsSource:
+			if !slices.Contains(f.Readers(start), s.Designated[0]) || f.self.Class != 8 || s.FromRelay {
+				t.Errorf("relay %s queries %s, want a reader", f.self.Name, s.Designated[0])
 			}
 		default:
-			if first.DataCentre != f.self.DataCentre || !s.Relayed {
+			if first.DataCentre != f.self.DataCentre || !s.FromRelay {
 				t.Errorf("%s in %s queries %s in %s, want a relay in its data centre", f.self.Name, f.self.DataCentre, first.Name, first.DataCentre)
 			}
 		}
 		if !s.Reads {
-			queriedBy[s.Ask[0]]++
+			queriedBy[s.Designated[0]]++
 		}
-		if home := f.Sources(start, true); !s.Reads && !s.Standby && (home.Ask[0] != f.Readers(start)[0] || home.Relayed) {
-			t.Errorf("home %s queries %s, want the reader", f.self.Name, home.Ask[0])
+		if home := f.Sources(start, true); !s.Reads && !s.Standby && (home.Designated[0] != f.Readers(start)[0] || home.FromRelay) {
+			t.Errorf("home %s queries %s, want the reader", f.self.Name, home.Designated[0])
 		}
 	}
 	for name, count := range queriedBy {
@@ -85,11 +85,11 @@
 		s := f.Sources(start, false)
 		names = f.Readers(start)
 		switch {
-		case s.Reads && s.Relays && !s.Standby:
+		case s.Reads && s.IsSource && !s.Standby:
 			reads++
-		case s.Standby && s.Relays && !s.Reads && slices.Equal(s.Ask, names[:1]):
+		case s.Standby && s.IsSource && !s.Reads && slices.Equal(s.Designated, names[:1]):
 			standbys++
-		case s.Reads || s.Standby || s.Relays || s.Relayed || !slices.Equal(s.Ask, names):
+		case s.Reads || s.Standby || s.IsSource || s.FromRelay || !slices.Equal(s.Designated, names):
 			t.Errorf("instance %d: sources %+v, want it to query %v", k, s, names)
 		}
 	}
@@ -124,8 +124,8 @@
 	heartbeats := func(restarted ...string) {
 		for k := range 100 {
 			b := f.heartbeatOf(fmt.Sprintf("i%03d", k))
-			b.Settled = !slices.Contains(restarted, b.Name)
-			f.Heard(now, b)
+			b.Eligible = !slices.Contains(restarted, b.Name)
+			f.OnHeartbeat(now, b)
 		}
 	}
 	heartbeats()
@@ -153,7 +153,7 @@
 	if home == f.self.Name {
 		f.SetSelf(start, true, true, true)
 	} else {
-		f.Heard(start.Add(time.Millisecond), leaving)
+		f.OnHeartbeat(start.Add(time.Millisecond), leaving)
 	}
 	if next := f.Home(start.Add(time.Millisecond), "pool/s", ""); next == home {
 		t.Errorf("%s is draining and still the home", home)
@@ -161,7 +161,7 @@
 	for k := range 6 {
 		b := heartbeat(k)
 		b.Leaving = true
-		f.Heard(start.Add(2*time.Millisecond), b)
+		f.OnHeartbeat(start.Add(2*time.Millisecond), b)
 	}
 	if f.SetSelf(start, true, true, true); f.Home(start.Add(2*time.Millisecond), "pool/s", "") == "" {
 		t.Error("pool has no home when all instances are draining")
@@ -182,7 +182,7 @@
 	peer.Name, peer.DataCentre = "i005", "dc2"
 	for b.Loop() {
 		now = now.Add(time.Millisecond)
-		f.Heard(now, peer)
+		f.OnHeartbeat(now, peer)
 	}
 }
 
@@ -199,13 +199,13 @@
 		f.SetSelf(start, false, false, true)
 		for _, m := range complete.members {
 			row := m.Heartbeat
-			row.Ready, row.Reads = false, false
+			row.Ready, row.StoreReachable = false, false
 			f.Learn(start, row)
 		}
 		s := f.Sources(start.Add(time.Millisecond), false)
 		if s.Reads {
 			reads++
-		} else if len(s.Ask) == 0 {
+		} else if len(s.Designated) == 0 {
 			t.Errorf("%s has no source", f.self.Name)
 		}
 		if late := f.Sources(start.Add(startGrace), false); !late.Reads {
--- a/internal/core/fleet/sweep.go
+++ b/internal/core/fleet/sweep.go
@@ -33,9 +33,9 @@
 	since   time.Time
 }
 
-// Look compares the rows with the live instances and returns the rows to remove. alive reports
+// DeadRows compares the rows with the live instances and returns the rows to remove. alive reports
 // whether an instance is alive.
-func (s *Sweep) Look(now time.Time, rows []Row, alive func(name string) bool) (remove []Row) {
+func (s *Sweep) DeadRows(now time.Time, rows []Row, alive func(name string) bool) (remove []Row) {
 	before := s.dead
 	s.dead = map[string]deadRow{}
 	for _, row := range rows {
--- a/internal/core/fleet/sweep_test.go
+++ b/internal/core/fleet/sweep_test.go
@@ -26,7 +26,7 @@
 		removed := -1
 		for sweep := range 8 {
 			now := start.Add(time.Duration(sweep) * SweepInterval)
-			got := s.Look(now, []Row{row(1, c.version(sweep)), row(2, 1)}, func(name string) bool { return name == "i02" || c.alive(sweep) })
+			got := s.DeadRows(now, []Row{row(1, c.version(sweep)), row(2, 1)}, func(name string) bool { return name == "i02" || c.alive(sweep) })
 			if len(got) > 0 && removed < 0 {
 				removed = sweep
 			}
--- a/internal/core/footprint_test.go
+++ b/internal/core/footprint_test.go
@@ -67,8 +67,8 @@
 func (h *targetHarness) fillAccounts(s targetSize) {
 	limits := s.config().Organisations[0].Limits
 	for n := range s.orgs {
-		req := budget.Ask{Request: attemptName(n), Org: orgName(n), Limits: limits, Amount: 1000, Tokens: 500}
-		h.handle(core.PeerMessage{From: "entry-1", Msg: msg.ReserveAsk{Ask: req}})
+		req := budget.Request{RequestID: attemptName(n), Org: orgName(n), Limits: limits, Amount: 1000, Tokens: 500}
+		h.handle(core.PeerMessage{From: "entry-1", Msg: msg.ReserveRequest{Request: req}})
 	}
 }
 
@@ -78,14 +78,14 @@
 	v := config.Compile(1, "", s.config())
 	for u := range upstreams {
 		name := upstreamName(u)
-		h.handle(core.UpstreamReport{Asked: h.now, Report: report(name, gensPerEngine)})
+		h.handle(core.UpstreamReport{PolledAt: h.now, Report: report(name, gensPerEngine)})
 		m := msg.Announce{Pool: v.PoolOf(name)}
 		for n := range gensPerEngine {
-			req := grantRequest(m.Pool, u*gensPerEngine+n).Ask
-			m.Running = append(m.Running, msg.RunningAttempt{Ask: req, Upstream: name})
+			req := grantRequest(m.Pool, u*gensPerEngine+n).Request
+			m.Running = append(m.Running, msg.RunningAttempt{Request: req, Upstream: name})
 		}
 		h.handle(core.PeerMessage{From: "entry-1", Msg: m})
-		h.handle(core.UpstreamReport{Asked: h.now, Report: report(name, gensPerEngine)})
+		h.handle(core.UpstreamReport{PolledAt: h.now, Report: report(name, gensPerEngine)})
 	}
 }
 
--- a/internal/core/forward/admit.go
+++ b/internal/core/forward/admit.go
@@ -51,7 +51,7 @@
 	if maxBody := g.table.Limits.MaxBodyBytes; maxBody > 0 && r.Length > maxBody {
 		return nil, &Refusal{Status: status.ContentTooLarge, Reason: TooLarge}
 	}
-	if g.suspects.Judge(now, r.Print) == suspect.Refused {
+	if g.suspects.Verdict(now, r.Fingerprint) == suspect.Refused {
 		return nil, &Refusal{Status: status.ServiceUnavailable, Reason: Crashes, RetryAfter: crashRetryAfter}
 	}
 	if g.draining && rt.Kind == route.Stream {
--- a/internal/core/forward/choose.go
+++ b/internal/core/forward/choose.go
@@ -32,11 +32,11 @@
 func (g *Gate) candidates(service string) []*roster.Upstream {
 	layout, _ := g.roster.Layout()
 	if layout[service] == nil {
-		return g.roster.Of(service)
+		return g.roster.UpstreamsOf(service)
 	}
 	var out []*roster.Upstream
 	for _, group := range g.ownGroups(layout, service) {
-		out = append(out, g.roster.In(group)...)
+		out = append(out, g.roster.UpstreamsIn(group)...)
 	}
 	return out
 }
@@ -56,7 +56,7 @@
 // restricted to.
 func (g *Gate) ownGroups(layout roster.Layout, service string) []roster.Group {
 	open := func(dc string) bool { return !g.cordons.Has(dc) }
-	out := layout.Own(service, g.options.DataCentre, g.options.Name, open)
+	out := layout.GroupsFor(service, g.options.DataCentre, g.options.Name, open)
 	if g.table == nil {
 		return out
 	}
@@ -65,7 +65,7 @@
 		if region == own {
 			continue
 		}
-		for _, group := range layout.Own(service, "", g.options.Name, func(dc string) bool { return open(dc) && g.options.Regions[dc] == region }) {
+		for _, group := range layout.GroupsFor(service, "", g.options.Name, func(dc string) bool { return open(dc) && g.options.Regions[dc] == region }) {
 			if !slices.Contains(out, group) {
 				out = append(out, group)
 			}
@@ -97,7 +97,7 @@
 // fallbackUpstream returns an upstream that is in backoff after a failed dial, or nil: trying it
 // is better than refusing the call.
 func (g *Gate) fallbackUpstream(now time.Time, c *Call) *roster.Upstream {
-	for _, u := range g.roster.Of(c.Service) {
+	for _, u := range g.roster.UpstreamsOf(c.Service) {
 		if g.maySend(c, u) && !slices.Contains(c.tried, u) && !g.coldAllowedAt(now, u).After(now) {
 			return u
 		}
--- a/internal/core/forward/cordon.go
+++ b/internal/core/forward/cordon.go
@@ -78,7 +78,7 @@
 	for dc := range layout[service] {
 		out = append(out, dc)
 	}
-	for _, u := range g.roster.Of(service) {
+	for _, u := range g.roster.UpstreamsOf(service) {
 		if !slices.Contains(out, u.DataCentre) {
 			out = append(out, u.DataCentre)
 		}
--- a/internal/core/forward/cordon_test.go
+++ b/internal/core/forward/cordon_test.go
@@ -71,12 +71,12 @@
 		}
 	}
 	c := admit(t, g, request("/stream/1"))
-	stale := msg.GrantAnswer{TTL: time.Second, Decision: placement.Decision{Kind: placement.Granted, Upstream: "u00"}}
+	stale := msg.GrantResponse{TTL: time.Second, Decision: placement.Decision{Kind: placement.Granted, Upstream: "u00"}}
 	if s := g.Granted(start, start, c, stale); s.Send == nil || s.Send.Entry.DataCentre == "dc-a" {
 		t.Errorf("grant for a cordoned upstream: step %+v, want an attempt outside of dc-a", s)
 	}
 	unlisted := roster.Entry{ID: "unknown", Service: "desk", Address: "unknown:80", DataCentre: "dc-a"}
-	if s := g.Granted(start, start, admit(t, g, request("/stream/2")), msg.GrantAnswer{TTL: time.Second, Entry: &unlisted, Decision: placement.Decision{Kind: placement.Granted, Upstream: "unknown"}}); s.Send == nil || s.Send.Entry.DataCentre == "dc-a" {
+	if s := g.Granted(start, start, admit(t, g, request("/stream/2")), msg.GrantResponse{TTL: time.Second, Entry: &unlisted, Decision: placement.Decision{Kind: placement.Granted, Upstream: "unknown"}}); s.Send == nil || s.Send.Entry.DataCentre == "dc-a" {
 		t.Errorf("grant for a cordoned upstream that is not in the roster: step %+v, want an attempt outside of dc-a", s)
 	}
 }
@@ -138,7 +138,7 @@
 	}
 	for range 50 {
 		c := admit(t, g, request("/stream/1"))
-		if s := g.Start(start, c); !s.AskHome || roster.ParseGroup(c.Pool).DataCentre == "dc-a" {
+		if s := g.Start(start, c); !s.RequestGrant || roster.ParseGroup(c.Pool).DataCentre == "dc-a" {
 			t.Fatalf("pool %q, step %+v, want a grant request to a pool outside of dc-a", c.Pool, s)
 		}
 	}
--- a/internal/core/forward/forward_test.go
+++ b/internal/core/forward/forward_test.go
@@ -318,9 +318,9 @@
 func TestAnUpstreamReportedAsFailingIsAvoided(t *testing.T) {
 	g := gate(t, 3)
 	for range 3 {
-		g.Failing(start, "u1", 0)
+		g.ReportFailure(start, "u1", 0)
 	}
-	g.Failing(start, "u2", 99) // about another run of u2, not the listed one
+	g.ReportFailure(start, "u2", 99) // about another run of u2, not the listed one
 	for k := range 12 {
 		c := admit(t, g, request("/once/1"))
 		if s := g.Start(start, c); s.Send.Upstream.ID == "u1" && k < 6 {
@@ -339,8 +339,8 @@
 func TestAnExpiredGrantIsNotUsed(t *testing.T) {
 	g := gate(t, 3)
 	c := admit(t, g, request("/stream/1"))
-	grant := msg.GrantAnswer{TTL: time.Second, Decision: placement.Decision{Kind: placement.Granted, Upstream: "u1"}}
-	if s := g.Granted(start.Add(time.Second), start, c, grant); !s.AskHome {
+	grant := msg.GrantResponse{TTL: time.Second, Decision: placement.Decision{Kind: placement.Granted, Upstream: "u1"}}
+	if s := g.Granted(start.Add(time.Second), start, c, grant); !s.RequestGrant {
 		t.Errorf("step %+v, want another grant request", s)
 	}
 	if s := g.Granted(start.Add(999*time.Millisecond), start, c, grant); s.Send == nil || s.Send.Upstream.ID != "u1" {
--- a/internal/core/forward/health.go
+++ b/internal/core/forward/health.go
@@ -10,10 +10,10 @@
 // upstream for three more heartbeats.
 const dialBackoff = 1500 * time.Millisecond
 
-// Failing records another instance's report of a failed call at an upstream. born identifies the
-// upstream's run, in Unix milliseconds; reports about other runs are ignored. An instance with a
-// bad network reports all upstreams alike, which does not affect the choice among them.
-func (g *Gate) Failing(now time.Time, id string, born int64) {
+// ReportFailure records another instance's report of a failed call at an upstream. born identifies
+// the upstream's run, in Unix milliseconds; reports about other runs are ignored. An instance with
+// a bad network reports all upstreams alike, which does not affect the choice among them.
+func (g *Gate) ReportFailure(now time.Time, id string, born int64) {
 	if u := g.roster.Find(id); u != nil && u.Born == born {
 		g.noteFailure(now, g.load(u))
 	}
--- a/internal/core/forward/home.go
+++ b/internal/core/forward/home.go
@@ -15,25 +15,25 @@
 	// HomeTimeout is how long an entry waits for the home's first response before it chooses
 	// the upstream itself.
 	HomeTimeout = 60 * time.Millisecond
-	// AskInterval is the interval at which the grant request of a queued call is repeated, to
-	// detect a dead home.
-	AskInterval = 400 * time.Millisecond
+	// GrantRetryInterval is the interval at which the grant request of a queued call is repeated,
+	// to detect a dead home.
+	GrantRetryInterval = 400 * time.Millisecond
 	// maxWaitTargets bounds the queueing time, in multiples of the target latency. Callers
 	// abandon a silent stream after four target latencies.
 	maxWaitTargets = 3.0
 )
 
-// Ask returns the grant request to the home of a call's pool.
-func (g *Gate) Ask(now time.Time, c *Call) msg.GrantAsk {
-	ask := placement.Ask{
-		Attempt: c.Grant(), Org: c.Organisation, Fingerprint: c.Print, Prompt: max(c.PromptTokens, 1),
+// GrantRequest returns the grant request to the home of a call's pool.
+func (g *Gate) GrantRequest(now time.Time, c *Call) msg.GrantRequest {
+	req := placement.Request{
+		Attempt: c.Grant(), Org: c.Organisation, Fingerprint: c.Fingerprint, Prompt: max(c.PromptTokens, 1),
 		MaxOutput: max(c.MaxOutput, 1), Expected: c.Hint, MaxWait: c.maxWait(now), FirstTarget: c.Route.Target,
 		DataCentres: g.allowedDataCentres(c),
 	}
 	for _, u := range c.tried {
-		ask.Exclude = append(ask.Exclude, u.ID)
+		req.Exclude = append(req.Exclude, u.ID)
 	}
-	return msg.GrantAsk{Pool: c.Pool, Ask: ask}
+	return msg.GrantRequest{Pool: c.Pool, Request: req}
 }
 
 // maxPools is the maximum number of pools of a divided service that are asked for a grant of one
@@ -45,7 +45,7 @@
 // have been asked.
 func (g *Gate) nextPool(c *Call) bool {
 	layout, _ := g.roster.Layout()
-	pools := []roster.Group{roster.Whole(c.Service)}
+	pools := []roster.Group{roster.Undivided(c.Service)}
 	if layout[c.Service] != nil {
 		pools = slices.DeleteFunc(layout.Groups(c.Service, ""), func(p roster.Group) bool { return !g.mayUse(c, p.DataCentre) })
 		near := slices.DeleteFunc(slices.Clone(pools), func(p roster.Group) bool { return p.DataCentre != g.options.DataCentre })
@@ -66,7 +66,7 @@
 // is divided into groups again.
 func (g *Gate) PoolOf(a *Attempt) string {
 	layout, _ := g.roster.Layout()
-	return layout.Of(a.Entry).Name()
+	return layout.GroupOf(a.Entry).Name()
 }
 
 // Grant returns the id under which the home knows the current attempt.
@@ -91,12 +91,12 @@
 // Granted processes a grant that was requested at the time asked. An expired grant is requested
 // again: the entry may have been frozen in between. If the granted upstream is unknown or takes
 // no work, the entry chooses one itself.
-func (g *Gate) Granted(now, asked time.Time, c *Call, a msg.GrantAnswer) Step {
+func (g *Gate) Granted(now, asked time.Time, c *Call, a msg.GrantResponse) Step {
 	if a.TTL > 0 && now.Sub(asked) >= a.TTL {
-		return Step{AskHome: true, Why: GrantLapsed}
+		return Step{RequestGrant: true, Why: GrantExpired}
 	}
 	u := g.roster.Find(a.Decision.Upstream)
-	if u == nil && a.Entry != nil && !g.roster.Left(*a.Entry) {
+	if u == nil && a.Entry != nil && !g.roster.RecentlyRemoved(*a.Entry) {
 		u = g.unlistedUpstream(now, *a.Entry)
 	}
 	if u == nil || !g.maySend(c, u) {
@@ -109,7 +109,7 @@
 func (g *Gate) unlistedUpstream(now time.Time, e roster.Entry) *roster.Upstream {
 	u := g.unlisted[e.ID]
 	if u == nil || u.Born != e.Born || u.Address != e.Address {
-		u = &roster.Upstream{Entry: e, Seen: now}
+		u = &roster.Upstream{Entry: e, FirstSeen: now}
 		g.unlisted[e.ID] = u
 	}
 	return u
@@ -124,7 +124,7 @@
 func (g *Gate) HomeRefused(c *Call, reason string, after time.Duration) Step {
 	if g.nextPool(c) {
 		c.grantRetries++
-		return Step{AskHome: true}
+		return Step{RequestGrant: true}
 	}
 	switch reason {
 	case placement.ReasonNoUpstream:
@@ -135,8 +135,8 @@
 	return g.refuse(c, PoolFull, after)
 }
 
-// HomeSilent makes the entry choose the upstream itself, because the home did not respond.
-func (g *Gate) HomeSilent(now time.Time, c *Call) Step { return g.send(now, c) }
+// HomeTimedOut makes the entry choose the upstream itself, because the home did not respond.
+func (g *Gate) HomeTimedOut(now time.Time, c *Call) Step { return g.send(now, c) }
 
 // Redirect records that a call's generation was moved to u: the next attempt continues from the
 // copy. fallback is an alternative for that attempt, such as the source, which keeps the
@@ -162,7 +162,7 @@
 	if left < minTimeLeft {
 		return g.failCall(c, OutOfTime, 0, c.Events > 0)
 	}
-	a.Entry, a.Number, a.Sent, a.Within, a.tokens = a.Upstream.Entry, c.sends, now, left, c.tokens()
+	a.Entry, a.Number, a.Sent, a.TimeLimit, a.tokens = a.Upstream.Entry, c.sends, now, left, c.tokens()
 	g.beginAttempt(c, a)
 	g.budget(c.Service).addRetry(now)
 	return Step{Send: a}
--- a/internal/core/forward/load.go
+++ b/internal/core/forward/load.go
@@ -54,7 +54,7 @@
 		if unlisted {
 			delete(g.unlisted, u.ID)
 		}
-		if unlisted || u.Gone {
+		if unlisted || u.Removed {
 			delete(g.loads, u)
 		}
 	}
--- a/internal/core/forward/pools_test.go
+++ b/internal/core/forward/pools_test.go
@@ -39,8 +39,8 @@
 	r.Replace(start, all, 600)
 	r.Divide(start)
 	layout, divided := r.Layout()
-	own := layout.Own("desk", o.DataCentre, o.Name, func(string) bool { return true })
-	g.Roster().Adopt(start, roster.Share{Version: 600, Layout: layout, Divided: divided, Groups: r.Copies(start, own)})
+	own := layout.GroupsFor("desk", o.DataCentre, o.Name, func(string) bool { return true })
+	g.Roster().Adopt(start, roster.ListUpdate{Version: 600, Layout: layout, LayoutVersion: divided, Groups: r.Copies(start, own)})
 	return g
 }
 
@@ -62,7 +62,7 @@
 	pools := map[string]int{}
 	for range 400 {
 		c := admit(t, g, request("/stream/1"))
-		if s := g.Start(start, c); !s.AskHome || roster.ParseGroup(c.Pool).DataCentre != "dc-a" {
+		if s := g.Start(start, c); !s.RequestGrant || roster.ParseGroup(c.Pool).DataCentre != "dc-a" {
 			t.Fatalf("pool %q, step %+v, want a grant request to a pool in dc-a", c.Pool, s)
 		}
 		pools[c.Pool]++
@@ -79,7 +79,7 @@
 	c := admit(t, g, request("/stream/1"))
 	g.Start(start, c)
 	first, grant := c.Pool, c.Grant()
-	if s := g.HomeRefused(c, placement.ReasonQueueFull, time.Second); !s.AskHome || c.Pool == first || c.Grant() == grant {
+	if s := g.HomeRefused(c, placement.ReasonQueueFull, time.Second); !s.RequestGrant || c.Pool == first || c.Grant() == grant {
 		t.Fatalf("pool %s after %s, step %+v, want a new grant request to another pool", c.Pool, first, s)
 	}
 	if s := g.HomeRefused(c, placement.ReasonQueueFull, time.Second); s.Refuse == nil || s.Refuse.RetryAfter != time.Second {
@@ -102,7 +102,7 @@
 	c := admit(t, g, request("/stream/1"))
 	g.Start(start, c)
 	e := roster.Entry{ID: "unknown", Service: "desk", Address: "unknown:80", DataCentre: "dc-c", Born: 7}
-	s := g.Granted(start, start, c, msg.GrantAnswer{
+	s := g.Granted(start, start, c, msg.GrantResponse{
 		Pool: c.Pool, Entry: &e, TTL: time.Second, Decision: placement.Decision{Kind: placement.Granted, Upstream: e.ID},
 	})
 	if s.Send == nil || s.Send.Entry != e {
@@ -126,7 +126,7 @@
 	g.Start(start, c)
 	removed := g.Roster().All()[0].Entry
 	g.Roster().Update(start, []roster.Change{{ID: removed.ID, Version: 601, Removed: true}}, 601)
-	s := g.Granted(start, start, c, msg.GrantAnswer{
+	s := g.Granted(start, start, c, msg.GrantResponse{
 		Pool: c.Pool, Entry: &removed, TTL: time.Second, Decision: placement.Decision{Kind: placement.Granted, Upstream: removed.ID},
 	})
 	if s.Send != nil && s.Send.Entry.ID == removed.ID {
--- a/internal/core/forward/region_test.go
+++ b/internal/core/forward/region_test.go
@@ -52,7 +52,7 @@
 				}
 				s = g.Ended(start, call, Lost, false)
 			}
-			for _, dc := range g.Ask(start, call).Ask.DataCentres {
+			for _, dc := range g.GrantRequest(start, call).Request.DataCentres {
 				if twoRegions[dc] != c.region {
 					t.Errorf("%s: grant request allows data centre %s", c.name, dc)
 				}
@@ -66,8 +66,8 @@
 func TestUnrestrictedRequestsListNoDataCentres(t *testing.T) {
 	g := spreadGate(t, 1, twoRegions, nil)
 	c := admit(t, g, request("/stream/1"))
-	if ask := g.Ask(start, c); ask.Ask.DataCentres != nil {
-		t.Errorf("grant request %+v, want no data centres", ask)
+	if req := g.GrantRequest(start, c); req.Request.DataCentres != nil {
+		t.Errorf("grant request %+v, want no data centres", req)
 	}
 }
 
@@ -94,7 +94,7 @@
 	}
 	for range 20 {
 		c := admit(t, g, request("/stream/1"))
-		if s := g.Start(start, c); !s.AskHome || twoRegions[roster.ParseGroup(c.Pool).DataCentre] != "south" {
+		if s := g.Start(start, c); !s.RequestGrant || twoRegions[roster.ParseGroup(c.Pool).DataCentre] != "south" {
 			t.Fatalf("pool %q, step %+v, want a grant request to a pool in region south", c.Pool, s)
 		}
 	}
--- a/internal/core/forward/request.go
+++ b/internal/core/forward/request.go
@@ -23,8 +23,8 @@
 	PromptTokens int
 	MaxOutput    int
 	Hint         int
-	// Print is the fingerprint of path, key and body.
-	Print uint64
+	// Fingerprint is the fingerprint of path, key and body.
+	Fingerprint uint64
 	// Length is the Content-Length in bytes, -1 if unknown.
 	Length int64
 	// Replayable is set if the complete body is buffered, so that it can be sent again.
@@ -64,7 +64,7 @@
 	Unrepeatable  Reason = "not_repeatable"
 	Memory        Reason = "body_memory"
 	TooLarge      Reason = "body_too_large"
-	GrantLapsed   Reason = "grant_lapsed"
+	GrantExpired  Reason = "grant_lapsed"
 )
 
 // Refusal is an error response of the instance itself, not forwarded from an upstream.
@@ -118,11 +118,11 @@
 	// Number counts the attempts of the call from 1.
 	Number int
 	Sent   time.Time
-	// Within is the time limit passed to the upstream.
-	Within time.Duration
-	// GiveUp is when the attempt is cancelled in favour of another upstream; zero if only the
+	// TimeLimit is the time limit passed to the upstream.
+	TimeLimit time.Duration
+	// CancelAt is when the attempt is cancelled in favour of another upstream; zero if only the
 	// call's deadline limits it.
-	GiveUp time.Time
+	CancelAt time.Time
 	// CopyAt references the copy of a moved generation from which the upstream continues; ""
 	// starts from the beginning.
 	CopyAt string
@@ -188,8 +188,8 @@
 type Step struct {
 	Send   *Attempt
 	Refuse *Refusal
-	// AskHome requests a grant from the home of the call's pool.
-	AskHome bool
+	// RequestGrant requests a grant from the home of the call's pool.
+	RequestGrant bool
 	// Relay forwards the upstream's error response to the caller.
 	Relay bool
 	// Abort breaks off a response whose header was already delivered.
--- a/internal/core/forward/retry.go
+++ b/internal/core/forward/retry.go
@@ -35,7 +35,7 @@
 		if c.Pool == "" {
 			g.nextPool(c)
 		}
-		return Step{AskHome: true}
+		return Step{RequestGrant: true}
 	}
 	return g.send(now, c)
 }
@@ -79,10 +79,10 @@
 		return g.refuse(c, OutOfTime, 0)
 	}
 	c.sends++
-	a := &Attempt{Upstream: u, Entry: u.Entry, Number: c.sends, Sent: now, Within: left, tokens: c.tokens()}
+	a := &Attempt{Upstream: u, Entry: u.Entry, Number: c.sends, Sent: now, TimeLimit: left, tokens: c.tokens()}
 	c.tried = append(c.tried, u)
 	if c.Route.Kind == route.Idempotent && c.sends < c.Route.MaxAttempts {
-		a.GiveUp = now.Add(time.Duration(attemptTimeShare * float64(left)))
+		a.CancelAt = now.Add(time.Duration(attemptTimeShare * float64(left)))
 	}
 	g.beginAttempt(c, a)
 	if c.sends > 1 {
@@ -160,7 +160,7 @@
 	}
 	c.grantRetries++
 	s := g.nextStep(now, c)
-	if s.Send == nil && !s.AskHome {
+	if s.Send == nil && !s.RequestGrant {
 		return g.failAttempt(c, o, s.Why, begun)
 	}
 	return s
--- a/internal/core/forward/silence.go
+++ b/internal/core/forward/silence.go
@@ -43,15 +43,15 @@
 
 // Findings about silent streams.
 const (
-	// FindingWaits: no event is known to be missing, or the generation can be neither moved nor
+	// FindingWaiting: no event is known to be missing, or the generation can be neither moved nor
 	// repeated. The call keeps waiting.
-	FindingWaits Finding = "waits"
+	FindingWaiting Finding = "waits"
 	// FindingLinkSilent: the upstream produces events that do not arrive, and the generation can
 	// be moved.
 	FindingLinkSilent Finding = "link_silent"
-	// FindingGone: the upstream does not run the generation, or its events do not arrive and the
+	// FindingLost: the upstream does not run the generation, or its events do not arrive and the
 	// generation can be repeated at another upstream.
-	FindingGone Finding = "gone"
+	FindingLost Finding = "gone"
 )
 
 // silence tracks how long an attempt's stream has delivered no event, and the queries about it.
@@ -79,10 +79,10 @@
 	*s = silence{lastEvent: now, begun: true, nextQuery: now.Add(max(silenceFactor*r.MaxGap, minSilence))}
 }
 
-// QuestionDue reports whether a query to the upstream is due about a stream that has been silent
+// QueryDue reports whether a query to the upstream is due about a stream that has been silent
 // for too long, and schedules the next query. A network device may have lost track of the
 // connection, which then stays open but delivers nothing. Only engines report their generations.
-func (g *Gate) QuestionDue(now time.Time, c *Call) bool {
+func (g *Gate) QueryDue(now time.Time, c *Call) bool {
 	if g.options.Without.Has(mechanism.SilenceProbes) {
 		return false
 	}
@@ -98,26 +98,26 @@
 	return true
 }
 
-// Judge returns the diagnosis for an attempt from the upstream's report, which was requested at
+// Diagnose returns the diagnosis for an attempt from the upstream's report, which was requested at
 // the time asked. A stream whose events do not arrive is moved if the engine supports moves, else
 // abandoned if it can be resumed at another upstream.
-func (g *Gate) Judge(c *Call, a *Attempt, asked time.Time, r RunReport) Finding {
+func (g *Gate) Diagnose(c *Call, a *Attempt, asked time.Time, r RunReport) Finding {
 	switch {
 	case c.current != a || c.silence.lastEvent.After(asked):
-		return FindingWaits // an event has arrived since, or the attempt has ended
+		return FindingWaiting // an event has arrived since, or the attempt has ended
 	case r.Listed && r.Events > c.Events && g.canMove(c):
 		return FindingLinkSilent
 	case r.Listed && r.Events > c.Events && c.Route.Repeatable():
-		return FindingGone
+		return FindingLost
 	case r.Listed || r.Waiting > 0:
 		c.silence.missing = 0
-		return FindingWaits
+		return FindingWaiting
 	}
 	c.silence.missing++
 	if c.silence.missing < missingReports {
-		return FindingWaits
+		return FindingWaiting
 	}
-	return FindingGone
+	return FindingLost
 }
 
 // canMove reports whether the call's generation can be moved.
@@ -126,6 +126,6 @@
 	return s != nil && s.Engine != nil && s.Engine.Moves
 }
 
-// Refuge returns the upstream to which to move a generation whose connection is silent, or nil if
-// no upstream accepts it.
-func (g *Gate) Refuge(now time.Time, c *Call) *roster.Upstream { return g.choose(now, c) }
+// MoveTarget returns the upstream to which to move a generation whose connection is silent, or nil
+// if no upstream accepts it.
+func (g *Gate) MoveTarget(now time.Time, c *Call) *roster.Upstream { return g.choose(now, c) }
--- a/internal/core/forward/silence_test.go
+++ b/internal/core/forward/silence_test.go
@@ -34,16 +34,16 @@
 		want    Finding
 	}{
 		{"produced events that did not arrive", []RunReport{{Listed: true, Events: 8}}, FindingLinkSilent},
-		{"produced no more events than arrived", []RunReport{{Listed: true, Events: 5}, {Listed: true, Events: 5}}, FindingWaits},
-		{"preempted: queued at the upstream", []RunReport{{Waiting: 1}, {Waiting: 1}, {Waiting: 1}}, FindingWaits},
-		{"not listed once: the report lags", []RunReport{{}, {Listed: true, Events: 5}, {}}, FindingWaits},
-		{"not listed twice in a row", []RunReport{{}, {}}, FindingGone},
+		{"produced no more events than arrived", []RunReport{{Listed: true, Events: 5}, {Listed: true, Events: 5}}, FindingWaiting},
+		{"preempted: queued at the upstream", []RunReport{{Waiting: 1}, {Waiting: 1}, {Waiting: 1}}, FindingWaiting},
+		{"not listed once: the report lags", []RunReport{{}, {Listed: true, Events: 5}, {}}, FindingWaiting},
+		{"not listed twice in a row", []RunReport{{}, {}}, FindingLost},
 	} {
 		g, call, a := silentStream(t, "/stream/1")
-		now, got := start, FindingWaits
+		now, got := start, FindingWaiting
 		for _, r := range c.reports {
 			now = now.Add(time.Second)
-			got = g.Judge(call, a, now, r)
+			got = g.Diagnose(call, a, now, r)
 		}
 		if got != c.want {
 			t.Errorf("%s: finding %s, want %s", c.name, got, c.want)
@@ -58,10 +58,10 @@
 	g, c, a := silentStream(t, "/stream/1")
 	asked := start.Add(400 * time.Millisecond)
 	c.Progress(start.Add(500*time.Millisecond), "x")
-	if f := g.Judge(c, a, asked, RunReport{Listed: true, Events: 9}); f != FindingWaits {
+	if f := g.Diagnose(c, a, asked, RunReport{Listed: true, Events: 9}); f != FindingWaiting {
 		t.Errorf("event since the query: finding %s, want FindingWaits", f)
 	}
-	if f := g.Judge(c, &Attempt{}, start.Add(time.Second), RunReport{Listed: true, Events: 9}); f != FindingWaits {
+	if f := g.Diagnose(c, &Attempt{}, start.Add(time.Second), RunReport{Listed: true, Events: 9}); f != FindingWaiting {
 		t.Errorf("another attempt: finding %s, want FindingWaits", f)
 	}
 }
@@ -72,7 +72,7 @@
 	g, c, _ := silentStream(t, "/stream/1")
 	var at []time.Duration
 	for d := time.Duration(0); d < 12*time.Second; d += 50 * time.Millisecond {
-		if g.QuestionDue(start.Add(d), c) {
+		if g.QueryDue(start.Add(d), c) {
 			at = append(at, d)
 		}
 	}
@@ -83,7 +83,7 @@
 		t.Errorf("queries after %v, want %v between the last two", at, maxQueryInterval)
 	}
 	c.Progress(start.Add(12*time.Second), "x")
-	if g.QuestionDue(start.Add(12*time.Second+minSilence-1), c) {
+	if g.QueryDue(start.Add(12*time.Second+minSilence-1), c) {
 		t.Error("query right after an event")
 	}
 }
@@ -94,14 +94,14 @@
 // handle the query as a request.
 func TestSilentStreamsOfAnEngineWithoutMoves(t *testing.T) {
 	report := RunReport{Listed: true, Events: 8}
-	for path, want := range map[string]Finding{"/stream/1": FindingWaits, "/resumable/1": FindingGone} {
+	for path, want := range map[string]Finding{"/stream/1": FindingWaiting, "/resumable/1": FindingLost} {
 		g, c, a := silentStream(t, path)
 		g.table.Service("desk").Engine.Moves = false
-		if got := g.Judge(c, a, start.Add(time.Second), report); got != want {
+		if got := g.Diagnose(c, a, start.Add(time.Second), report); got != want {
 			t.Errorf("%s: finding %s, want %s", path, got, want)
 		}
 		g.table.Service("desk").Engine = nil
-		if g.QuestionDue(start.Add(time.Minute), c) {
+		if g.QueryDue(start.Add(time.Minute), c) {
 			t.Errorf("%s: query to a service that is not an engine", path)
 		}
 	}
--- a/internal/core/guard.go
+++ b/internal/core/guard.go
@@ -34,7 +34,7 @@
 }
 
 // track records an attempt's fingerprint and the time at which its entry was last seen.
-func (g *crashGuard) track(now time.Time, req placement.Ask) {
+func (g *crashGuard) track(now time.Time, req placement.Request) {
 	p := g.attempts[req.Attempt]
 	p.fingerprint, p.lastSeen = req.Fingerprint, now
 	g.attempts[req.Attempt] = p
@@ -104,37 +104,37 @@
 
 // screen reports whether a grant request may proceed to placement. If not, it replies to the request
 // or holds it.
-func (i *Instance) screen(now time.Time, h *poolHome, from string, m *msg.GrantAsk) bool {
+func (i *Instance) screen(now time.Time, h *poolHome, from string, m *msg.GrantRequest) bool {
 	if i.awaitVerdict(now, h, from, *m) {
 		return false
 	}
-	if !h.hasOther(i.version, m.Ask.Exclude) {
-		m.Ask.Exclude = nil // no other upstream: retry on the one that failed
+	if !h.hasOther(i.version, m.Request.Exclude) {
+		m.Request.Exclude = nil // no other upstream: retry on the one that failed
 	}
-	switch i.classify(now, h, m.Ask.Fingerprint) {
+	switch i.classify(now, h, m.Request.Fingerprint) {
 	case suspect.Refused:
-		i.sendDecision(h, i.refusePoison(now, m.Ask))
+		i.sendDecision(h, i.refusePoison(now, m.Request))
 		return false
 	case suspect.Suspected:
-		m.Ask.Suspect = true
-		m.Ask.Exclude = append(slices.Clone(m.Ask.Exclude), i.upstreamsToAvoid(now, h, m.Ask.Fingerprint)...)
-		if i.suspectMustWait(now, h, m.Ask) || !h.hasOther(i.version, m.Ask.Exclude) {
-			i.sendDecision(h, queueSuspect(m.Ask))
+		m.Request.Suspect = true
+		m.Request.Exclude = append(slices.Clone(m.Request.Exclude), i.upstreamsToAvoid(now, h, m.Request.Fingerprint)...)
+		if i.suspectMustWait(now, h, m.Request) || !h.hasOther(i.version, m.Request.Exclude) {
+			i.sendDecision(h, queueSuspect(m.Request))
 			return false
 		}
 	case suspect.Clean:
 	}
-	if exclude := append(slices.Clone(m.Ask.Exclude), h.failures.avoided(now)...); h.hasOther(i.version, exclude) {
-		m.Ask.Exclude = exclude
+	if exclude := append(slices.Clone(m.Request.Exclude), h.failures.avoided(now)...); h.hasOther(i.version, exclude) {
+		m.Request.Exclude = exclude
 	}
-	h.guard.track(now, m.Ask)
+	h.guard.track(now, m.Request)
 	return true
 }
 
 // classify returns the verdict on a fingerprint. A failure on an upstream that has not reported
 // since counts as a strike, as the upstream may have gone down together with its host.
 func (i *Instance) classify(now time.Time, h *poolHome, fingerprint uint64) suspect.Verdict {
-	v := i.suspects.Judge(now, fingerprint)
+	v := i.suspects.Verdict(now, fingerprint)
 	if v == suspect.Clean && len(h.guard.unconfirmedStrikes(fingerprint)) > 0 {
 		return suspect.Suspected
 	}
@@ -144,7 +144,7 @@
 // suspectMustWait reports whether a suspect may not run yet. A request with one crash could reach
 // three crashes if two attempts of it ran at once. A new home does not know the running attempts
 // until the entries have announced them, within a second. The entry repeats its request.
-func (i *Instance) suspectMustWait(now time.Time, h *poolHome, req placement.Ask) bool {
+func (i *Instance) suspectMustWait(now time.Time, h *poolHome, req placement.Request) bool {
 	return h.guard.otherRuns(req.Attempt, req.Fingerprint) || h.guard.hasPendingVerdict(req.Fingerprint) ||
 		now.Sub(h.createdAt) < 2*announceInterval || i.mayReachMaxStrikes(h, req.Fingerprint)
 }
@@ -164,7 +164,7 @@
 
 // queueSuspect returns the decision for a suspect that may not run yet: queued if its request can
 // wait, otherwise refused.
-func queueSuspect(req placement.Ask) placement.Decision {
+func queueSuspect(req placement.Request) placement.Decision {
 	if req.MaxWait > 0 {
 		return placement.Decision{Attempt: req.Attempt, Kind: placement.Queued}
 	}
@@ -174,10 +174,10 @@
 }
 
 // refusePoison returns the refusal of an attempt whose fingerprint has too many strikes.
-func (i *Instance) refusePoison(now time.Time, req placement.Ask) placement.Decision {
+func (i *Instance) refusePoison(now time.Time, req placement.Request) placement.Decision {
 	return placement.Decision{
 		Attempt: req.Attempt, Kind: placement.Refused, Reason: placement.ReasonPoison,
-		RetryAfter: i.suspects.Until(req.Fingerprint).Sub(now),
+		RetryAfter: i.suspects.ExpiresAt(req.Fingerprint).Sub(now),
 	}
 }
 
@@ -189,7 +189,7 @@
 	if !ok || d.Kind != placement.Granted || fingerprint == 0 {
 		return d, false
 	}
-	req := placement.Ask{Attempt: d.Attempt, Fingerprint: fingerprint}
+	req := placement.Request{Attempt: d.Attempt, Fingerprint: fingerprint}
 	switch i.classify(now, h, fingerprint) {
 	case suspect.Refused:
 		return i.refusePoison(now, req), true
--- a/internal/core/membership/view.go
+++ b/internal/core/membership/view.go
@@ -140,11 +140,11 @@
 	}
 }
 
-// Heard ends the suspicion of an instance from which a message was received.
-func (v *View) Heard(name string) { delete(v.suspects, name) }
+// ClearSuspicion ends the suspicion of an instance from which a message was received.
+func (v *View) ClearSuspicion(name string) { delete(v.suspects, name) }
 
-// Entries returns the names of the live instances, sorted.
-func (v *View) Entries() []string { return v.entries }
+// LiveInstances returns the names of the live instances, sorted.
+func (v *View) LiveInstances() []string { return v.entries }
 
 // Instances returns the names of the live and the leaving instances, sorted.
 func (v *View) Instances() []string {
--- a/internal/core/membership/view_test.go
+++ b/internal/core/membership/view_test.go
@@ -30,12 +30,12 @@
 			v := NewView(entry("self", "s"))
 			v.Update(start, []Member{entry("other", "old")})
 			v.MarkLeaving(start, "other")
-			if slices.Contains(v.Entries(), "other") {
+			if slices.Contains(v.LiveInstances(), "other") {
 				t.Error("instance is still an entry right after MarkLeaving")
 			}
 			now := start.Add(c.after)
 			v.Update(now, []Member{entry("other", c.address)})
-			if got := slices.Contains(v.Entries(), "other"); got != c.want {
+			if got := slices.Contains(v.LiveInstances(), "other"); got != c.want {
 				t.Errorf("instance is an entry = %v, want %v", got, c.want)
 			}
 		})
--- a/internal/core/msg/config.go
+++ b/internal/core/msg/config.go
@@ -5,41 +5,41 @@
 // Message kinds for the configuration and for draining instances. They have their own range of
 // numbers.
 const (
-	KindConfigAsk Kind = iota + 48
-	KindConfigObjectAsk
+	KindConfigRequest Kind = iota + 48
+	KindConfigObjectRequest
 	KindConfigObjectPart
 	KindLeaving
 )
 
-// ConfigTold announces which version of the configuration the sender has. It is a response to a
-// ConfigAsk or sent without a request.
-type ConfigTold struct {
+// ConfigVersion announces which version of the configuration the sender has. It is a response to a
+// ConfigRequest or sent without a request.
+type ConfigVersion struct {
 	// Number is 0 if the sender has no configuration.
 	Number int64
 	Hash   string
 	// Cordoned lists the data centres that are cordoned as of that version.
 	Cordoned []string
-	// Confirmed is the time, as of sending, since the sender last confirmed that no newer
+	// ConfirmedAge is the time, as of sending, since the sender last confirmed that no newer
 	// version was in force.
-	Confirmed time.Duration
-	// Ask is the number of the ConfigAsk that this message answers; 0 if it was sent without a
-	// request.
-	Ask int64
-	// Down is set while the sender receives no response from the table, nor from an instance
+	ConfirmedAge time.Duration
+	// Request is the number of the ConfigRequest that this message answers; 0 if it was sent
+	// without a request.
+	Request int64
+	// TableDown is set while the sender receives no response from the table, nor from an instance
 	// that does.
-	Down bool
+	TableDown bool
 }
 
-// ConfigAsk requests a ConfigTold.
-type ConfigAsk struct {
-	// Ask is the number of the request. The response repeats it.
-	Ask int64
+// ConfigRequest requests a ConfigVersion.
+type ConfigRequest struct {
+	// Number is the number of the request. The response repeats it.
+	Number int64
 	// Address is the requester's peer address, which the instance list may not contain yet.
 	Address string
 }
 
-// ConfigObjectAsk requests a part of a published configuration, starting at Offset in bytes.
-type ConfigObjectAsk struct {
+// ConfigObjectRequest requests a part of a published configuration, starting at Offset in bytes.
+type ConfigObjectRequest struct {
 	Hash   string
 	Offset int
 	// Address is the requester's peer address.
@@ -59,13 +59,13 @@
 type Leaving struct{}
 
 // Kind implements Message.
-func (ConfigTold) Kind() Kind { return KindConfigTold }
+func (ConfigVersion) Kind() Kind { return KindConfigVersion }
 
 // Kind implements Message.
-func (ConfigAsk) Kind() Kind { return KindConfigAsk }
+func (ConfigRequest) Kind() Kind { return KindConfigRequest }
 
 // Kind implements Message.
-func (ConfigObjectAsk) Kind() Kind { return KindConfigObjectAsk }
+func (ConfigObjectRequest) Kind() Kind { return KindConfigObjectRequest }
 
 // Kind implements Message.
 func (ConfigObjectPart) Kind() Kind { return KindConfigObjectPart }
--- a/internal/core/msg/fleet.go
+++ b/internal/core/msg/fleet.go
@@ -11,16 +11,16 @@
 // numbers.
 const (
 	KindHeartbeat Kind = iota + 64
-	KindSyncAsk
-	KindSyncAnswer
+	KindSyncRequest
+	KindSyncResponse
 	KindMoveOrder
-	KindMoved
-	KindFailing
-	KindBegun
-	KindJoinAsk
-	KindJoinAnswer
+	KindMoveResult
+	KindUpstreamFailing
+	KindFirstToken
+	KindJoinRequest
+	KindJoinResponse
 	KindPresences
-	KindPresenceAsk
+	KindPresenceRequest
 )
 
 // Heartbeat announces that the sender is alive and at which addresses it can be reached.
@@ -33,43 +33,43 @@
 	Boot string
 	// Ready is set if callers may be sent to the sender.
 	Ready bool
-	// Reads is set if the platform's store responds to the sender.
-	Reads bool
+	// StoreReachable is set if the platform's store responds to the sender.
+	StoreReachable bool
 	// Leaving is set if the sender drains.
 	Leaving bool
-	// Settled is set once the sender has been alive for long enough to read the store or relay
+	// Eligible is set once the sender has been alive for long enough to read the store or relay
 	// updates for others.
-	Settled bool
-	// Hears is set if the sender has recently received heartbeats of the receiver. If it is not
-	// set, messages on the receiver's connection to the sender may be lost.
-	Hears bool
+	Eligible bool
+	// ReceivesYours is set if the sender has recently received heartbeats of the receiver. If it is
+	// not set, messages on the receiver's connection to the sender may be lost.
+	ReceivesYours bool
 	// Class is the capacity class of the sender's machine: the number of times that its link
 	// bandwidth in Mbit/s can be halved until it is less than 1. Instances of the highest class
 	// are preferred for work on behalf of others.
 	Class uint8
-	// Answer asks the receiver to send a heartbeat back, because the sender has just started
+	// WantsResponse asks the receiver to send a heartbeat back, because the sender has just started
 	// and must find the live instances.
-	Answer bool
+	WantsResponse bool
 }
 
-// JoinAsk requests the receiver's list of live instances. Like a heartbeat, it announces the
+// JoinRequest requests the receiver's list of live instances. Like a heartbeat, it announces the
 // sender.
-type JoinAsk struct {
+type JoinRequest struct {
 	Sender Heartbeat
-	// Known is a digest of the names in the sender's list of live instances.
-	Known uint64
+	// Digest is a digest of the names in the sender's list of live instances.
+	Digest uint64
 }
 
-// JoinAnswer is the response to a JoinAsk.
-type JoinAnswer struct {
+// JoinResponse is the response to a JoinRequest.
+type JoinResponse struct {
 	// Instances lists live instances and Size is the number of all live ones; both are empty if
 	// the requester has the same list. In a large fleet, Instances contains only a few of each
 	// other data centre.
 	Instances []Heartbeat
 	Size      int
-	// Settled is set if the responding instance has been alive for long enough to know the
+	// Eligible is set if the responding instance has been alive for long enough to know the
 	// fleet.
-	Settled bool
+	Eligible bool
 	// Isolated is set if the responding instance no longer receives heartbeats from most
 	// instances that it knew.
 	Isolated bool
@@ -89,34 +89,34 @@
 	Members []Heartbeat
 	// Base is set if this is a change to an earlier list: the name of the relay in the same
 	// data centre, this one or another, that announced that list. Members then contains only
-	// instances that are new or changed, and Gone the names of those that are no longer alive.
-	Base string
-	Gone []string
+	// instances that are new or changed, and Removed the names of those that are no longer alive.
+	Base    string
+	Removed []string
 }
 
 // Presences announces the live instances of other data centres.
 type Presences struct{ List []Presence }
 
-// PresenceAsk requests the full lists that were announced in the name of some relays.
-type PresenceAsk struct{ Sources []string }
+// PresenceRequest requests the full lists that were announced in the name of some relays.
+type PresenceRequest struct{ Sources []string }
 
-// SyncAsk requests, from an instance that reads the platform's store, all updates newer than
+// SyncRequest requests, from an instance that reads the platform's store, all updates newer than
 // the requester's versions. It is answered as soon as there is an update or after a short time,
 // because a response also confirms that there is no update.
-type SyncAsk struct {
+type SyncRequest struct {
 	// Number identifies the request; Config is the version of the requester's configuration.
 	Number int64
 	Config int64
 	// Cordons is the version of the requester's cordons; 0 if it has none.
 	Cordons int64
-	List    roster.Question
+	List    roster.ListRequest
 	// Hold is the maximum time that the response may wait for an update; 0 leaves it to the
 	// receiver.
 	Hold time.Duration
 }
 
-// SyncAnswer is the response to a SyncAsk.
-type SyncAnswer struct {
+// SyncResponse is the response to a SyncRequest.
+type SyncResponse struct {
 	// Number is that of the request.
 	Number int64
 	// ConfigAge is the age of the sender's confirmation of its configuration: the time since it
@@ -132,7 +132,7 @@
 	// were confirmed together with the configuration.
 	Cordons *cordon.Set
 	// List is nil if the requester's list is up to date.
-	List *roster.Share
+	List *roster.ListUpdate
 }
 
 // MoveOrder instructs an entry to move a running generation to another upstream.
@@ -149,8 +149,8 @@
 	ToDataCentre string
 }
 
-// Moved reports the outcome of a MoveOrder.
-type Moved struct {
+// MoveResult reports the outcome of a MoveOrder.
+type MoveResult struct {
 	Pool    string
 	Attempt string
 	Number  int64
@@ -175,50 +175,50 @@
 	MoveFailed MoveOutcome = "failed"
 )
 
-// Failing announces that an upstream accepted a request of the sender and gave no usable
+// UpstreamFailing announces that an upstream accepted a request of the sender and gave no usable
 // response. Without it, each instance would detect the failure at the cost of its own callers.
-type Failing struct {
+type UpstreamFailing struct {
 	Upstream string
 	// Born identifies the run of the upstream.
 	Born int64
 }
 
-// Begun notifies a pool's home that the first token of an attempt has arrived: the prefill of
+// FirstToken notifies a pool's home that the first token of an attempt has arrived: the prefill of
 // its prompt is complete.
-type Begun struct {
+type FirstToken struct {
 	Pool    string
 	Attempt string
 }
 
 // Kind implements Message.
-func (Begun) Kind() Kind { return KindBegun }
+func (FirstToken) Kind() Kind { return KindFirstToken }
 
 // Kind implements Message.
-func (Failing) Kind() Kind { return KindFailing }
+func (UpstreamFailing) Kind() Kind { return KindUpstreamFailing }
 
 // Kind implements Message.
 func (Presences) Kind() Kind { return KindPresences }
 
 // Kind implements Message.
-func (PresenceAsk) Kind() Kind { return KindPresenceAsk }
+func (PresenceRequest) Kind() Kind { return KindPresenceRequest }
 
 // Kind implements Message.
-func (JoinAsk) Kind() Kind { return KindJoinAsk }
+func (JoinRequest) Kind() Kind { return KindJoinRequest }
 
 // Kind implements Message.
-func (JoinAnswer) Kind() Kind { return KindJoinAnswer }
+func (JoinResponse) Kind() Kind { return KindJoinResponse }
 
 // Kind implements Message.
 func (Heartbeat) Kind() Kind { return KindHeartbeat }
 
 // Kind implements Message.
-func (SyncAsk) Kind() Kind { return KindSyncAsk }
+func (SyncRequest) Kind() Kind { return KindSyncRequest }
 
 // Kind implements Message.
-func (SyncAnswer) Kind() Kind { return KindSyncAnswer }
+func (SyncResponse) Kind() Kind { return KindSyncResponse }
 
 // Kind implements Message.
 func (MoveOrder) Kind() Kind { return KindMoveOrder }
 
 // Kind implements Message.
-func (Moved) Kind() Kind { return KindMoved }
+func (MoveResult) Kind() Kind { return KindMoveResult }
--- a/internal/core/msg/msg.go
+++ b/internal/core/msg/msg.go
@@ -26,50 +26,50 @@
 }
 
 var kindNames = map[Kind]string{
-	KindGrantAsk: "grant_ask", KindGrantAnswer: "grant_answer", KindGrantEnd: "grant_end",
-	KindReserveAsk: "reserve_ask", KindReserveAnswer: "reserve_answer", KindSettle: "settle",
-	KindStrike: "strike", KindConfigTold: "config_told", KindAnnounce: "announce",
-	KindExplainAsk: "explain_ask", KindExplainAnswer: "explain_answer",
-	KindAdopted: "adopted", KindFollowAsk: "follow_ask", KindFollowAnswer: "follow_answer",
-	KindStrikesAsk: "strikes_ask", KindStrikes: "strikes",
-	KindConfigAsk: "config_ask", KindConfigObjectAsk: "config_object_ask", KindConfigObjectPart: "config_object_part", KindLeaving: "leaving",
-	KindHeartbeat: "heartbeat", KindSyncAsk: "sync_ask", KindSyncAnswer: "sync_answer",
-	KindMoveOrder: "move_order", KindMoved: "moved", KindFailing: "failing", KindBegun: "begun", KindJoinAsk: "join_ask", KindJoinAnswer: "join_answer",
-	KindPresences: "presences", KindPresenceAsk: "presence_ask",
+	KindGrantRequest: "grant_ask", KindGrantResponse: "grant_answer", KindGrantEnd: "grant_end",
+	KindReserveRequest: "reserve_ask", KindReserveResponse: "reserve_answer", KindSettle: "settle",
+	KindStrike: "strike", KindConfigVersion: "config_told", KindAnnounce: "announce",
+	KindExplainRequest: "explain_ask", KindExplainResponse: "explain_answer",
+	KindAdopted: "adopted", KindFollowRequest: "follow_ask", KindFollowResponse: "follow_answer",
+	KindStrikesRequest: "strikes_ask", KindStrikes: "strikes",
+	KindConfigRequest: "config_ask", KindConfigObjectRequest: "config_object_ask", KindConfigObjectPart: "config_object_part", KindLeaving: "leaving",
+	KindHeartbeat: "heartbeat", KindSyncRequest: "sync_ask", KindSyncResponse: "sync_answer",
+	KindMoveOrder: "move_order", KindMoveResult: "moved", KindUpstreamFailing: "failing", KindFirstToken: "begun", KindJoinRequest: "join_ask", KindJoinResponse: "join_answer",
+	KindPresences: "presences", KindPresenceRequest: "presence_ask",
 }
 
 // Message kinds that are not in one of the ranges of numbers below. Numbers are never reused.
 const (
-	KindGrantAsk Kind = iota + 1
-	KindGrantAnswer
+	KindGrantRequest Kind = iota + 1
+	KindGrantResponse
 	KindGrantEnd
-	KindReserveAsk
-	KindReserveAnswer
+	KindReserveRequest
+	KindReserveResponse
 	KindSettle
 	KindStrike
-	KindConfigTold
+	KindConfigVersion
 	KindAnnounce
-	KindExplainAsk
-	KindExplainAnswer
+	KindExplainRequest
+	KindExplainResponse
 )
 
 // Message kinds for resumed streams, orphans and strikes. They have their own range of numbers.
 const (
 	KindAdopted Kind = iota + 32
-	KindFollowAsk
-	KindFollowAnswer
-	KindStrikesAsk
+	KindFollowRequest
+	KindFollowResponse
+	KindStrikesRequest
 	KindStrikes
 )
 
-// GrantAsk requests the permission of a pool's home to run an attempt. It is idempotent by
+// GrantRequest requests the permission of a pool's home to run an attempt. It is idempotent by
 // attempt and repeated while the entry waits.
-type GrantAsk struct {
-	Pool string
-	Ask  placement.Ask
-	// Failed is the upstream whose failure caused this attempt. The home checks whether it has
-	// crashed before it grants the attempt.
-	Failed string
+type GrantRequest struct {
+	Pool    string
+	Request placement.Request
+	// FailedUpstream is the upstream whose failure caused this attempt. The home checks whether it
+	// has crashed before it grants the attempt.
+	FailedUpstream string
 	// FailedBoot identifies the run of that upstream on which the previous attempt failed. It
 	// is empty if the request cannot have reached the upstream.
 	FailedBoot string
@@ -77,9 +77,9 @@
 	Number int
 }
 
-// GrantAnswer is the response to a GrantAsk. It is sent at once, and again when a queued
+// GrantResponse is the response to a GrantRequest. It is sent at once, and again when a queued
 // attempt is granted.
-type GrantAnswer struct {
+type GrantResponse struct {
 	Pool     string
 	Decision placement.Decision
 	// Address is the upstream's address for calls, if the attempt is granted.
@@ -108,16 +108,16 @@
 	Fingerprint uint64
 	// Unreachable is set if no connection to Upstream could be made.
 	Unreachable bool
-	// Cut is set if the caller had disconnected. Tokens is then not the length of a complete
-	// answer; the same holds for a failed attempt.
-	Cut bool
+	// CallerDisconnected is set if the caller had disconnected. Tokens is then not the length of a
+	// complete answer; the same holds for a failed attempt.
+	CallerDisconnected bool
 }
 
-// ReserveAsk requests a reservation from the home of an organisation.
-type ReserveAsk struct{ Ask budget.Ask }
+// ReserveRequest requests a reservation from the home of an organisation.
+type ReserveRequest struct{ Request budget.Request }
 
-// ReserveAnswer is the response to a ReserveAsk.
-type ReserveAnswer struct{ Answer budget.Answer }
+// ReserveResponse is the response to a ReserveRequest.
+type ReserveResponse struct{ Response budget.Response }
 
 // Settle ends a reservation and reports what was used.
 type Settle struct {
@@ -137,11 +137,11 @@
 	Age time.Duration
 }
 
-// StrikesAsk requests the strikes recorded by an instance: an instance that has just started
+// StrikesRequest requests the strikes recorded by an instance: an instance that has just started
 // has none, and a Strike can be lost.
-type StrikesAsk struct{}
+type StrikesRequest struct{}
 
-// Strikes is the response to a StrikesAsk, with the newest strike first.
+// Strikes is the response to a StrikesRequest, with the newest strike first.
 type Strikes struct{ List []Strike }
 
 // Adopted notifies an entry that another entry has taken over a generation, because its caller
@@ -151,16 +151,16 @@
 	Attempt string
 }
 
-// FollowAsk asks an instance which of some attempts it follows for a caller. A home sends it to
+// FollowRequest asks an instance which of some attempts it follows for a caller. A home sends it to
 // every instance before it cancels a generation that no entry announces.
-type FollowAsk struct {
+type FollowRequest struct {
 	Pool     string
 	Attempts []string
 }
 
-// FollowAnswer is the response to a FollowAsk. Following lists those of Attempts that the
+// FollowResponse is the response to a FollowRequest. Following lists those of Attempts that the
 // instance follows.
-type FollowAnswer struct {
+type FollowResponse struct {
 	Pool      string
 	Attempts  []string
 	Following []string
@@ -175,7 +175,7 @@
 
 // RunningAttempt is one running attempt in an Announce.
 type RunningAttempt struct {
-	Ask      placement.Ask
+	Request  placement.Request
 	Upstream string
 	Tokens   int
 	// Pace is the time between tokens while the upstream computes no prompt in the same batch;
@@ -183,32 +183,32 @@
 	Pace time.Duration
 }
 
-// ExplainAsk requests the decisions recorded for a request.
-type ExplainAsk struct {
+// ExplainRequest requests the decisions recorded for a request.
+type ExplainRequest struct {
 	ID      uint64
 	Request string
 }
 
-// ExplainAnswer is the response to an ExplainAsk: the recorded decisions, oldest first.
-type ExplainAnswer struct {
+// ExplainResponse is the response to an ExplainRequest: the recorded decisions, oldest first.
+type ExplainResponse struct {
 	ID    uint64
 	Lines []string
 }
 
 // Kind implements Message.
-func (GrantAsk) Kind() Kind { return KindGrantAsk }
+func (GrantRequest) Kind() Kind { return KindGrantRequest }
 
 // Kind implements Message.
-func (GrantAnswer) Kind() Kind { return KindGrantAnswer }
+func (GrantResponse) Kind() Kind { return KindGrantResponse }
 
 // Kind implements Message.
 func (GrantEnd) Kind() Kind { return KindGrantEnd }
 
 // Kind implements Message.
-func (ReserveAsk) Kind() Kind { return KindReserveAsk }
+func (ReserveRequest) Kind() Kind { return KindReserveRequest }
 
 // Kind implements Message.
-func (ReserveAnswer) Kind() Kind { return KindReserveAnswer }
+func (ReserveResponse) Kind() Kind { return KindReserveResponse }
 
 // Kind implements Message.
 func (Settle) Kind() Kind { return KindSettle }
@@ -220,10 +220,10 @@
 func (Announce) Kind() Kind { return KindAnnounce }
 
 // Kind implements Message.
-func (ExplainAsk) Kind() Kind { return KindExplainAsk }
+func (ExplainRequest) Kind() Kind { return KindExplainRequest }
 
 // Kind implements Message.
-func (StrikesAsk) Kind() Kind { return KindStrikesAsk }
+func (StrikesRequest) Kind() Kind { return KindStrikesRequest }
 
 // Kind implements Message.
 func (Strikes) Kind() Kind { return KindStrikes }
@@ -232,10 +232,10 @@
 func (Adopted) Kind() Kind { return KindAdopted }
 
 // Kind implements Message.
-func (FollowAsk) Kind() Kind { return KindFollowAsk }
+func (FollowRequest) Kind() Kind { return KindFollowRequest }
 
 // Kind implements Message.
-func (FollowAnswer) Kind() Kind { return KindFollowAnswer }
+func (FollowResponse) Kind() Kind { return KindFollowResponse }
 
 // Kind implements Message.
-func (ExplainAnswer) Kind() Kind { return KindExplainAnswer }
+func (ExplainResponse) Kind() Kind { return KindExplainResponse }
--- a/internal/core/notrun_test.go
+++ b/internal/core/notrun_test.go
@@ -36,7 +36,7 @@
 	}
 	switch v % kinds {
 	case 5:
-		sim.handle(n, core.CallerGone{ID: d.Request})
+		sim.handle(n, core.CallerDisconnected{ID: d.Request})
 		return
 	case 6:
 		reached[d.Request], reached[d.Attempt] = true, true
@@ -48,7 +48,7 @@
 	if sent {
 		reached[d.Request], reached[d.Attempt] = true, true
 	}
-	sim.handle(n, core.UpstreamFailed{Request: d.Request, Attempt: d.Attempt, Link: d.Link, Sent: sent, Gone: arg/10%2 == 0, Step: "send", Err: "x"})
+	sim.handle(n, core.UpstreamFailed{Request: d.Request, Attempt: d.Attempt, Link: d.Link, Sent: sent, NotFound: arg/10%2 == 0, Step: "send", Err: "x"})
 }
 
 // Guards against the outcome not_run for a request that reached an engine. Generations
--- a/internal/core/order/machine.go
+++ b/internal/core/order/machine.go
@@ -30,7 +30,7 @@
 )
 
 // Machine orders one upstream to load versions on behalf of one home. Several homes may have a
-// machine for the same upstream if their views differ; the row and the Quiet period keep their
+// machine for the same upstream if their views differ; the row and QuietPeriod keep their
 // orders apart.
 type Machine struct {
 	upstream string
@@ -77,7 +77,7 @@
 
 // Report processes an upstream's report: the version that it runs and the number of its running
 // generations.
-func (m *Machine) Report(now time.Time, version string, running int) []Out {
+func (m *Machine) Report(now time.Time, version string, running int) []Action {
 	m.actualVersion, m.running = version, running
 	if m.step == confirming && m.tookEffect() {
 		return m.recordConfirmed(now)
@@ -86,7 +86,7 @@
 }
 
 // Tick performs the actions that are due.
-func (m *Machine) Tick(now time.Time) []Out {
+func (m *Machine) Tick(now time.Time) []Action {
 	if now.Before(m.resumeAt) {
 		return nil
 	}
@@ -96,9 +96,9 @@
 			return nil
 		}
 		m.setStep(now, requestingTurn)
-		return []Out{{Turn: true}}
+		return []Action{{Turn: true}}
 	case draining:
-		if m.running > 0 && now.Sub(m.stepStart) < EmptyMax {
+		if m.running > 0 && now.Sub(m.stepStart) < DrainTimeout {
 			return nil
 		}
 		return m.readRow(now)
@@ -106,12 +106,12 @@
 		return m.writeOrder(now)
 	case requestingTurn, reading, writing, recording:
 		// An overdue response is assumed to be lost: start again.
-		if now.Sub(m.stepStart) > Quiet {
+		if now.Sub(m.stepStart) > QuietPeriod {
 			m.setStep(now, idle)
 		}
 	case confirming:
 		// An order that did not take effect in time is repeated, starting with the row.
-		if now.Sub(m.stepStart) > Quiet {
+		if now.Sub(m.stepStart) > QuietPeriod {
 			return m.readRow(now)
 		}
 	}
@@ -132,14 +132,14 @@
 
 func (m *Machine) backOff(now time.Time) { m.resumeAt = now.Add(retryDelay) }
 
-func (m *Machine) readRow(now time.Time) []Out {
+func (m *Machine) readRow(now time.Time) []Action {
 	m.setStep(now, reading)
-	return []Out{{Read: true}}
+	return []Action{{Read: true}}
 }
 
-// Turn processes the weight store's response: the time to wait for a turn to load, 0 if the turn
+// OnTurn processes the weight store's response: the time to wait for a turn to load, 0 if the turn
 // is granted. ok is false if there was no response.
-func (m *Machine) Turn(now time.Time, wait time.Duration, ok bool) []Out {
+func (m *Machine) OnTurn(now time.Time, wait time.Duration, ok bool) []Action {
 	if m.step != requestingTurn {
 		return nil
 	}
@@ -152,8 +152,8 @@
 	return nil
 }
 
-// ReadBack processes the row that was read; ok is false if the table did not respond.
-func (m *Machine) ReadBack(now time.Time, row table.Row, ok bool) []Out {
+// OnRow processes the row that was read; ok is false if the table did not respond.
+func (m *Machine) OnRow(now time.Time, row table.Row, ok bool) []Action {
 	if m.step != reading {
 		return nil
 	}
@@ -186,17 +186,17 @@
 
 // earliestWrite returns the earliest time at which the next order may be written. An upstream
 // that ignores fencing numbers would execute a paused sender's old order after a newer one. Once
-// Quiet has passed since the row was first seen, the old order's lease has expired and every
+// QuietPeriod has passed since the row was first seen, the old order's lease has expired and every
 // message with it has ended.
 func (m *Machine) earliestWrite(now time.Time) time.Time {
 	if m.checksFencing || m.row.Version == 0 || m.stored.Confirmed {
 		return now
 	}
-	return m.seenAt.Add(Quiet)
+	return m.seenAt.Add(QuietPeriod)
 }
 
 // writeOrder writes a new order to the row and raises the fencing number.
-func (m *Machine) writeOrder(now time.Time) []Out {
+func (m *Machine) writeOrder(now time.Time) []Action {
 	if m.wantedVersion == "" || m.actualVersion == m.wantedVersion {
 		m.setStep(now, idle)
 		return nil
@@ -208,7 +208,7 @@
 	}
 	m.sendBefore = now.Add(Lease)
 	m.answered = false
-	return []Out{{Commit: m.updateTx(m.pending)}}
+	return []Action{{Commit: m.updateTx(m.pending)}}
 }
 
 func (m *Machine) updateTx(r Row) *table.Tx {
@@ -220,7 +220,7 @@
 }
 
 // Committed processes the result of a transaction.
-func (m *Machine) Committed(now time.Time, res table.Result) []Out {
+func (m *Machine) Committed(now time.Time, res table.Result) []Action {
 	switch m.step {
 	case writing:
 		if res.Status != table.Committed {
@@ -238,18 +238,18 @@
 
 // sendOrder sends the order unless its lease has expired: a sender that was paused between write
 // and send must not send an order that a successor has since replaced.
-func (m *Machine) sendOrder(now time.Time) []Out {
+func (m *Machine) sendOrder(now time.Time) []Action {
 	if !now.Before(m.sendBefore) {
 		m.setStep(now, draining)
 		return m.Tick(now)
 	}
 	m.setStep(now, confirming)
-	return []Out{{Send: &Send{Fence: m.pending.Fence, Value: m.pending.Value, Before: m.sendBefore}}}
+	return []Action{{Send: &Send{Fence: m.pending.Fence, Value: m.pending.Value, Before: m.sendBefore}}}
 }
 
-// Answered processes the upstream's response to the order with a fencing number. If the upstream
+// OnResponse processes the upstream's response to the order with a fencing number. If the upstream
 // refused the number, another home has sent a newer order.
-func (m *Machine) Answered(now time.Time, fence int64, refused bool) {
+func (m *Machine) OnResponse(now time.Time, fence int64, refused bool) {
 	if fence != m.pending.Fence {
 		return // response to an earlier order
 	}
@@ -262,9 +262,9 @@
 
 // recordConfirmed writes to the row that the order took effect, so that the next order need not
 // wait.
-func (m *Machine) recordConfirmed(now time.Time) []Out {
+func (m *Machine) recordConfirmed(now time.Time) []Action {
 	done := m.pending
 	done.Confirmed = true
 	m.setStep(now, recording)
-	return []Out{{Commit: m.updateTx(done)}}
+	return []Action{{Commit: m.updateTx(done)}}
 }
--- a/internal/core/order/order.go
+++ b/internal/core/order/order.go
@@ -17,18 +17,18 @@
 	// Lease is how long an order may be sent after its write was started, measured on the
 	// sender's monotonic clock.
 	Lease = 3 * time.Second
-	// MessageLife bounds the time in transit of an order: after it, the call is cancelled and
+	// MessageTimeout bounds the time in transit of an order: after it, the call is cancelled and
 	// its connection closed.
-	MessageLife = 2 * time.Second
-	// Quiet is how long a home waits after it first saw another home's row. No clocks are
+	MessageTimeout = 2 * time.Second
+	// QuietPeriod is how long a home waits after it first saw another home's row. No clocks are
 	// compared: the row was written before it was seen, so that the lease and the last message
 	// have ended by then.
-	Quiet = Lease + MessageLife + clockMargin
+	QuietPeriod = Lease + MessageTimeout + clockMargin
 	// clockMargin covers clocks that run at different speeds.
 	clockMargin = 500 * time.Millisecond
-	// EmptyMax is how long an upstream may take to finish its running generations before it is
+	// DrainTimeout is how long an upstream may take to finish its running generations before it is
 	// ordered to load another version regardless.
-	EmptyMax = 60 * time.Second
+	DrainTimeout = 60 * time.Second
 	// retryDelay is the delay after a step that failed.
 	retryDelay = time.Second
 )
@@ -49,14 +49,14 @@
 // RowKey returns the table key of an upstream's order row.
 func RowKey(upstream string) string { return "order/" + upstream }
 
-// Out is an action that the machine requests: exactly one field is set.
-type Out struct {
+// Action is an action that the machine requests: exactly one field is set.
+type Action struct {
 	// Commit is a transaction; its result is passed to Machine.Committed.
 	Commit *table.Tx
-	// Read requests the row, which is passed to Machine.ReadBack.
+	// Read requests the row, which is passed to Machine.OnRow.
 	Read bool
 	// Turn requests a turn to load from the weight store; the response is passed to
-	// Machine.Turn.
+	// Machine.OnTurn.
 	Turn bool
 	// Send is an order that is to be sent to the upstream.
 	Send *Send
--- a/internal/core/order/order_property_test.go
+++ b/internal/core/order/order_property_test.go
@@ -26,7 +26,7 @@
 type home struct {
 	name  string
 	m     *Machine
-	queue []Out
+	queue []Action
 }
 
 // simulation has two homes that both act for one upstream, the table, the upstream and the
@@ -103,12 +103,12 @@
 	}
 	o := h.queue[0]
 	h.queue = h.queue[1:]
-	var more []Out
+	var more []Action
 	switch {
 	case o.Turn:
-		more = h.m.Turn(sim.now, 0, !lost)
+		more = h.m.OnTurn(sim.now, 0, !lost)
 	case o.Read:
-		more = h.m.ReadBack(sim.now, sim.row, !lost)
+		more = h.m.OnRow(sim.now, sim.row, !lost)
 	case o.Commit != nil:
 		res := sim.commit(*o.Commit)
 		if lost {
@@ -116,7 +116,7 @@
 		}
 		more = h.m.Committed(sim.now, res)
 	case o.Send != nil && sim.now.Before(o.Send.Before):
-		sim.inTransit = append(sim.inTransit, message{from: h, order: *o.Send, expires: sim.now.Add(MessageLife)})
+		sim.inTransit = append(sim.inTransit, message{from: h, order: *o.Send, expires: sim.now.Add(MessageTimeout)})
 	}
 	h.queue = append(h.queue, more...)
 }
@@ -141,14 +141,14 @@
 		return
 	}
 	if sim.checksFencing && msg.order.Fence <= sim.fence {
-		msg.from.m.Answered(sim.now, msg.order.Fence, true)
+		msg.from.m.OnResponse(sim.now, msg.order.Fence, true)
 		return
 	}
 	sim.fence = max(sim.fence, msg.order.Fence)
 	sim.version = msg.order.Value
 	sim.applied = append(sim.applied, msg.order)
 	if variant%4 != 0 { // otherwise the upstream's response is lost
-		msg.from.m.Answered(sim.now, msg.order.Fence, false)
+		msg.from.m.OnResponse(sim.now, msg.order.Fence, false)
 	}
 }
 
--- a/internal/core/orders.go
+++ b/internal/core/orders.go
@@ -8,47 +8,47 @@
 	"mulberrylug.example/mulberrylug/internal/core/table"
 )
 
-// AskTurn requests permission from the weight store for an upstream to load a model version. The
-// result arrives as a TurnAnswer.
-type AskTurn struct {
+// RequestTurn requests permission from the weight store for an upstream to load a model version.
+// The result arrives as a TurnResult.
+type RequestTurn struct {
 	Upstream string
 	Model    string
 	Version  string
 }
 
 // SendOrder sends an upstream the order to run a model version. The result arrives as an
-// OrderAnswer.
+// OrderResult.
 type SendOrder struct {
 	Upstream string
 	Address  string
 	// Fence is the fencing number of the order.
 	Fence   int64
 	Version string
-	// Before is the time after which the order must not be sent. Timeout bounds the call.
-	Before  time.Time
-	Timeout time.Duration
+	// SendBefore is the time after which the order must not be sent. Timeout bounds the call.
+	SendBefore time.Time
+	Timeout    time.Duration
 }
 
-// TurnAnswer is the weight store's reply. Wait is the time until the upstream may load the
+// TurnResult is the weight store's response. Wait is the time until the upstream may load the
 // version. OK is false if there was no reply.
-type TurnAnswer struct {
+type TurnResult struct {
 	Upstream string
 	Wait     time.Duration
 	OK       bool
 }
 
-// OrderAnswer is the result of the order with the fencing number Fence.
-type OrderAnswer struct {
+// OrderResult is the result of the order with the fencing number Fence.
+type OrderResult struct {
 	Upstream string
 	Fence    int64
 	// Refused is set if the upstream refused the fencing number.
 	Refused bool
 }
 
-func (AskTurn) action()    {}
-func (SendOrder) action()  {}
-func (TurnAnswer) event()  {}
-func (OrderAnswer) event() {}
+func (RequestTurn) action() {}
+func (SendOrder) action()   {}
+func (TurnResult) event()   {}
+func (OrderResult) event()  {}
 
 // wantedVersion returns the model version that the configuration assigns to an upstream.
 func (i *Instance) wantedVersion(upstream string) (model, version string) {
@@ -93,7 +93,7 @@
 	}
 }
 
-func (i *Instance) emitOrder(upstream string, outs []order.Out) {
+func (i *Instance) emitOrder(upstream string, outs []order.Action) {
 	for _, o := range outs {
 		switch {
 		case o.Commit != nil:
@@ -102,7 +102,7 @@
 			i.emit(Read{Op: opOrder + upstream, Keys: []string{order.RowKey(upstream)}})
 		case o.Turn:
 			model, version := i.wantedVersion(upstream)
-			i.emit(AskTurn{Upstream: upstream, Model: model, Version: version})
+			i.emit(RequestTurn{Upstream: upstream, Model: model, Version: version})
 		case o.Send != nil:
 			i.sendOrder(upstream, *o.Send)
 		}
@@ -118,7 +118,7 @@
 	i.emit(Log{Event: "order", Pairs: []any{"upstream", upstream, "fence", s.Fence, "version", s.Value}})
 	i.emit(SendOrder{
 		Upstream: upstream, Address: member.Address, Fence: s.Fence, Version: s.Value,
-		Before: s.Before, Timeout: order.MessageLife,
+		SendBefore: s.Before, Timeout: order.MessageTimeout,
 	})
 }
 
@@ -140,21 +140,21 @@
 func (i *Instance) onOrderRow(now time.Time, upstream string, e ReadResult) {
 	if m := i.orderFor(upstream); m != nil {
 		row := table.Result{Rows: e.Rows}.Find(order.RowKey(upstream))
-		i.emitOrder(upstream, m.ReadBack(now, row, e.OK))
+		i.emitOrder(upstream, m.OnRow(now, row, e.OK))
 	}
 }
 
-func (i *Instance) onTurn(now time.Time, e TurnAnswer) {
+func (i *Instance) onTurn(now time.Time, e TurnResult) {
 	if m := i.orderFor(e.Upstream); m != nil {
-		i.emitOrder(e.Upstream, m.Turn(now, e.Wait, e.OK))
+		i.emitOrder(e.Upstream, m.OnTurn(now, e.Wait, e.OK))
 	}
 }
 
-func (i *Instance) onOrderAnswer(now time.Time, e OrderAnswer) {
+func (i *Instance) onOrderResult(now time.Time, e OrderResult) {
 	if e.Refused {
 		i.count("orders_refused_total", e.Upstream)
 	}
 	if m := i.orderFor(e.Upstream); m != nil {
-		m.Answered(now, e.Fence, e.Refused)
+		m.OnResponse(now, e.Fence, e.Refused)
 	}
 }
--- a/internal/core/orghome.go
+++ b/internal/core/orghome.go
@@ -14,10 +14,10 @@
 // entries and for chunks to return.
 const budgetCheckInterval = 5 * time.Second
 
-func (i *Instance) onReserveAsk(now time.Time, from string, m msg.ReserveAsk) {
-	m.Ask.Entry = from
+func (i *Instance) onReserveRequest(now time.Time, from string, m msg.ReserveRequest) {
+	m.Request.Entry = from
 	i.orgs.SetStoreDown(i.tableHealth.down())
-	i.emitBudget(i.orgs.Ask(now, m.Ask))
+	i.emitBudget(i.orgs.Reserve(now, m.Request))
 }
 
 func (i *Instance) onSettle(now time.Time, m msg.Settle) {
@@ -67,15 +67,15 @@
 	i.emitBudget(i.orgs.Tick(now, alive, isHome))
 }
 
-func (i *Instance) emitBudget(outs []budget.Out) {
+func (i *Instance) emitBudget(outs []budget.Action) {
 	for _, o := range outs {
 		switch {
 		case o.Debit != nil:
 			i.emit(Commit{Op: opDebit + o.Debit.Org + "/" + o.Debit.ID, Tx: o.Debit.Tx})
 		case o.Reread != nil:
 			i.emit(Read{Op: opBudget + o.Reread.Org + "/" + o.Reread.ID, Keys: []string{o.Reread.Key}})
-		case o.Answer != nil:
-			i.send(o.Answer.Entry, msg.ReserveAnswer{Answer: *o.Answer})
+		case o.Response != nil:
+			i.send(o.Response.Entry, msg.ReserveResponse{Response: *o.Response})
 		}
 	}
 }
--- a/internal/core/orphans.go
+++ b/internal/core/orphans.go
@@ -127,7 +127,7 @@
 	}
 	for _, name := range instances {
 		if list := queries[name]; len(list) > 0 {
-			i.send(name, msg.FollowAsk{Pool: h.pool, Attempts: list})
+			i.send(name, msg.FollowRequest{Pool: h.pool, Attempts: list})
 		}
 	}
 }
@@ -141,10 +141,10 @@
 	}
 }
 
-// onFollowAsk replies which of the attempts this instance follows, and announces them to the home,
-// which lacks them.
-func (i *Instance) onFollowAsk(now time.Time, from string, m msg.FollowAsk) {
-	a := msg.FollowAnswer{Pool: m.Pool, Attempts: m.Attempts}
+// onFollowRequest replies which of the attempts this instance follows, and announces them to the
+// home, which lacks them.
+func (i *Instance) onFollowRequest(now time.Time, from string, m msg.FollowRequest) {
+	a := msg.FollowResponse{Pool: m.Pool, Attempts: m.Attempts}
 	update := msg.Announce{Pool: m.Pool}
 	for _, r := range i.requests {
 		if !r.isAnnounced() || !slices.Contains(m.Attempts, r.attempt) {
@@ -159,7 +159,7 @@
 	i.send(from, a)
 }
 
-func (i *Instance) onFollowAnswer(from string, m msg.FollowAnswer) {
+func (i *Instance) onFollowResponse(from string, m msg.FollowResponse) {
 	h := i.pools[m.Pool]
 	if h == nil {
 		return
@@ -187,7 +187,7 @@
 func (r *request) announcement(i *Instance, now time.Time) msg.RunningAttempt {
 	req := r.placementRequest(i, now)
 	req.Prefix = nil
-	return msg.RunningAttempt{Ask: req, Upstream: r.run.upstream, Tokens: r.seq.Next()}
+	return msg.RunningAttempt{Request: req, Upstream: r.run.upstream, Tokens: r.seq.Next()}
 }
 
 // announce announces a request's attempt to its pool's home immediately.
--- a/internal/core/outage_test.go
+++ b/internal/core/outage_test.go
@@ -142,7 +142,7 @@
 		if d == nil {
 			break
 		}
-		sim.handle(n, core.UpstreamFailed{Request: id, Attempt: d.Attempt, Link: d.Link, Sent: try == 0, Gone: true, Step: "send", Err: "cut"})
+		sim.handle(n, core.UpstreamFailed{Request: id, Attempt: d.Attempt, Link: d.Link, Sent: try == 0, NotFound: true, Step: "send", Err: "cut"})
 		sim.advance(3 * time.Second)
 	}
 	if f := sim.finishOf(id); f.Outcome != core.Unknown {
@@ -234,7 +234,7 @@
 	sim.advance(simTick)
 	for range 4 {
 		if d := sim.takeDispatch(id); d != nil {
-			sim.handle(n, core.UpstreamFailed{Request: id, Attempt: d.Attempt, Link: d.Link, Sent: !d.Resume, Gone: d.Resume, Step: "send", Err: "refused"})
+			sim.handle(n, core.UpstreamFailed{Request: id, Attempt: d.Attempt, Link: d.Link, Sent: !d.Resume, NotFound: d.Resume, Step: "send", Err: "refused"})
 		}
 		sim.advance(3 * time.Second)
 	}
@@ -262,7 +262,7 @@
 		}
 		return rows
 	}
-	sim.now = sim.now.Add(booking.Keep - time.Hour)
+	sim.now = sim.now.Add(booking.OutcomeTTL - time.Hour)
 	sim.advance(30 * time.Second)
 	if got := count(); got < bookings {
 		t.Errorf("booking rows before their expiry = %d, want %d", got, bookings)
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -85,27 +85,27 @@
 	r.place.requestedAt = now
 	r.place.requestTimes = append(r.place.requestTimes, now)
 	i.wakeAt(r, now.Add(grantRetryInterval))
-	i.send(home, msg.GrantAsk{
-		Pool: pool.Name, Ask: r.placementRequest(i, now), Number: len(r.place.requestTimes),
-		Failed: r.place.failedUpstream, FailedBoot: r.place.failedBoot,
+	i.send(home, msg.GrantRequest{
+		Pool: pool.Name, Request: r.placementRequest(i, now), Number: len(r.place.requestTimes),
+		FailedUpstream: r.place.failedUpstream, FailedBoot: r.place.failedBoot,
 	})
 }
 
 // grantExpiry returns when a grant expires. The validity counts from the grant request to which the
 // home replied. If it counted from a later request, a grant that is delayed in a link would stay
 // valid as long as the entry repeats its request, while the upstream may have begun to leave.
-func (r *request) grantExpiry(m msg.GrantAnswer) time.Time {
+func (r *request) grantExpiry(m msg.GrantResponse) time.Time {
 	if m.Number < 1 || m.Number > len(r.place.requestTimes) {
 		return time.Time{}
 	}
 	return r.place.requestTimes[m.Number-1].Add(m.TTL)
 }
 
-func (r *request) placementRequest(i *Instance, now time.Time) placement.Ask {
-	return placement.Ask{
+func (r *request) placementRequest(i *Instance, now time.Time) placement.Request {
+	return placement.Request{
 		Attempt: r.attempt, Org: r.org.Name, Fingerprint: r.Fingerprint,
 		Prompt: r.Prompt, MaxOutput: r.MaxTokens, Prefix: r.Prefix, Exclude: r.excluded,
-		Suspect: i.suspects.Judge(now, r.Fingerprint) == suspect.Suspected,
+		Suspect: i.suspects.Verdict(now, r.Fingerprint) == suspect.Suspected,
 		MaxWait: max(r.service.MaxWait.D()-now.Sub(r.started), 0),
 	}
 }
@@ -131,7 +131,7 @@
 	i.requestGrant(now, r)
 }
 
-func (i *Instance) onGrantAnswer(now time.Time, from string, m msg.GrantAnswer) {
+func (i *Instance) onGrantResponse(now time.Time, from string, m msg.GrantResponse) {
 	r := i.requestByAttempt(m.Decision.Attempt)
 	if r == nil || r.phase != phasePlacing || from != r.place.home {
 		i.returnLateGrant(r, from, m)
@@ -150,7 +150,7 @@
 }
 
 // returnLateGrant returns a grant that is no longer needed.
-func (i *Instance) returnLateGrant(r *request, from string, m msg.GrantAnswer) {
+func (i *Instance) returnLateGrant(r *request, from string, m msg.GrantResponse) {
 	if m.Decision.Kind != placement.Granted {
 		return
 	}
@@ -163,7 +163,7 @@
 
 // useGrant dispatches the attempt, or claims the key of a booking first. An expired grant is
 // returned, as an entry that was frozen must not send work to an upstream that has begun to leave.
-func (i *Instance) useGrant(now time.Time, r *request, m msg.GrantAnswer) {
+func (i *Instance) useGrant(now time.Time, r *request, m msg.GrantResponse) {
 	expiry := r.grantExpiry(m)
 	if !now.Before(expiry) {
 		i.count("retries_total", "grant_lapsed")
@@ -191,7 +191,7 @@
 // yet, so the entry sends it the cordons and requests a grant once more. If the home grants a
 // cordoned upstream again, the caller's request is refused, as the home may take a while to apply
 // the cordons.
-func (i *Instance) returnCordonedGrant(now time.Time, r *request, m msg.GrantAnswer) {
+func (i *Instance) returnCordonedGrant(now time.Time, r *request, m msg.GrantResponse) {
 	i.count("retries_total", "grant_cordoned")
 	i.send(r.place.home, msg.GrantEnd{Pool: m.Pool, Attempt: r.attempt})
 	if r.place.cordonsSent {
@@ -229,7 +229,7 @@
 		return
 	}
 	i.send(r.place.home, msg.GrantEnd{
-		Pool: r.currentPool().Name, Attempt: r.attempt, Tokens: r.seq.Next(), Failed: failed, Cut: r.disconnected,
+		Pool: r.currentPool().Name, Attempt: r.attempt, Tokens: r.seq.Next(), Failed: failed, CallerDisconnected: r.disconnected,
 		Upstream: r.run.upstream, Boot: r.run.boot, Fingerprint: r.Fingerprint,
 	})
 	r.place.home = ""
--- a/internal/core/placement/backlog.go
+++ b/internal/core/placement/backlog.go
@@ -21,7 +21,7 @@
 		b.prefillStart = g.grantedAt
 	}
 	g.soloPrefill = b.count == 0
-	b.tokens += g.ask.Prompt
+	b.tokens += g.req.Prompt
 	b.count++
 }
 
@@ -30,7 +30,7 @@
 	if g.prefilled {
 		return
 	}
-	b.tokens -= g.ask.Prompt
+	b.tokens -= g.req.Prompt
 	b.count--
 }
 
@@ -56,17 +56,17 @@
 	}
 }
 
-// Began records the first token of an attempt and grants requests that waited for the prefill
-// to end. The time to first token measures the prefill throughput if no other prompt was
+// OnFirstToken records the first token of an attempt and grants requests that waited for the
+// prefill to end. The time to first token measures the prefill throughput if no other prompt was
 // pending.
-func (h *Home) Began(now time.Time, attempt string) []Decision {
+func (h *Home) OnFirstToken(now time.Time, attempt string) []Decision {
 	g := h.granted[attempt]
 	if g == nil || g.prefilled {
 		return nil
 	}
 	u := g.upstream
 	if took := now.Sub(g.grantedAt); g.soloPrefill && took > 0 {
-		h.recordPrefillRate(now, u, g.ask.Prompt, took)
+		h.recordPrefillRate(now, u, g.req.Prompt, took)
 		u.assumedSpeed = h.speedAt(now, u)
 	}
 	u.backlog.complete(now, g)
--- a/internal/core/placement/bench_test.go
+++ b/internal/core/placement/bench_test.go
@@ -34,25 +34,25 @@
 		}
 		h.Report(start, start, r)
 		for g := range benchAccelerators * benchRunning {
-			a := Ask{
+			a := Request{
 				Attempt: fmt.Sprintf("%s/%d", name, g), Org: fmt.Sprintf("o%d", (i+g)%100),
 				Prompt: 200 + (i*g)%300, MaxOutput: 4096, MaxWait: time.Minute,
 			}
-			h.Running(start, a, name, Sighting{Tokens: 1 + (i+g)%500, Pace: time.Duration(7+i%3) * time.Millisecond})
+			h.RecordRunning(start, a, name, Progress{Tokens: 1 + (i+g)%500, Pace: time.Duration(7+i%3) * time.Millisecond})
 		}
 		h.refreshForecasts(start, h.byName[name])
 	}
 	return h
 }
 
-func benchAsk() Ask {
-	return Ask{Attempt: "bench", Org: "o1", Fingerprint: 5, Prompt: 300, MaxOutput: 4096, MaxWait: time.Minute}
+func benchRequest() Request {
+	return Request{Attempt: "bench", Org: "o1", Fingerprint: 5, Prompt: 300, MaxOutput: 4096, MaxWait: time.Minute}
 }
 
 func BenchmarkDecision(b *testing.B) {
 	for _, n := range []int{12, 120, benchUpstreams} {
 		b.Run(fmt.Sprintf("upstreams=%d", n), func(b *testing.B) {
-			h, a := bigHome(n), benchAsk()
+			h, a := bigHome(n), benchRequest()
 			b.ReportAllocs()
 			for b.Loop() {
 				if h.choose(start, &a) == nil {
@@ -66,7 +66,7 @@
 func BenchmarkDecisionPredicted(b *testing.B) {
 	for _, n := range []int{12, 120, benchUpstreams} {
 		b.Run(fmt.Sprintf("upstreams=%d", n), func(b *testing.B) {
-			h, a := bigHomeOf(n, true), benchAsk()
+			h, a := bigHomeOf(n, true), benchRequest()
 			a.FirstTarget = 2 * time.Second
 			b.ReportAllocs()
 			for b.Loop() {
@@ -80,7 +80,7 @@
 
 // The most expensive decision is one that finds no room on any upstream.
 func BenchmarkDecisionFull(b *testing.B) {
-	h, a := bigHome(benchUpstreams), benchAsk()
+	h, a := bigHome(benchUpstreams), benchRequest()
 	for _, u := range h.upstreams {
 		u.report.Capacity = int(u.peak * 1.05)
 		h.summarize(u)
@@ -97,10 +97,10 @@
 func BenchmarkAskAndEnd(b *testing.B) {
 	for _, n := range []int{12, 120, benchUpstreams} {
 		b.Run(fmt.Sprintf("upstreams=%d", n), func(b *testing.B) {
-			h, a := bigHome(n), benchAsk()
+			h, a := bigHome(n), benchRequest()
 			b.ReportAllocs()
 			for b.Loop() {
-				if d := h.Ask(start, a); d[0].Kind != Granted {
+				if d := h.Place(start, a); d[0].Kind != Granted {
 					b.Fatal(d)
 				}
 				h.End(start, a.Attempt, 0, false)
@@ -123,7 +123,7 @@
 	l := NewLengths()
 	b.ReportAllocs()
 	for b.Loop() {
-		l.Observe("s", &Ask{Org: "o", MaxOutput: 8000}, 300, true)
+		l.Observe("s", &Request{Org: "o", MaxOutput: 8000}, 300, true)
 	}
 }
 
@@ -131,7 +131,7 @@
 // depends on the machine.
 func TestDecisionAllocations(t *testing.T) {
 	for _, predict := range []bool{false, true} {
-		h, a := bigHomeOf(benchUpstreams, predict), benchAsk()
+		h, a := bigHomeOf(benchUpstreams, predict), benchRequest()
 		if got := testing.AllocsPerRun(100, func() { h.choose(start, &a) }); got > maxAllocs {
 			t.Errorf("predict %v: allocations per decision = %g, want at most %d", predict, got, maxAllocs)
 		}
--- a/internal/core/placement/choose.go
+++ b/internal/core/placement/choose.go
@@ -92,26 +92,26 @@
 }
 
 // choose returns the upstream on which a request should run, or nil if none has room.
-func (h *Home) choose(now time.Time, ask *Ask) *upstream {
+func (h *Home) choose(now time.Time, req *Request) *upstream {
 	var need footprint
 	if h.settings.Engine {
-		c := h.lengths.curve(h.settings.Service, ask)
-		need = footprintOf(c, ask.Prompt, 0, ask.MaxOutput)
+		c := h.lengths.curve(h.settings.Service, req)
+		need = footprintOf(c, req.Prompt, 0, req.MaxOutput)
 	}
 	var p prediction
 	if h.settings.Predict {
-		p = h.predictNew(ask)
+		p = h.predictNew(req)
 	}
 	keepFree := h.movesReserve
 	if p.output < longRemaining {
 		keepFree = 0 // ends before a leaving upstream's notice expires
 	}
-	confined := h.confinedTo(ask.Fingerprint)
+	confined := h.confinedTo(req.Fingerprint)
 	at := now.UnixNano()
 	best, bestScore := -1, 0.0
 	for i := range h.summaries {
 		s := &h.summaries[i]
-		if at >= s.freshUntil || at < s.openAt || s.slots <= 0 || ask.Suspect && s.suspects > 0 {
+		if at >= s.freshUntil || at < s.openAt || s.slots <= 0 || req.Suspect && s.suspects > 0 {
 			continue
 		}
 		if h.settings.Engine && s.grants > 0 && s.free <= h.tuning.reserve {
@@ -124,7 +124,7 @@
 		if best >= 0 && score <= bestScore {
 			continue
 		}
-		if u := h.upstreams[i]; u.allowed(ask, confined) && h.hasRoom(u, &need, keepFree) {
+		if u := h.upstreams[i]; u.allowed(req, confined) && h.hasRoom(u, &need, keepFree) {
 			best, bestScore = i, score
 		}
 	}
@@ -136,15 +136,15 @@
 
 // allowed reports whether a request may run on an upstream. Exclusions and data centres of the
 // request may forbid it. If confined is not empty, only the upstreams of these grants are allowed.
-func (u *upstream) allowed(ask *Ask, confined []*grant) bool {
-	if slices.Contains(ask.Exclude, u.name) || !ask.mayRunIn(u.report.DataCentre) {
+func (u *upstream) allowed(req *Request, confined []*grant) bool {
+	if slices.Contains(req.Exclude, u.name) || !req.mayRunIn(u.report.DataCentre) {
 		return false
 	}
 	return len(confined) == 0 || slices.ContainsFunc(confined, func(g *grant) bool { return g.upstream == u })
 }
 
 // mayRunIn reports whether a request may run in a data centre.
-func (a *Ask) mayRunIn(dataCentre string) bool {
+func (a *Request) mayRunIn(dataCentre string) bool {
 	return len(a.DataCentres) == 0 || slices.Contains(a.DataCentres, dataCentre)
 }
 
--- a/internal/core/placement/cost.go
+++ b/internal/core/placement/cost.go
@@ -48,11 +48,11 @@
 
 // predictNew predicts a new generation. It uses learned lengths, as the estimates of callers are
 // often far off.
-func (h *Home) predictNew(ask *Ask) prediction {
-	output := h.lengths.curve(h.settings.Service, ask).remaining(0, ask.MaxOutput)
+func (h *Home) predictNew(req *Request) prediction {
+	output := h.lengths.curve(h.settings.Service, req).remaining(0, req.MaxOutput)
 	return prediction{
-		value: float64(ask.Prompt) + outputValue*output, prompt: float64(ask.Prompt), output: output,
-		target: ask.FirstTarget.Seconds(), dataCentre: ask.DataCentre,
+		value: float64(req.Prompt) + outputValue*output, prompt: float64(req.Prompt), output: output,
+		target: req.FirstTarget.Seconds(), dataCentre: req.DataCentre,
 	}
 }
 
@@ -61,7 +61,7 @@
 	tokens := g.tokensAt(now)
 	left := h.remainingTokens(g, tokens)
 	return prediction{
-		value: float64(g.ask.Prompt) + outputValue*(float64(tokens)+left), output: left, dataCentre: g.ask.DataCentre,
+		value: float64(g.req.Prompt) + outputValue*(float64(tokens)+left), output: left, dataCentre: g.req.DataCentre,
 	}
 }
 
--- a/internal/core/placement/home.go
+++ b/internal/core/placement/home.go
@@ -27,9 +27,9 @@
 	ended         endedAttempts
 	promises      promises
 	meter         drainMeter
-	// firstAsk is the time of the first request; hasReport is set by the first report.
-	firstAsk  time.Time
-	hasReport bool
+	// firstRequest is the time of the first request; hasReport is set by the first report.
+	firstRequest time.Time
+	hasReport    bool
 	// prefillLimit is the backlog in seconds of prefill up to which an upstream is given another
 	// prompt.
 	prefillLimit float64
@@ -110,59 +110,59 @@
 }
 
 // Remove removes an upstream and returns the requests that ran there.
-func (h *Home) Remove(name string) []Ask {
+func (h *Home) Remove(name string) []Request {
 	u := h.byName[name]
 	if u == nil {
 		return nil
 	}
-	var removed []Ask
+	var removed []Request
 	for _, g := range append([]*grant(nil), u.grants...) {
-		removed = append(removed, g.ask)
+		removed = append(removed, g.req)
 		h.release(g)
 	}
 	h.dropUpstream(u)
 	return removed
 }
 
-// Ask grants, queues or refuses a request. It is idempotent per attempt.
-func (h *Home) Ask(now time.Time, ask Ask) []Decision {
-	if g := h.granted[ask.Attempt]; g != nil && g.upstream.takesWork(now) {
+// Place grants, queues or refuses a request. It is idempotent per attempt.
+func (h *Home) Place(now time.Time, req Request) []Decision {
+	if g := h.granted[req.Attempt]; g != nil && g.upstream.takesWork(now) {
 		g.lastSeen = now
 		return []Decision{g.decision()}
 	} else if g != nil {
 		h.release(g) // the reply with the grant was lost; the upstream takes no new work any more
 	}
-	if q := h.queue.byAttempt[ask.Attempt]; q != nil {
+	if q := h.queue.byAttempt[req.Attempt]; q != nil {
 		return []Decision{h.position(q)}
 	}
 	if h.awaitsFirstReport(now) {
-		h.queue.push(ask, now, h.cost(&ask)).arrived = now
-		return []Decision{{Attempt: ask.Attempt, Kind: Queued, Position: 1}}
+		h.queue.push(req, now, h.cost(&req)).arrived = now
+		return []Decision{{Attempt: req.Attempt, Kind: Queued, Position: 1}}
 	}
-	if !h.anyAvailable(now, &ask) {
-		return []Decision{h.noUpstream(&ask)}
+	if !h.anyAvailable(now, &req) {
+		return []Decision{h.noUpstream(&req)}
 	}
-	cost := h.cost(&ask)
+	cost := h.cost(&req)
 	h.advanceMeter(now)
 	h.meter.arrived[costClass(cost)] += cost
 	if h.queue.len() == 0 {
-		if u := h.choose(now, &ask); u != nil {
-			return []Decision{h.grant(now, ask, u, cost)}
+		if u := h.choose(now, &req); u != nil {
+			return []Decision{h.grant(now, req, u, cost)}
 		}
 	}
-	return h.enqueue(now, ask, cost)
+	return h.enqueue(now, req, cost)
 }
 
 // enqueue queues a request, or refuses it if its predicted wait is too long.
-func (h *Home) enqueue(now time.Time, ask Ask, cost float64) []Decision {
-	since := h.promises.redeem(now, &ask)
-	if h.tooLong(h.predictWait(now, since, &ask, cost), ask.MaxWait) {
-		return []Decision{h.refuse(now, since, &ask, cost)}
+func (h *Home) enqueue(now time.Time, req Request, cost float64) []Decision {
+	since := h.promises.redeem(now, &req)
+	if h.tooLong(h.predictWait(now, since, &req, cost), req.MaxWait) {
+		return []Decision{h.refuse(now, since, &req, cost)}
 	}
-	q := h.queue.push(ask, since, cost)
+	q := h.queue.push(req, since, cost)
 	q.arrived = now
 	out := h.drainQueue(now)
-	if h.queue.byAttempt[ask.Attempt] != nil {
+	if h.queue.byAttempt[req.Attempt] != nil {
 		out = append(out, h.position(q))
 	}
 	return out
@@ -170,8 +170,8 @@
 
 // position returns the decision that states a queued request's place in its organisation's
 // queue.
-func (h *Home) position(q *queuedAsk) Decision {
-	return Decision{Attempt: q.ask.Attempt, Kind: Queued, Position: q.index + 1}
+func (h *Home) position(q *queuedRequest) Decision {
+	return Decision{Attempt: q.req.Attempt, Kind: Queued, Position: q.index + 1}
 }
 
 // End releases an attempt's grant or its place in the queue and learns from the length of the
@@ -181,7 +181,7 @@
 		h.release(g)
 		h.ended.add(now, attempt)
 		if h.settings.Engine && tokens > 0 && !h.settings.Without.Has(mechanism.Lengths) {
-			h.lengths.Observe(h.settings.Service, &g.ask, tokens, complete && tokens < g.ask.MaxOutput)
+			h.lengths.Observe(h.settings.Service, &g.req, tokens, complete && tokens < g.req.MaxOutput)
 		}
 	}
 	if q := h.queue.byAttempt[attempt]; q != nil {
@@ -200,7 +200,7 @@
 		if !q.late {
 			h.meter.recordMiss()
 		}
-		out = append(out, h.refuse(now, q.firstAsked, &q.ask, q.cost))
+		out = append(out, h.refuse(now, q.firstAsked, &q.req, q.cost))
 	}
 	h.queue.dropIdleOrgs()
 	h.ended.expire(now)
@@ -217,24 +217,24 @@
 	h.advanceMeter(now)
 	h.setHeadroom(now)
 	out := h.demote(now)
-	var passed map[*queuedAsk]bool
+	var passed map[*queuedRequest]bool
 	for len(passed) < maxBypass {
 		q := h.queue.best(passed)
 		if q == nil {
 			break
 		}
-		u := h.choose(now, &q.ask)
+		u := h.choose(now, &q.req)
 		if u != nil {
 			h.queue.remove(q)
 			h.meter.recordGrant(q.cost, q.late)
-			out = append(out, h.grant(now, q.ask, u, q.cost))
+			out = append(out, h.grant(now, q.req, u, q.cost))
 			continue
 		}
 		if now.Sub(q.firstAsked) > bypassTimeout {
 			break
 		}
 		if passed == nil {
-			passed = map[*queuedAsk]bool{}
+			passed = map[*queuedRequest]bool{}
 		}
 		passed[q] = true
 	}
@@ -253,10 +253,10 @@
 		return nil
 	}
 	var out []Decision
-	for _, q := range h.queue.demote(func(q *queuedAsk) bool { return h.missesDeadline(now, q.firstAsked, &q.ask) }) {
-		if h.tooLong(h.lateWait(now, q), q.ask.MaxWait-now.Sub(q.arrived)) {
+	for _, q := range h.queue.demote(func(q *queuedRequest) bool { return h.missesDeadline(now, q.firstAsked, &q.req) }) {
+		if h.tooLong(h.lateWait(now, q), q.req.MaxWait-now.Sub(q.arrived)) {
 			h.queue.remove(q)
-			out = append(out, h.refuse(now, q.firstAsked, &q.ask, q.cost))
+			out = append(out, h.refuse(now, q.firstAsked, &q.req, q.cost))
 		}
 	}
 	return out
@@ -274,25 +274,25 @@
 const bypassTimeout = 10 * time.Second
 
 // grant adds a grant to the ledger and returns the decision.
-func (h *Home) grant(now time.Time, ask Ask, u *upstream, cost float64) Decision {
-	g := &grant{ask: ask, upstream: u, grantedAt: now, lastSeen: now, tokensKnownAt: now}
-	g.priority = h.priority(&ask)
-	u.addPending(now, ask.Prompt, h.settings.PromptRate)
+func (h *Home) grant(now time.Time, req Request, u *upstream, cost float64) Decision {
+	g := &grant{req: req, upstream: u, grantedAt: now, lastSeen: now, tokensKnownAt: now}
+	g.priority = h.priority(&req)
+	u.addPending(now, req.Prompt, h.settings.PromptRate)
 	u.starts.Note(now)
-	forecast := h.forecastGrant(now, &ask, u)
+	forecast := h.forecastGrant(now, &req, u)
 	h.addGrant(g)
-	h.queue.charge(ask.Org, cost)
+	h.queue.charge(req.Org, cost)
 	d := g.decision()
 	d.Forecast = forecast
 	return d
 }
 
 // forecastGrant predicts the course of a request's generation on an upstream.
-func (h *Home) forecastGrant(now time.Time, ask *Ask, u *upstream) Forecast {
+func (h *Home) forecastGrant(now time.Time, req *Request, u *upstream) Forecast {
 	if !h.settings.Predict {
 		return Forecast{}
 	}
-	s, p := &h.summaries[u.index], h.predictNew(ask)
+	s, p := &h.summaries[u.index], h.predictNew(req)
 	unread := s.prefillTokensAt(now.UnixNano())
 	return Forecast{
 		Unread: int(unread), First: seconds((unread + p.prompt) / s.rate), Pace: seconds(s.pace), Output: int(p.output), Free: s.free,
@@ -301,17 +301,17 @@
 
 func (g *grant) decision() Decision {
 	return Decision{
-		Attempt: g.ask.Attempt, Kind: Granted, Upstream: g.upstream.name, Priority: g.priority,
+		Attempt: g.req.Attempt, Kind: Granted, Upstream: g.upstream.name, Priority: g.priority,
 	}
 }
 
 // awaitsFirstReport reports whether a new home still expects its first report, so that requests
 // are queued. Otherwise the first callers after an idle time would be refused.
 func (h *Home) awaitsFirstReport(now time.Time) bool {
-	if h.firstAsk.IsZero() {
-		h.firstAsk = now
+	if h.firstRequest.IsZero() {
+		h.firstRequest = now
 	}
-	return !h.hasReport && now.Sub(h.firstAsk) < reportMaxAge
+	return !h.hasReport && now.Sub(h.firstRequest) < reportMaxAge
 }
 
 // refuseUnplaceable refuses queued requests if the first report has not arrived in time, or if
@@ -320,12 +320,12 @@
 	if h.queue.len() == 0 {
 		return nil
 	}
-	noReport := !h.hasReport && now.Sub(h.firstAsk) >= reportMaxAge
+	noReport := !h.hasReport && now.Sub(h.firstRequest) >= reportMaxAge
 	var out []Decision
 	for _, q := range h.queue.all() {
-		if noReport || h.hasReport && h.unplaceable(&q.ask) {
+		if noReport || h.hasReport && h.unplaceable(&q.req) {
 			h.queue.remove(q)
-			out = append(out, h.noUpstream(&q.ask))
+			out = append(out, h.noUpstream(&q.req))
 		}
 	}
 	return out
@@ -335,10 +335,10 @@
 // cordoned, or it is limited to data centres without upstreams. Leaving upstreams are ignored.
 // A request that may run anywhere is not unplaceable if all upstreams are leaving, as these are
 // likely to be replaced.
-func (h *Home) unplaceable(ask *Ask) bool {
+func (h *Home) unplaceable(req *Request) bool {
 	found := false
 	for _, u := range h.upstreams {
-		if u.report.Leaving || !ask.mayRunIn(u.report.DataCentre) {
+		if u.report.Leaving || !req.mayRunIn(u.report.DataCentre) {
 			continue
 		}
 		if !u.cordoned {
@@ -346,7 +346,7 @@
 		}
 		found = true
 	}
-	return found || len(ask.DataCentres) > 0
+	return found || len(req.DataCentres) > 0
 }
 
 // cordonedRetry is the Retry-After when every upstream is cordoned. It is not derived from load,
@@ -354,10 +354,10 @@
 const cordonedRetry = 2 * time.Second
 
 // noUpstream returns the refusal of a request that no upstream can run.
-func (h *Home) noUpstream(ask *Ask) Decision {
-	d := Decision{Attempt: ask.Attempt, Kind: Refused, Reason: ReasonNoUpstream, RetryAfter: reportMaxAge}
+func (h *Home) noUpstream(req *Request) Decision {
+	d := Decision{Attempt: req.Attempt, Kind: Refused, Reason: ReasonNoUpstream, RetryAfter: reportMaxAge}
 	for _, u := range h.upstreams {
-		if u.cordoned && !u.report.Leaving && ask.mayRunIn(u.report.DataCentre) {
+		if u.cordoned && !u.report.Leaving && req.mayRunIn(u.report.DataCentre) {
 			d.Reason, d.RetryAfter = ReasonCordoned, cordonedRetry
 		}
 	}
@@ -365,9 +365,9 @@
 }
 
 // anyAvailable reports whether any upstream that takes new work may run a request.
-func (h *Home) anyAvailable(now time.Time, ask *Ask) bool {
+func (h *Home) anyAvailable(now time.Time, req *Request) bool {
 	for _, u := range h.upstreams {
-		if u.takesWork(now) && ask.mayRunIn(u.report.DataCentre) {
+		if u.takesWork(now) && req.mayRunIn(u.report.DataCentre) {
 			return true
 		}
 	}
@@ -376,13 +376,13 @@
 
 // cost returns the expected work of a request: the mean memory that it holds, in tokens, times
 // the number of output tokens during which it holds it. It is 1 for plain services.
-func (h *Home) cost(ask *Ask) float64 {
+func (h *Home) cost(req *Request) float64 {
 	if !h.settings.Engine {
 		return 1
 	}
-	c := h.lengths.curve(h.settings.Service, ask)
-	length := c.remaining(0, ask.MaxOutput)
-	return length * (float64(ask.Prompt) + length/2)
+	c := h.lengths.curve(h.settings.Service, req)
+	length := c.remaining(0, req.MaxOutput)
+	return length * (float64(req.Prompt) + length/2)
 }
 
 // priorityTies is the number of priorities within one bucket of expected length.
@@ -392,11 +392,11 @@
 // is the one with the highest value, expected to become the longest, as this frees the most
 // memory. Ties are broken by fingerprint, so that the same generation is preempted repeatedly
 // rather than a second one as well.
-func (h *Home) priority(ask *Ask) int {
+func (h *Home) priority(req *Request) int {
 	if !h.settings.Engine {
 		return 0
 	}
-	c := h.lengths.curve(h.settings.Service, ask)
-	class := bucketOf(int(c.remaining(0, ask.MaxOutput)))
-	return class*priorityTies + int(ask.Fingerprint%priorityTies)
+	c := h.lengths.curve(h.settings.Service, req)
+	class := bucketOf(int(c.remaining(0, req.MaxOutput)))
+	return class*priorityTies + int(req.Fingerprint%priorityTies)
 }
--- a/internal/core/placement/home_test.go
+++ b/internal/core/placement/home_test.go
@@ -22,8 +22,8 @@
 	return Report{Upstream: name, Boot: "b", Capacity: 4000, MaxBatch: 8}
 }
 
-func testAsk(id string) Ask {
-	return Ask{Attempt: id, Org: "o", Prompt: 300, MaxOutput: 500, MaxWait: time.Minute}
+func testRequest(id string) Request {
+	return Request{Attempt: id, Org: "o", Prompt: 300, MaxOutput: 500, MaxWait: time.Minute}
 }
 
 // A home that takes over has a report of the upstream, but no record of the attempts that run
@@ -32,15 +32,15 @@
 func TestTakeoverRebuildsTheLedger(t *testing.T) {
 	h := testHome(1)
 	for i := range 5 {
-		h.Running(start, Ask{Attempt: fmt.Sprint("old", i), Org: "o", Prompt: 700, MaxOutput: 500}, "u0", Sighting{Tokens: 90})
+		h.RecordRunning(start, Request{Attempt: fmt.Sprint("old", i), Org: "o", Prompt: 700, MaxOutput: 500}, "u0", Progress{Tokens: 90})
 	}
-	if d := h.Ask(start, testAsk("new")); d[0].Kind != Queued {
+	if d := h.Place(start, testRequest("new")); d[0].Kind != Queued {
 		t.Errorf("request while the upstream is full = %+v, want queued", d)
 	}
 	for i := range 5 {
 		h.End(start, fmt.Sprint("old", i), 100, true)
 	}
-	if d := h.Ask(start, testAsk("new")); d[0].Kind != Granted {
+	if d := h.Place(start, testRequest("new")); d[0].Kind != Granted {
 		t.Errorf("repeated request after the announced attempts ended = %+v, want granted", d)
 	}
 }
@@ -52,7 +52,7 @@
 	r := testReport("u0")
 	r.Used, r.Running, r.Gens = 3900, 1, []GenLoad{{Attempt: "foreign", Tokens: 900}}
 	h.Report(start, start, r)
-	if d := h.Ask(start, testAsk("new")); d[0].Kind != Queued {
+	if d := h.Place(start, testRequest("new")); d[0].Kind != Queued {
 		t.Errorf("request = %+v, want queued: unknown generations fill the upstream", d)
 	}
 }
@@ -61,13 +61,13 @@
 // list it. Neither may add it to the ledger again.
 func TestLateUpdateOfAnEndedAttempt(t *testing.T) {
 	h := testHome(1)
-	h.Ask(start, testAsk("a"))
+	h.Place(start, testRequest("a"))
 	h.End(start, "a", 10, true)
-	h.Running(start, testAsk("a"), "u0", Sighting{Tokens: 9})
+	h.RecordRunning(start, testRequest("a"), "u0", Progress{Tokens: 9})
 	r := testReport("u0")
 	r.Used, r.Gens = 3900, []GenLoad{{Attempt: "a", Tokens: 9}}
 	h.Report(start, start, r)
-	if d := h.Ask(start, testAsk("b")); d[0].Kind != Granted {
+	if d := h.Place(start, testRequest("b")); d[0].Kind != Granted {
 		t.Errorf("request = %+v, want granted: the only other attempt has ended", d)
 	}
 	if len(h.granted) != 1 {
@@ -81,13 +81,13 @@
 func TestEarlyRefusalKeepsItsPromise(t *testing.T) {
 	h := testHome(1)
 	for i := range 200 {
-		h.Ask(start, testAsk(fmt.Sprint("queued", i)))
+		h.Place(start, testRequest(fmt.Sprint("queued", i)))
 	}
 	var after []time.Duration
 	for i := range 2 {
-		a := testAsk(fmt.Sprint("late", i))
+		a := testRequest(fmt.Sprint("late", i))
 		a.Fingerprint, a.MaxWait = uint64(7+i), 50*time.Millisecond
-		d := h.Ask(start, a)
+		d := h.Place(start, a)
 		if d[0].Kind != Refused || d[0].Reason != ReasonQueueFull {
 			t.Fatalf("request that can't be granted in time = %+v, want refused with queue_wait", d)
 		}
@@ -98,12 +98,12 @@
 	}
 	back := start.Add(after[0])
 	h.Report(back, back, testReport("u0"))
-	newcomer := testAsk("newcomer")
+	newcomer := testRequest("newcomer")
 	newcomer.MaxWait = time.Hour
-	h.Ask(back, newcomer)
-	a := testAsk("again")
+	h.Place(back, newcomer)
+	a := testRequest("again")
 	a.Fingerprint, a.MaxWait = 7, time.Hour
-	h.Ask(back, a)
+	h.Place(back, a)
 	if n, r := h.queue.byAttempt["newcomer"], h.queue.byAttempt["again"]; n == nil || r == nil || !r.key.Before(n.key) {
 		t.Errorf("returning caller = %+v, newcomer = %+v, want the returning caller queued first", r, n)
 	}
@@ -115,9 +115,9 @@
 	h := testHome(4)
 	used := map[string]bool{}
 	for i := range 6 {
-		a := testAsk(fmt.Sprint("p", i))
+		a := testRequest(fmt.Sprint("p", i))
 		a.Fingerprint = 13
-		for _, d := range h.Ask(start, a) {
+		for _, d := range h.Place(start, a) {
 			used[d.Upstream] = true
 		}
 	}
@@ -136,7 +136,7 @@
 	}
 	got := map[Kind]int{}
 	for i := range 6 {
-		got[h.Ask(start, Ask{Attempt: fmt.Sprint(i), MaxWait: time.Minute})[0].Kind]++
+		got[h.Place(start, Request{Attempt: fmt.Sprint(i), MaxWait: time.Minute})[0].Kind]++
 	}
 	if got[Granted] != 4 || got[Queued] != 2 {
 		t.Errorf("decisions by kind = %v, want 4 granted and 2 queued", got)
@@ -158,16 +158,16 @@
 // must wait for the first report, which arrives within a round trip, and is then granted. If no
 // report arrives, it is refused with a Retry-After.
 func TestColdHomeWaitsForItsFirstReport(t *testing.T) {
-	ask := Ask{Attempt: "a", Org: "o", Prompt: 10, MaxOutput: 10, MaxWait: time.Minute}
+	req := Request{Attempt: "a", Org: "o", Prompt: 10, MaxOutput: 10, MaxWait: time.Minute}
 	h := NewHome(Settings{Engine: true})
-	if ds := h.Ask(start, ask); len(ds) != 1 || ds[0].Kind != Queued {
+	if ds := h.Place(start, req); len(ds) != 1 || ds[0].Kind != Queued {
 		t.Fatalf("request before the first report = %+v, want queued", ds)
 	}
 	if ds := h.Report(start, start, testReport("u0")); len(ds) != 1 || ds[0].Kind != Granted {
 		t.Errorf("decisions after the first report = %+v, want granted", ds)
 	}
 	h = NewHome(Settings{Engine: true})
-	h.Ask(start, ask)
+	h.Place(start, req)
 	ds := h.Tick(start.Add(reportMaxAge))
 	if len(ds) != 1 || ds[0].Reason != ReasonNoUpstream || ds[0].RetryAfter <= 0 {
 		t.Errorf("decisions without a report = %+v, want refused with a Retry-After", ds)
@@ -180,15 +180,15 @@
 // move that the home has just recorded.
 func TestGrantMovesToTheAnnouncedUpstream(t *testing.T) {
 	h := testHome(2)
-	granted := h.Ask(start, testAsk("a"))[0].Upstream
+	granted := h.Place(start, testRequest("a"))[0].Upstream
 	other := map[string]string{"u0": "u1", "u1": "u0"}[granted]
 	at := start
 	for _, step := range []struct {
 		announced, want string
 	}{{other, granted}, {granted, granted}, {other, granted}, {other, other}, {other, other}} {
 		at = at.Add(minProgressInterval)
-		h.Running(at, testAsk("a"), step.announced, Sighting{Tokens: 10})
-		if on := h.On(at, step.want); len(on) != 1 {
+		h.RecordRunning(at, testRequest("a"), step.announced, Progress{Tokens: 10})
+		if on := h.Generations(at, step.want); len(on) != 1 {
 			t.Fatalf("after an announcement on %q: %d grants on %s, want 1", step.announced, len(on), step.want)
 		}
 	}
--- a/internal/core/placement/ledger.go
+++ b/internal/core/placement/ledger.go
@@ -17,7 +17,7 @@
 	report     Report
 	reportedAt time.Time
 	grants     []*grant
-	// suspects is the number of grants with Ask.Suspect set.
+	// suspects is the number of grants with Request.Suspect set.
 	suspects int
 	// need is the memory forecast of all grants, foreignMemory the memory in tokens held by
 	// generations that are not in this home's ledger.
@@ -48,7 +48,7 @@
 
 // grant is an attempt that runs on an upstream or has permission to.
 type grant struct {
-	ask      Ask
+	req      Request
 	upstream *upstream
 	// index is the position in upstream.grants.
 	index     int
@@ -116,14 +116,14 @@
 // addGrant adds a grant to the ledger.
 func (h *Home) addGrant(g *grant) {
 	u := g.upstream
-	h.granted[g.ask.Attempt] = g
+	h.granted[g.req.Attempt] = g
 	g.index = len(u.grants)
 	u.grants = append(u.grants, g)
-	if g.ask.Suspect {
+	if g.req.Suspect {
 		u.suspects++
 	}
-	if g.ask.Fingerprint != 0 {
-		h.byFingerprint[g.ask.Fingerprint] = append(h.byFingerprint[g.ask.Fingerprint], g)
+	if g.req.Fingerprint != 0 {
+		h.byFingerprint[g.req.Fingerprint] = append(h.byFingerprint[g.req.Fingerprint], g)
 	}
 	u.backlog.add(g)
 	h.forecastNeed(g.tokensKnownAt, g)
@@ -134,13 +134,13 @@
 // release removes a grant from the ledger.
 func (h *Home) release(g *grant) {
 	u := g.upstream
-	delete(h.granted, g.ask.Attempt)
+	delete(h.granted, g.req.Attempt)
 	last := len(u.grants) - 1
 	u.grants[g.index] = u.grants[last]
 	u.grants[g.index].index = g.index
 	u.grants[last] = nil
 	u.grants = u.grants[:last]
-	if g.ask.Suspect {
+	if g.req.Suspect {
 		u.suspects--
 	}
 	h.dropFingerprint(g)
@@ -150,16 +150,16 @@
 }
 
 func (h *Home) dropFingerprint(g *grant) {
-	list := h.byFingerprint[g.ask.Fingerprint]
+	list := h.byFingerprint[g.req.Fingerprint]
 	i := slices.Index(list, g)
 	if i < 0 {
 		return
 	}
 	if len(list) == 1 {
-		delete(h.byFingerprint, g.ask.Fingerprint)
+		delete(h.byFingerprint, g.req.Fingerprint)
 		return
 	}
-	h.byFingerprint[g.ask.Fingerprint] = slices.Delete(list, i, i+1)
+	h.byFingerprint[g.req.Fingerprint] = slices.Delete(list, i, i+1)
 }
 
 // updatePeak recomputes an upstream's peak and summary.
@@ -185,8 +185,8 @@
 	if !h.settings.Engine {
 		return
 	}
-	c := h.lengths.curve(h.settings.Service, &g.ask)
-	g.need = footprintOf(c, g.ask.Prompt, g.tokensAt(now), g.ask.MaxOutput)
+	c := h.lengths.curve(h.settings.Service, &g.req)
+	g.need = footprintOf(c, g.req.Prompt, g.tokensAt(now), g.req.MaxOutput)
 }
 
 // tokensAt extrapolates the number of output tokens from the last announcement.
@@ -196,7 +196,7 @@
 	}
 	since := min(now.Sub(g.tokensKnownAt), maxExtrapolation)
 	more := int(since.Seconds() / g.upstream.tokenTimeOrDefault())
-	return min(g.tokens+max(more, 0), max(g.ask.MaxOutput-1, g.tokens))
+	return min(g.tokens+max(more, 0), max(g.req.MaxOutput-1, g.tokens))
 }
 
 // tokenTimeOrDefault returns the time per token in seconds.
@@ -246,7 +246,7 @@
 		g := h.granted[l.Attempt]
 		switch {
 		case g != nil:
-			knownTokens += g.ask.Prompt + l.Tokens
+			knownTokens += g.req.Prompt + l.Tokens
 		case !h.ended.has(l.Attempt):
 			unknownGens++
 		}
--- a/internal/core/placement/lengths.go
+++ b/internal/core/placement/lengths.go
@@ -50,12 +50,12 @@
 }
 
 // keyOf returns the key of the organisation's level for the answer to a request.
-func (l *Lengths) keyOf(service string, ask *Ask) orgKey {
+func (l *Lengths) keyOf(service string, req *Request) orgKey {
 	k := kind{service: service}
 	if !l.ignoreMaxOutput {
-		k.maxOutputOctave = bits.Len(uint(max(ask.MaxOutput, 0)))
+		k.maxOutputOctave = bits.Len(uint(max(req.MaxOutput, 0)))
 	}
-	return orgKey{kind: k, org: ask.Org}
+	return orgKey{kind: k, org: req.Org}
 }
 
 // level is one histogram of answer lengths.
@@ -96,8 +96,8 @@
 
 // Observe records the length of an answer. complete is false for an answer that was cut off,
 // whose length is a lower bound.
-func (l *Lengths) Observe(service string, ask *Ask, tokens int, complete bool) {
-	own := l.orgLevel(l.keyOf(service, ask))
+func (l *Lengths) Observe(service string, req *Request, tokens int, complete bool) {
+	own := l.orgLevel(l.keyOf(service, req))
 	for v := own; v != nil; v = v.parent {
 		v.observe(tokens, complete)
 	}
@@ -124,8 +124,8 @@
 }
 
 // curve returns the length distribution of the answer to a request.
-func (l *Lengths) curve(service string, ask *Ask) *curve {
-	v := l.orgLevel(l.keyOf(service, ask))
+func (l *Lengths) curve(service string, req *Request) *curve {
+	v := l.orgLevel(l.keyOf(service, req))
 	v.refresh(&l.prior)
 	return v.curve
 }
--- a/internal/core/placement/lengths_test.go
+++ b/internal/core/placement/lengths_test.go
@@ -24,9 +24,9 @@
 	for range 4000 {
 		n := max(1, math.Exp(5.2+1.2*rng.NormFloat64()))
 		all = append(all, n)
-		l.Observe("s", &Ask{Org: "o", MaxOutput: 8000}, int(n), true)
+		l.Observe("s", &Request{Org: "o", MaxOutput: 8000}, int(n), true)
 	}
-	c := l.curve("s", &Ask{Org: "o", MaxOutput: 8000})
+	c := l.curve("s", &Request{Org: "o", MaxOutput: 8000})
 	for _, tokens := range []int{0, 100, 400, 1000} {
 		sum, n := 0.0, 0.0
 		for _, x := range all {
@@ -46,16 +46,16 @@
 func TestLengthsBackOff(t *testing.T) {
 	l := NewLengths()
 	for range 500 {
-		l.Observe("s", &Ask{Org: "long", MaxOutput: 8000}, 1000, true)
+		l.Observe("s", &Request{Org: "long", MaxOutput: 8000}, 1000, true)
 	}
-	fresh := l.curve("s", &Ask{Org: "fresh", MaxOutput: 8000}).remaining(0, 8000)
+	fresh := l.curve("s", &Request{Org: "fresh", MaxOutput: 8000}).remaining(0, 8000)
 	if fresh < 700 {
 		t.Errorf("expected length for a new organisation = %.0f, want at least 700: others have 1000", fresh)
 	}
 	for range 100 {
-		l.Observe("s", &Ask{Org: "short", MaxOutput: 8000}, 20, true)
+		l.Observe("s", &Request{Org: "short", MaxOutput: 8000}, 20, true)
 	}
-	if short := l.curve("s", &Ask{Org: "short", MaxOutput: 8000}).remaining(0, 8000); short > 200 {
+	if short := l.curve("s", &Request{Org: "short", MaxOutput: 8000}).remaining(0, 8000); short > 200 {
 		t.Errorf("expected length for an organisation with answers of 20 tokens = %.0f, want at most 200", short)
 	}
 }
@@ -65,10 +65,10 @@
 func TestCutAnswersAreNotEnds(t *testing.T) {
 	l := NewLengths()
 	for range 200 {
-		l.Observe("s", &Ask{Org: "o", MaxOutput: 8000}, 50, false)
-		l.Observe("s", &Ask{Org: "o", MaxOutput: 8000}, 1000, true)
+		l.Observe("s", &Request{Org: "o", MaxOutput: 8000}, 50, false)
+		l.Observe("s", &Request{Org: "o", MaxOutput: 8000}, 1000, true)
 	}
-	if got := l.curve("s", &Ask{Org: "o", MaxOutput: 8000}).remaining(0, 8000); got < 800 {
+	if got := l.curve("s", &Request{Org: "o", MaxOutput: 8000}).remaining(0, 8000); got < 800 {
 		t.Errorf("expected length = %.0f, want at least 800: complete answers have 1000 tokens", got)
 	}
 }
@@ -76,7 +76,7 @@
 func TestOrganisationsAreBounded(t *testing.T) {
 	l := NewLengths()
 	for i := range maxOrgLevels + 100 {
-		l.Observe("s", &Ask{Org: string(rune(i)), MaxOutput: 8000}, 10, true)
+		l.Observe("s", &Request{Org: string(rune(i)), MaxOutput: 8000}, 10, true)
 	}
 	if len(l.orgs) > maxOrgLevels || len(l.order) > maxOrgLevels {
 		t.Errorf("organisations kept = %d, want at most maxOrgLevels", len(l.orgs))
@@ -88,7 +88,7 @@
 // forecast was too low, and it was placed as if it would end soon.
 func TestShortAnswersDoNotAffectLongOnes(t *testing.T) {
 	l := NewLengths()
-	line, page := &Ask{Org: "o", MaxOutput: 50}, &Ask{Org: "o", MaxOutput: 2200}
+	line, page := &Request{Org: "o", MaxOutput: 50}, &Request{Org: "o", MaxOutput: 2200}
 	for range 200 {
 		l.Observe("s", line, 12, true)
 		l.Observe("s", line, 15, true)
@@ -100,7 +100,7 @@
 	if got := l.curve("s", line).remaining(0, 50); got > 20 {
 		t.Errorf("expected length of a line = %.0f, want about 14", got)
 	}
-	other := &Ask{Org: "new", MaxOutput: 2200}
+	other := &Request{Org: "new", MaxOutput: 2200}
 	if got := l.curve("s", other).remaining(0, 2200); got < 600 {
 		t.Errorf("expected length of a new organisation's page = %.0f, want at least 600", got)
 	}
--- a/internal/core/placement/move.go
+++ b/internal/core/placement/move.go
@@ -8,37 +8,37 @@
 	"mulberrylug.example/mulberrylug/internal/core/mechanism"
 )
 
-// Placed is a generation that runs on an upstream according to the ledger.
-type Placed struct {
-	Ask Ask
-	// Tokens is the number of output tokens so far, Left the expected number of further ones.
-	Tokens int
-	Left   float64
+// RunningGeneration is a generation that runs on an upstream according to the ledger.
+type RunningGeneration struct {
+	Request Request
+	// Tokens is the number of output tokens so far, Remaining the expected number of further ones.
+	Tokens    int
+	Remaining float64
 	// TokenTime is the upstream's time per token.
 	TokenTime time.Duration
-	// Begun is set once the prompt was computed. Before that the generation cannot be moved.
-	Begun bool
+	// Prefilled is set once the prompt was computed. Before that the generation cannot be moved.
+	Prefilled bool
 }
 
-// On returns the generations on an upstream, sorted by attempt.
-func (h *Home) On(now time.Time, name string) []Placed {
+// Generations returns the generations on an upstream, sorted by attempt.
+func (h *Home) Generations(now time.Time, name string) []RunningGeneration {
 	u := h.byName[name]
 	if u == nil {
 		return nil
 	}
-	out := make([]Placed, 0, len(u.grants))
+	out := make([]RunningGeneration, 0, len(u.grants))
 	for _, g := range u.grants {
 		tokens := g.tokensAt(now)
-		out = append(out, Placed{
-			Ask: g.ask, Tokens: tokens, Left: h.remainingTokens(g, tokens), TokenTime: seconds(u.tokenTimeOrDefault()), Begun: g.prefilled,
+		out = append(out, RunningGeneration{
+			Request: g.req, Tokens: tokens, Remaining: h.remainingTokens(g, tokens), TokenTime: seconds(u.tokenTimeOrDefault()), Prefilled: g.prefilled,
 		})
 	}
-	slices.SortFunc(out, func(a, b Placed) int { return cmp.Compare(a.Ask.Attempt, b.Ask.Attempt) })
+	slices.SortFunc(out, func(a, b RunningGeneration) int { return cmp.Compare(a.Request.Attempt, b.Request.Attempt) })
 	return out
 }
 
-// Runs reports whether any generation runs on an upstream according to the ledger.
-func (h *Home) Runs(name string) bool {
+// HasGenerations reports whether any generation runs on an upstream according to the ledger.
+func (h *Home) HasGenerations(name string) bool {
 	u := h.byName[name]
 	return u != nil && len(u.grants) > 0
 }
@@ -46,10 +46,10 @@
 // remainingTokens returns the expected number of further output tokens: by the caller's estimate
 // until that is exceeded, then by learned lengths.
 func (h *Home) remainingTokens(g *grant, tokens int) float64 {
-	if g.ask.Expected > tokens && !h.settings.Without.Has(mechanism.Hints) {
-		return float64(g.ask.Expected - tokens)
+	if g.req.Expected > tokens && !h.settings.Without.Has(mechanism.Hints) {
+		return float64(g.req.Expected - tokens)
 	}
-	return h.lengths.curve(h.settings.Service, &g.ask).remaining(tokens, max(g.ask.MaxOutput, tokens+1))
+	return h.lengths.curve(h.settings.Service, &g.req).remaining(tokens, max(g.req.MaxOutput, tokens+1))
 }
 
 // Destination returns the upstream to which a generation should move, or "" if none has room.
@@ -60,12 +60,12 @@
 	if g == nil {
 		return ""
 	}
-	need := footprintOf(h.lengths.curve(h.settings.Service, &g.ask), g.ask.Prompt, g.tokensAt(now), g.ask.MaxOutput)
+	need := footprintOf(h.lengths.curve(h.settings.Service, &g.req), g.req.Prompt, g.tokensAt(now), g.req.MaxOutput)
 	rest := h.predictRest(now, g)
 	best, bestScore, bestNear := "", 0.0, false
 	for i, u := range h.upstreams {
 		s := &h.summaries[i]
-		if u == g.upstream || !u.takesWork(now) || now.UnixNano() < s.openAt || s.slots <= 0 || !g.ask.mayRunIn(u.report.DataCentre) || skip(u.name) || !h.hasRoom(u, &need, 0) {
+		if u == g.upstream || !u.takesWork(now) || now.UnixNano() < s.openAt || s.slots <= 0 || !g.req.mayRunIn(u.report.DataCentre) || skip(u.name) || !h.hasRoom(u, &need, 0) {
 			continue
 		}
 		score, near := h.score(now.UnixNano(), s, &rest), near(u.name)
@@ -76,9 +76,9 @@
 	return best
 }
 
-// Started counts a generation that moves to an upstream against the upstream's rate limit of
+// CountStart counts a generation that moves to an upstream against the upstream's rate limit of
 // starts.
-func (h *Home) Started(now time.Time, name string) {
+func (h *Home) CountStart(now time.Time, name string) {
 	if u := h.byName[name]; u != nil {
 		u.starts.Note(now)
 		h.summarize(u)
@@ -114,7 +114,7 @@
 		}
 		for _, g := range u.grants {
 			if tokens := g.tokensAt(now); g.prefilled && h.remainingTokens(g, tokens) > longRemaining {
-				need += float64(g.ask.Prompt + tokens)
+				need += float64(g.req.Prompt + tokens)
 			}
 		}
 	}
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -32,8 +32,8 @@
 // next one. Reports arrive every 250 ms, so several may be lost.
 const reportMaxAge = 1200 * time.Millisecond
 
-// Ask is a request to run one attempt.
-type Ask struct {
+// Request is a request to run one attempt.
+type Request struct {
 	Attempt string
 	Org     string
 	// Fingerprint identifies requests of the same content; 0 if unknown.
