--- a/internal/core/placement/predict_test.go
+++ b/internal/core/placement/predict_test.go
@@ -22,7 +22,7 @@
 	firstTokenAt   map[string]time.Time
 	placedOn       map[string]string
 	announcedFirst map[string]bool
-	asks           map[string]Ask
+	asks           map[string]Request
 	// grantedAt and refusedAt are the times of the decisions on an attempt.
 	grantedAt map[string]time.Time
 	refusedAt map[string]time.Time
@@ -37,7 +37,7 @@
 func newPredictSim(t *testing.T, paces ...time.Duration) *predictSim {
 	w := &predictSim{
 		t: t, now: start, pace: map[string]time.Duration{}, prefillUntil: map[string]time.Time{}, firstTokenAt: map[string]time.Time{},
-		placedOn: map[string]string{}, announcedFirst: map[string]bool{}, asks: map[string]Ask{}, grantedAt: map[string]time.Time{}, refusedAt: map[string]time.Time{},
+		placedOn: map[string]string{}, announcedFirst: map[string]bool{}, asks: map[string]Request{}, grantedAt: map[string]time.Time{}, refusedAt: map[string]time.Time{},
 	}
 	w.home = NewHome(Settings{
 		Weights: config.Weights{Stall: 1, Preemptions: 1, Tail: 1}, Engine: true, Service: "s", Predict: true, PromptRate: simPrefillRate,
@@ -61,11 +61,11 @@
 func (w *predictSim) askShort(id string) { w.ask(id, "short", 2400, 50, 1500*time.Millisecond) }
 
 func (w *predictSim) ask(id, org string, prompt, maxOutput int, target time.Duration) {
-	w.asks[id] = Ask{
+	w.asks[id] = Request{
 		Attempt: id, Org: org, Fingerprint: uint64(len(w.asks) + 1), Prompt: prompt, MaxOutput: maxOutput,
 		FirstTarget: target, MaxWait: 3 * target,
 	}
-	w.record(w.home.Ask(w.now, w.asks[id]))
+	w.record(w.home.Place(w.now, w.asks[id]))
 }
 
 // record applies decisions to the simulation.
@@ -114,31 +114,31 @@
 // numbered so that the order of events is deterministic.
 func (w *predictSim) progress(k int) {
 	id := fmt.Sprintf("r%d", k)
-	upstream, ask := w.placedOn[id], w.asks[id]
+	upstream, req := w.placedOn[id], w.asks[id]
 	if upstream == "" || w.dropFirstTokens {
 		return
 	}
 	if w.now.Before(w.firstTokenAt[id]) {
-		w.announce(id, Sighting{})
+		w.announce(id, Progress{})
 		return
 	}
 	if !w.announcedFirst[id] {
 		w.announcedFirst[id] = true
-		w.record(w.home.Began(w.now, id))
+		w.record(w.home.OnFirstToken(w.now, id))
 	}
 	tokens := int(w.now.Sub(w.firstTokenAt[id])/w.pace[upstream]) + 1
-	if tokens >= min(ask.MaxOutput, 600) {
+	if tokens >= min(req.MaxOutput, 600) {
 		w.record(w.home.End(w.now, id, tokens, true))
 		delete(w.placedOn, id)
 		return
 	}
-	w.announce(id, Sighting{Tokens: tokens, Pace: w.pace[upstream]})
+	w.announce(id, Progress{Tokens: tokens, Pace: w.pace[upstream]})
 }
 
 // announce sends the home an attempt's progress every half second.
-func (w *predictSim) announce(id string, s Sighting) {
+func (w *predictSim) announce(id string, s Progress) {
 	if w.now.Sub(start)%(500*time.Millisecond) == 0 {
-		w.home.Running(w.now, w.asks[id], w.placedOn[id], s)
+		w.home.RecordRunning(w.now, w.asks[id], w.placedOn[id], s)
 	}
 }
 
@@ -357,8 +357,8 @@
 		w := newPredictSim(t, fastPace, fastPace, slowPace, fastPace)
 		for k := range 20 {
 			id := fmt.Sprintf("r%d", k)
-			w.asks[id] = Ask{Attempt: id, Org: "long", Prompt: 3000, MaxOutput: 1500, Expected: hint, FirstTarget: 1800 * time.Millisecond, MaxWait: 5 * time.Second}
-			w.record(w.home.Ask(w.now, w.asks[id]))
+			w.asks[id] = Request{Attempt: id, Org: "long", Prompt: 3000, MaxOutput: 1500, Expected: hint, FirstTarget: 1800 * time.Millisecond, MaxWait: 5 * time.Second}
+			w.record(w.home.Place(w.now, w.asks[id]))
 			w.advance(300 * time.Millisecond)
 		}
 		return w.placedOn
@@ -412,20 +412,20 @@
 // these have moved. Short answers end before the notice expires and must still be placed at once.
 func TestNewWorkLeavesRoomForMoves(t *testing.T) {
 	w := newPredictSim(t, fastPace, fastPace, fastPace, fastPace)
-	ask := Ask{Attempt: "new", Org: "long", Prompt: 3000, MaxOutput: 1500, FirstTarget: 1800 * time.Millisecond, MaxWait: time.Second}
+	req := Request{Attempt: "new", Org: "long", Prompt: 3000, MaxOutput: 1500, FirstTarget: 1800 * time.Millisecond, MaxWait: time.Second}
 	last := ""
-	for k := 0; w.home.choose(w.now, &ask) != nil; k++ {
-		runs := ask
+	for k := 0; w.home.choose(w.now, &req) != nil; k++ {
+		runs := req
 		last = fmt.Sprintf("old-%d", k)
 		runs.Attempt = last
-		w.home.Running(w.now, runs, fmt.Sprintf("u%d", k%4), Sighting{Tokens: 300})
+		w.home.RecordRunning(w.now, runs, fmt.Sprintf("u%d", k%4), Progress{Tokens: 300})
 	}
 	w.home.End(w.now, last, 300, false) // there is room for one more
 	w.record(w.home.Report(w.now, w.now, Report{Upstream: "u0", Capacity: 34_000, MaxBatch: 24, Leaving: true}))
-	if u := w.home.choose(w.now, &ask); u != nil {
+	if u := w.home.choose(w.now, &req); u != nil {
 		t.Errorf("new long answer placed on %s, want it to wait", u.name)
 	}
-	short := Ask{Attempt: "s", Org: "short", Prompt: 500, MaxOutput: 20, FirstTarget: 1500 * time.Millisecond, MaxWait: time.Second}
+	short := Request{Attempt: "s", Org: "short", Prompt: 500, MaxOutput: 20, FirstTarget: 1500 * time.Millisecond, MaxWait: time.Second}
 	if w.home.choose(w.now, &short) == nil {
 		t.Error("no upstream for a short answer, want it placed at once")
 	}
@@ -433,8 +433,8 @@
 	if w.home.Destination(w.now, "old-0", near, skip) == "" {
 		t.Error("no destination for a generation on the leaving upstream, want one")
 	}
-	for _, p := range w.home.On(w.now, "u0") {
-		w.home.End(w.now, p.Ask.Attempt, 300, false)
+	for _, p := range w.home.Generations(w.now, "u0") {
+		w.home.End(w.now, p.Request.Attempt, 300, false)
 	}
 	w.home.Tick(w.now)
 	if w.home.movesReserve != 0 {
@@ -451,8 +451,8 @@
 		w.askShort(fmt.Sprintf("r%d", k))
 	}
 	w.advance(1200 * time.Millisecond)
-	ask := w.asks["r0"]
-	d := w.home.refuse(w.now, w.now, &ask, 0)
+	req := w.asks["r0"]
+	d := w.home.refuse(w.now, w.now, &req, 0)
 	all := seconds((w.home.queue.cost + w.home.promises.cost) / w.home.drainRate(w.now))
 	if all < retryMin || d.RetryAfter < 2*all {
 		t.Errorf("Retry-After = %v, want at least twice the %v in which all work drains (at least retryMin)", d.RetryAfter, all)
--- a/internal/core/placement/progress.go
+++ b/internal/core/placement/progress.go
@@ -4,18 +4,18 @@
 	"time"
 )
 
-// Sighting is an entry's announcement of a running attempt.
-type Sighting struct {
+// Progress is an entry's announcement of a running attempt.
+type Progress struct {
 	// Tokens is the number of output tokens so far.
 	Tokens int
 	// Pace is the time per token without concurrent prefill; 0 if unknown.
 	Pace time.Duration
 }
 
-// Running records an entry's announcement that an attempt runs on an upstream. A new home
+// RecordRunning records an entry's announcement that an attempt runs on an upstream. A new home
 // rebuilds its ledger from announcements.
-func (h *Home) Running(now time.Time, ask Ask, name string, s Sighting) {
-	if g := h.granted[ask.Attempt]; g != nil {
+func (h *Home) RecordRunning(now time.Time, req Request, name string, s Progress) {
+	if g := h.granted[req.Attempt]; g != nil {
 		g.lastSeen = now
 		g.recordProgress(now, s.Tokens)
 		if s.Tokens > 0 {
@@ -28,13 +28,13 @@
 		return
 	}
 	u := h.byName[name]
-	if u == nil || h.ended.has(ask.Attempt) {
+	if u == nil || h.ended.has(req.Attempt) {
 		return
 	}
-	if q := h.queue.byAttempt[ask.Attempt]; q != nil {
+	if q := h.queue.byAttempt[req.Attempt]; q != nil {
 		h.queue.remove(q)
 	}
-	h.addGrant(&grant{ask: ask, upstream: u, grantedAt: now, lastSeen: now, tokens: s.Tokens, tokensKnownAt: now, prefilled: s.Tokens > 0})
+	h.addGrant(&grant{req: req, upstream: u, grantedAt: now, lastSeen: now, tokens: s.Tokens, tokensKnownAt: now, prefilled: s.Tokens > 0})
 }
 
 // relocate moves a grant to the upstream on which its entry announces the attempt: an entry that
@@ -51,7 +51,7 @@
 	}
 	if now.Sub(g.otherSince) >= minProgressInterval {
 		g.otherUpstream = ""
-		h.Move(g.ask.Attempt, name)
+		h.Move(g.req.Attempt, name)
 	}
 }
 
@@ -70,7 +70,7 @@
 			if now.Sub(g.lastSeen) <= silent {
 				continue
 			}
-			out = append(out, Orphan{Attempt: g.ask.Attempt, Upstream: u.name})
+			out = append(out, Orphan{Attempt: g.req.Attempt, Upstream: u.name})
 			h.release(g)
 		}
 	}
--- a/internal/core/placement/property_test.go
+++ b/internal/core/placement/property_test.go
@@ -22,7 +22,7 @@
 	rng  *rand.Rand
 	// asks holds the requests by attempt, askedAt when they were sent, state the last decision
 	// on each, placedOn the upstream granted.
-	asks     map[string]Ask
+	asks     map[string]Request
 	askedAt  map[string]time.Time
 	state    map[string]Kind
 	placedOn map[string]string
@@ -44,7 +44,7 @@
 	return &homeSim{
 		home: NewHome(Settings{Weights: config.Weights{Stall: 1, Preemptions: 1, Tail: 1}, Engine: true}),
 		now:  time.Unix(1000, 0), rng: rand.New(rand.NewSource(seed)),
-		asks: map[string]Ask{}, askedAt: map[string]time.Time{}, state: map[string]Kind{}, placedOn: map[string]string{},
+		asks: map[string]Request{}, askedAt: map[string]time.Time{}, state: map[string]Kind{}, placedOn: map[string]string{},
 		leaving: map[string]bool{}, lastReport: map[string]time.Time{},
 	}
 }
@@ -64,7 +64,7 @@
 	case 0, 1, 2:
 		w.ask()
 	case 3:
-		w.repeatAsk()
+		w.repeatRequest()
 	case 4, 5:
 		w.end()
 	case 6, 7:
@@ -84,7 +84,7 @@
 func (w *homeSim) ask() {
 	w.count++
 	id := fmt.Sprintf("a%d", w.count)
-	a := Ask{
+	a := Request{
 		Attempt: id, Org: fmt.Sprintf("o%d", w.rng.Intn(3)), Fingerprint: uint64(1 + w.rng.Intn(30)),
 		Prompt: 1 + w.rng.Intn(800), MaxOutput: 1 + w.rng.Intn(2000), MaxWait: simMaxWait,
 		Suspect: w.rng.Intn(4) == 0,
@@ -93,7 +93,7 @@
 		a.Exclude = []string{w.upstream()}
 	}
 	w.asks[id], w.askedAt[id] = a, w.now
-	ds := w.home.Ask(w.now, a)
+	ds := w.home.Place(w.now, a)
 	w.checkDecisions(ds)
 	if w.state[id] == 0 {
 		w.fail("%s: request was neither granted, queued nor refused", id)
@@ -117,16 +117,16 @@
 	return ok && w.now.Sub(reported) < reportMaxAge && !w.leaving[name]
 }
 
-// repeatAsk repeats the request for an attempt that is granted or queued. The decision must be
+// repeatRequest repeats the request for an attempt that is granted or queued. The decision must be
 // the same, unless the granted upstream must not get new work any more: then the request is
 // treated as a new one, and checkDecisions checks the decision.
-func (w *homeSim) repeatAsk() {
+func (w *homeSim) repeatRequest() {
 	id := w.randomAttempt(Kind(1 + w.rng.Intn(2)))
 	if id == "" {
 		return
 	}
 	kind, upstream := w.state[id], w.placedOn[id]
-	ds := w.home.Ask(w.now, w.asks[id])
+	ds := w.home.Place(w.now, w.asks[id])
 	if kind == Granted && !w.takesWork(upstream) {
 		delete(w.state, id)
 		delete(w.placedOn, id)
@@ -163,7 +163,7 @@
 
 func (w *homeSim) announce() {
 	if id := w.randomAttempt(Granted); id != "" {
-		w.home.Running(w.now, w.asks[id], w.placedOn[id], Sighting{Tokens: w.rng.Intn(w.asks[id].MaxOutput)})
+		w.home.RecordRunning(w.now, w.asks[id], w.placedOn[id], Progress{Tokens: w.rng.Intn(w.asks[id].MaxOutput)})
 	}
 }
 
@@ -234,13 +234,13 @@
 		for i, g := range u.grants {
 			total++
 			need.add(&g.need)
-			if g.ask.Suspect {
+			if g.req.Suspect {
 				suspects++
 			}
-			if g.index != i || g.upstream != u || w.home.granted[g.ask.Attempt] != g {
-				w.fail("%s: the grant's index, upstream or map entry in the ledger is wrong", g.ask.Attempt)
+			if g.index != i || g.upstream != u || w.home.granted[g.req.Attempt] != g {
+				w.fail("%s: the grant's index, upstream or map entry in the ledger is wrong", g.req.Attempt)
 			}
-			p := g.ask.Fingerprint
+			p := g.req.Fingerprint
 			if byFingerprint[p] == nil {
 				byFingerprint[p] = map[string]bool{}
 			}
@@ -316,14 +316,14 @@
 			const orgs = 4
 			for i, c := range costs {
 				org := fmt.Sprintf("o%d", picks[i%len(picks)]%orgs)
-				q.push(Ask{Attempt: fmt.Sprint(i), Org: org}, now.Add(time.Duration(i)*time.Millisecond), c)
+				q.push(Request{Attempt: fmt.Sprint(i), Org: org}, now.Add(time.Duration(i)*time.Millisecond), c)
 			}
 			served := map[string]float64{}
 			for len(q.waiting) == orgs {
 				best := q.best(nil)
 				q.remove(best)
-				q.charge(best.ask.Org, best.cost)
-				served[best.ask.Org] += best.cost
+				q.charge(best.req.Org, best.cost)
+				served[best.req.Org] += best.cost
 			}
 			lowest, highest := math.Inf(1), 0.0
 			for i := range orgs {
@@ -352,13 +352,13 @@
 		func(cost float64, intervalMs int) (bool, error) {
 			q := newQueue(tune(config.Weights{Stall: 1, Preemptions: 1, Tail: 1}))
 			start := time.Unix(1000, 0)
-			q.push(Ask{Attempt: "old", Org: "a"}, start, cost)
+			q.push(Request{Attempt: "old", Org: "a"}, start, cost)
 			step := time.Duration(intervalMs) * time.Millisecond
 			for n := 0; ; n++ {
 				now := start.Add(time.Duration(n) * step)
-				q.push(Ask{Attempt: fmt.Sprint(n), Org: "a"}, now, 1)
+				q.push(Request{Attempt: fmt.Sprint(n), Org: "a"}, now, 1)
 				best := q.best(nil)
-				if best.ask.Attempt == "old" {
+				if best.req.Attempt == "old" {
 					return true, nil
 				}
 				if now.Sub(start) > maxAhead+step {
--- a/internal/core/placement/queue.go
+++ b/internal/core/placement/queue.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// queuedAsk is a queued request.
-type queuedAsk struct {
-	ask Ask
+// queuedRequest is a queued request.
+type queuedRequest struct {
+	req Request
 	// firstAsked is when the caller first sent the request, arrived when it sent it this time.
 	// They differ if the caller was refused and returned.
 	firstAsked time.Time
@@ -35,29 +35,29 @@
 // orgQueue holds the queue of one organisation.
 type orgQueue struct {
 	name string
-	asks askHeap
+	asks requestHeap
 	// served is the cost granted so far, measured on the queue's virtual clock.
 	served float64
 }
 
-// askHeap implements heap.Interface; the first request is the next one.
-type askHeap []*queuedAsk
+// requestHeap implements heap.Interface; the first request is the next one.
+type requestHeap []*queuedRequest
 
-func (h askHeap) Len() int           { return len(h) }
-func (h askHeap) Less(a, b int) bool { return h[a].before(h[b]) }
+func (h requestHeap) Len() int           { return len(h) }
+func (h requestHeap) Less(a, b int) bool { return h[a].before(h[b]) }
 
-func (h askHeap) Swap(a, b int) {
+func (h requestHeap) Swap(a, b int) {
 	h[a], h[b] = h[b], h[a]
 	h[a].index, h[b].index = a, b
 }
 
-func (h *askHeap) Push(x any) {
-	q := x.(*queuedAsk)
+func (h *requestHeap) Push(x any) {
+	q := x.(*queuedRequest)
 	q.index = len(*h)
 	*h = append(*h, q)
 }
 
-func (h *askHeap) Pop() any {
+func (h *requestHeap) Pop() any {
 	old := *h
 	q := old[len(old)-1]
 	old[len(old)-1] = nil
@@ -76,7 +76,7 @@
 	delayPerCost float64
 	// byDeadline orders requests by the deadline of their first token.
 	byDeadline bool
-	byAttempt  map[string]*queuedAsk
+	byAttempt  map[string]*queuedRequest
 	// lateCount is the number of late requests, lateCost the sum of their costs.
 	lateCount int
 	lateCost  float64
@@ -93,27 +93,27 @@
 func newQueue(t tuning) *queue {
 	return &queue{
 		slack: t.slack, delayPerCost: t.delayPerCost,
-		byAttempt: map[string]*queuedAsk{}, orgs: map[string]*orgQueue{},
+		byAttempt: map[string]*queuedRequest{}, orgs: map[string]*orgQueue{},
 	}
 }
 
 func (q *queue) len() int { return len(q.byAttempt) }
 
 // all returns the requests sorted by attempt.
-func (q *queue) all() []*queuedAsk {
-	out := make([]*queuedAsk, 0, len(q.byAttempt))
+func (q *queue) all() []*queuedRequest {
+	out := make([]*queuedRequest, 0, len(q.byAttempt))
 	for _, attempt := range slices.Sorted(maps.Keys(q.byAttempt)) {
 		out = append(out, q.byAttempt[attempt])
 	}
 	return out
 }
 
-func (q *queue) push(ask Ask, since time.Time, cost float64) *queuedAsk {
-	item := &queuedAsk{ask: ask, firstAsked: since, cost: cost}
-	item.key = q.keyOf(&ask, since, cost)
+func (q *queue) push(req Request, since time.Time, cost float64) *queuedRequest {
+	item := &queuedRequest{req: req, firstAsked: since, cost: cost}
+	item.key = q.keyOf(&req, since, cost)
 	q.cost += cost
-	q.byAttempt[ask.Attempt] = item
-	o := q.org(ask.Org)
+	q.byAttempt[req.Attempt] = item
+	o := q.org(req.Org)
 	if len(o.asks) == 0 {
 		q.waiting = append(q.waiting, o)
 		o.served = max(o.served, q.clock)
@@ -122,9 +122,9 @@
 	return item
 }
 
-func (q *queue) keyOf(ask *Ask, since time.Time, cost float64) time.Time {
-	if q.byDeadline && ask.FirstTarget > 0 {
-		return since.Add(ask.FirstTarget)
+func (q *queue) keyOf(req *Request, since time.Time, cost float64) time.Time {
+	if q.byDeadline && req.FirstTarget > 0 {
+		return since.Add(req.FirstTarget)
 	}
 	return since.Add(time.Duration(min(cost, maxCost) * q.delayPerCost))
 }
@@ -142,8 +142,8 @@
 
 // demote marks the requests for which missed returns true as late and moves them behind the
 // others. It returns them in their new order.
-func (q *queue) demote(missed func(item *queuedAsk) bool) []*queuedAsk {
-	var out []*queuedAsk
+func (q *queue) demote(missed func(item *queuedRequest) bool) []*queuedRequest {
+	var out []*queuedRequest
 	for _, o := range q.waiting {
 		for _, item := range slices.Clone(o.asks) {
 			if item.late || !missed(item) {
@@ -157,7 +157,7 @@
 			out = append(out, item)
 		}
 	}
-	slices.SortFunc(out, func(a, b *queuedAsk) int {
+	slices.SortFunc(out, func(a, b *queuedRequest) int {
 		if a.before(b) {
 			return -1
 		}
@@ -167,31 +167,31 @@
 }
 
 // before reports whether a request is served before another one of the same organisation.
-func (q *queuedAsk) before(o *queuedAsk) bool {
+func (q *queuedRequest) before(o *queuedRequest) bool {
 	if q.key.Equal(o.key) {
-		return q.ask.Attempt < o.ask.Attempt
+		return q.req.Attempt < o.req.Attempt
 	}
 	return q.key.Before(o.key)
 }
 
 // lateAhead returns the sums of the costs and of the prompt tokens of the late requests before
 // another one.
-func (q *queue) lateAhead(of *queuedAsk) (cost, prompts float64) {
+func (q *queue) lateAhead(of *queuedRequest) (cost, prompts float64) {
 	for _, item := range q.byAttempt {
 		if item.late && item.before(of) {
 			cost += item.cost
-			prompts += float64(item.ask.Prompt)
+			prompts += float64(item.req.Prompt)
 		}
 	}
 	return cost, prompts
 }
 
 // overdue returns the requests that have reached their maximum wait.
-func (q *queue) overdue(now time.Time) []*queuedAsk {
-	var out []*queuedAsk
+func (q *queue) overdue(now time.Time) []*queuedRequest {
+	var out []*queuedRequest
 	for _, o := range q.waiting {
 		for _, item := range o.asks {
-			if now.Sub(item.arrived) >= item.ask.MaxWait {
+			if now.Sub(item.arrived) >= item.req.MaxWait {
 				out = append(out, item)
 			}
 		}
@@ -208,14 +208,14 @@
 	return o
 }
 
-func (q *queue) remove(item *queuedAsk) {
-	delete(q.byAttempt, item.ask.Attempt)
+func (q *queue) remove(item *queuedRequest) {
+	delete(q.byAttempt, item.req.Attempt)
 	q.cost = max(q.cost-item.cost, 0)
 	if item.late {
 		q.lateCount--
 		q.lateCost = max(q.lateCost-item.cost, 0)
 	}
-	o := q.orgs[item.ask.Org]
+	o := q.orgs[item.req.Org]
 	heap.Remove(&o.asks, item.index)
 	if len(o.asks) > 0 {
 		return
@@ -235,7 +235,7 @@
 
 // best returns the next request that is not in passed, late requests last. An organisation that
 // has only late requests does not delay others.
-func (q *queue) best(passed map[*queuedAsk]bool) *queuedAsk {
+func (q *queue) best(passed map[*queuedRequest]bool) *queuedRequest {
 	q.advanceClock()
 	if b := q.bestAmong(passed, false); b != nil {
 		return b
@@ -245,14 +245,14 @@
 
 // bestAmong returns the next late request, or the next timely one, among the organisations whose
 // lead is within slack.
-func (q *queue) bestAmong(passed map[*queuedAsk]bool, late bool) *queuedAsk {
+func (q *queue) bestAmong(passed map[*queuedRequest]bool, late bool) *queuedRequest {
 	minServed := math.Inf(1)
 	for _, o := range q.waiting {
 		if o.asks[0].late == late {
 			minServed = min(minServed, o.served)
 		}
 	}
-	var best *queuedAsk
+	var best *queuedRequest
 	for _, o := range q.waiting {
 		head := o.asks[0]
 		if head.late != late || o.served > minServed+q.slack || passed[head] {
--- a/internal/core/placement/wait.go
+++ b/internal/core/placement/wait.go
@@ -40,14 +40,14 @@
 // predictWait returns the expected wait of a request: until the work ahead of it has drained,
 // while cheaper work continues to arrive. With Settings.Predict it is 0 for a request that can
 // still meet its deadline: that waits until the deadline at most and is then reconsidered.
-func (h *Home) predictWait(now, since time.Time, ask *Ask, cost float64) time.Duration {
+func (h *Home) predictWait(now, since time.Time, req *Request, cost float64) time.Duration {
 	if h.queue.len() == 0 {
 		return 0
 	}
-	key := h.queue.keyOf(ask, since, cost)
-	if h.settings.Predict && ask.FirstTarget > 0 {
-		if h.missesDeadline(now, since, ask) {
-			return h.lateWait(now, &queuedAsk{ask: *ask, key: key.Add(lateKeyDelay), cost: cost})
+	key := h.queue.keyOf(req, since, cost)
+	if h.settings.Predict && req.FirstTarget > 0 {
+		if h.missesDeadline(now, since, req) {
+			return h.lateWait(now, &queuedRequest{req: *req, key: key.Add(lateKeyDelay), cost: cost})
 		}
 		return 0
 	}
@@ -64,12 +64,12 @@
 
 // lateWait returns the expected wait of a late request behind the timely ones: until the late
 // work ahead of it has drained, limited by memory or by prefill, whichever takes longer.
-func (h *Home) lateWait(now time.Time, q *queuedAsk) time.Duration {
+func (h *Home) lateWait(now time.Time, q *queuedRequest) time.Duration {
 	rate := h.drainRate(now)
 	left := h.meter.lateRate(rate)
 	cost, prompts := h.queue.lateAhead(q)
 	prefill := h.prefillRate(now) * left / rate
-	return seconds(max((cost+q.cost)/left, (prompts+float64(q.ask.Prompt))/max(prefill, 1)))
+	return seconds(max((cost+q.cost)/left, (prompts+float64(q.req.Prompt))/max(prefill, 1)))
 }
 
 // prefillRate returns the total prefill throughput of the pool in tokens a second.
@@ -85,29 +85,29 @@
 
 // missesDeadline reports whether a request that was first sent at since can no longer meet the
 // deadline of its first token.
-func (h *Home) missesDeadline(now, since time.Time, ask *Ask) bool {
-	if ask.FirstTarget == 0 {
+func (h *Home) missesDeadline(now, since time.Time, req *Request) bool {
+	if req.FirstTarget == 0 {
 		return false
 	}
-	first := now.Add(firstTokenMargin + seconds(float64(ask.Prompt)/h.poolPrefillRate()))
-	return first.After(since.Add(ask.FirstTarget))
+	first := now.Add(firstTokenMargin + seconds(float64(req.Prompt)/h.poolPrefillRate()))
+	return first.After(since.Add(req.FirstTarget))
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // refuse refuses a request. Its Retry-After is the time until the queued work has drained, and
 // the work of the callers that were refused before and are expected to return.
-func (h *Home) refuse(now, since time.Time, ask *Ask, cost float64) Decision {
+func (h *Home) refuse(now, since time.Time, req *Request, cost float64) Decision {
 	rate, ahead := h.drainRate(now), h.queue.cost
-	if h.settings.Predict && ask.FirstTarget > 0 {
+	if h.settings.Predict && req.FirstTarget > 0 {
 		// Requests that can still meet their deadlines are served first: this one gets the
 		// share of late requests.
 		rate, ahead = h.meter.lateRate(rate), h.queue.lateCost
 	}
 	after := seconds((ahead + h.promises.cost) / rate)
 	after = min(max(after, retryMin), retryMax)
-	h.promises.add(now, since, ask, after, cost)
-	return Decision{Attempt: ask.Attempt, Kind: Refused, Reason: ReasonQueueFull, RetryAfter: after}
+	h.promises.add(now, since, req, after, cost)
+	return Decision{Attempt: req.Attempt, Kind: Refused, Reason: ReasonQueueFull, RetryAfter: after}
 }
 
 // promise is the record of a refused request: a caller that sends it again after its Retry-After
@@ -131,20 +131,20 @@
 
 func newPromises() promises { return promises{byFingerprint: map[uint64]*promise{}} }
 
-func (p *promises) add(now, since time.Time, ask *Ask, after time.Duration, cost float64) {
-	if ask.Fingerprint == 0 || p.byFingerprint[ask.Fingerprint] != nil || len(p.byFingerprint) >= maxPromises {
+func (p *promises) add(now, since time.Time, req *Request, after time.Duration, cost float64) {
+	if req.Fingerprint == 0 || p.byFingerprint[req.Fingerprint] != nil || len(p.byFingerprint) >= maxPromises {
 		return
 	}
-	made := &promise{fingerprint: ask.Fingerprint, firstAsked: since, returnAt: now.Add(after), cost: cost}
-	p.byFingerprint[ask.Fingerprint] = made
+	made := &promise{fingerprint: req.Fingerprint, firstAsked: since, returnAt: now.Add(after), cost: cost}
+	p.byFingerprint[req.Fingerprint] = made
 	p.order = append(p.order, made)
 	p.cost += cost
 }
 
 // redeem returns the time from which a request counts as waiting: the time of the caller's first
 // request if it was refused then and has returned after the Retry-After, now otherwise.
-func (p *promises) redeem(now time.Time, ask *Ask) time.Time {
-	made := p.byFingerprint[ask.Fingerprint]
+func (p *promises) redeem(now time.Time, req *Request) time.Time {
+	made := p.byFingerprint[req.Fingerprint]
 	if made == nil || now.Before(made.returnAt) {
 		return now
 	}
--- a/internal/core/poison_test.go
+++ b/internal/core/poison_test.go
@@ -32,12 +32,12 @@
 // requestGrant requests a grant for an attempt and returns the granted upstream, "" if there is
 // none. failed is the upstream where the previous attempt failed, "" for a first attempt.
 func (h *poisonHome) requestGrant(attempt string, fingerprint uint64, failed string) string {
-	m := msg.GrantAsk{Pool: h.pool, Ask: placement.Ask{
+	m := msg.GrantRequest{Pool: h.pool, Request: placement.Request{
 		Attempt: attempt, Org: orgName(0), Fingerprint: fingerprint, Prompt: 250, MaxOutput: 500, MaxWait: 20 * time.Second,
 	}}
 	if failed != "" {
-		m.Failed, m.FailedBoot = failed, report(failed, 0).Boot
-		m.Ask.Exclude = []string{failed}
+		m.FailedUpstream, m.FailedBoot = failed, report(failed, 0).Boot
+		m.Request.Exclude = []string{failed}
 	}
 	return h.handleAndFindGrant(core.PeerMessage{From: "entry-1", Msg: m}, attempt)
 }
@@ -51,7 +51,7 @@
 		if !ok {
 			continue
 		}
-		if g, ok := s.Msg.(msg.GrantAnswer); ok && g.Decision.Attempt == attempt && g.Decision.Kind == placement.Granted {
+		if g, ok := s.Msg.(msg.GrantResponse); ok && g.Decision.Attempt == attempt && g.Decision.Kind == placement.Granted {
 			upstream = g.Decision.Upstream
 		}
 	}
@@ -72,7 +72,7 @@
 		h.tick(50 * time.Millisecond)
 		for _, u := range h.upstreams {
 			if !slices.Contains(silent, u) {
-				h.handle(core.UpstreamReport{Asked: h.now, Report: report(u, 0)})
+				h.handle(core.UpstreamReport{PolledAt: h.now, Report: report(u, 0)})
 			}
 		}
 	}
@@ -99,7 +99,7 @@
 	}
 	crashed := report(first, 0)
 	crashed.Boot = "fedcba9876543210"
-	h.handle(core.UpstreamReport{Asked: h.now, Report: crashed})
+	h.handle(core.UpstreamReport{PolledAt: h.now, Report: crashed})
 	if got := h.requestGrant("entry-1:a:1/2", poison, ""); got != "" {
 		t.Errorf("retry granted on %s after one crash and one unconfirmed strike, want no grant", got)
 	}
--- a/internal/core/pool/cordon_test.go
+++ b/internal/core/pool/cordon_test.go
@@ -87,9 +87,9 @@
 	if waiting == 0 || len(s.granted)+len(s.refused) != 30 {
 		t.Errorf("of 30 requests %d were queued, then %d granted and %d refused, want some queued and all decided", waiting, len(s.granted), len(s.refused))
 	}
-	s.home.Ask(s.now, entry, msg.GrantAsk{Pool: "pool", Ask: placement.Ask{Attempt: "new", Prompt: 10, MaxOutput: 10}})
-	for _, o := range s.home.Take() {
-		if a, ok := o.Msg.(msg.GrantAnswer); ok && a.Decision.Reason != placement.ReasonCordoned {
+	s.home.Place(s.now, entry, msg.GrantRequest{Pool: "pool", Request: placement.Request{Attempt: "new", Prompt: 10, MaxOutput: 10}})
+	for _, o := range s.home.TakeMessages() {
+		if a, ok := o.Msg.(msg.GrantResponse); ok && a.Decision.Reason != placement.ReasonCordoned {
 			t.Errorf("decision on a new request = %+v, want refused with reason cordoned", a.Decision)
 		}
 	}
@@ -107,7 +107,7 @@
 			homes := []*Home{NewHome("pool", engine, 0, 0), NewHome("pool", engine, 0, 0)}
 			cold := []*roster.Upstream{}
 			for k := range 3 {
-				cold = append(cold, &roster.Upstream{Entry: roster.Entry{ID: fmt.Sprint("u", k), DataCentre: "dc", Slots: 24}, Seen: now})
+				cold = append(cold, &roster.Upstream{Entry: roster.Entry{ID: fmt.Sprint("u", k), DataCentre: "dc", Slots: 24}, FirstSeen: now})
 			}
 			cold[0].ColdUntil = now.Add(time.Hour)
 			started := map[string][]time.Time{}
@@ -116,13 +116,13 @@
 				h := homes[d%2]
 				h.Sync(now, Listing{Answered: now, Upstreams: cold, Cordons: cordon.NewSet(1, nil), ColdRate: rate})
 				for k := range 4 {
-					h.Ask(now, entry, msg.GrantAsk{Pool: "pool", Ask: placement.Ask{Attempt: fmt.Sprint(step, "-", k), Prompt: 5, MaxOutput: 5, MaxWait: time.Second}})
+					h.Place(now, entry, msg.GrantRequest{Pool: "pool", Request: placement.Request{Attempt: fmt.Sprint(step, "-", k), Prompt: 5, MaxOutput: 5, MaxWait: time.Second}})
 				}
 				if d%7 == 0 {
 					h.Tick(now)
 				}
-				for _, o := range h.Take() {
-					if a, ok := o.Msg.(msg.GrantAnswer); ok && a.Decision.Kind == placement.Granted {
+				for _, o := range h.TakeMessages() {
+					if a, ok := o.Msg.(msg.GrantResponse); ok && a.Decision.Kind == placement.Granted {
 						started[a.Decision.Upstream] = append(started[a.Decision.Upstream], now)
 						h.End(now, msg.GrantEnd{Pool: "pool", Attempt: a.Decision.Attempt, Tokens: 5})
 					}
@@ -152,9 +152,9 @@
 	s := newSim(t, 6)
 	allowed := []string{s.find("u01").DataCentre, s.find("u04").DataCentre}
 	ask := func(attempt string) {
-		a := placement.Ask{Attempt: attempt, Org: "org", Prompt: 1000, MaxOutput: 900, Expected: 900, MaxWait: 3 * time.Second, DataCentres: allowed}
+		a := placement.Request{Attempt: attempt, Org: "org", Prompt: 1000, MaxOutput: 900, Expected: 900, MaxWait: 3 * time.Second, DataCentres: allowed}
 		s.asks[attempt] = a
-		s.home.Ask(s.now, entry, msg.GrantAsk{Pool: "pool", Ask: a})
+		s.home.Place(s.now, entry, msg.GrantRequest{Pool: "pool", Request: a})
 		s.drain()
 	}
 	for k := range 8 {
--- a/internal/core/pool/datacentre_test.go
+++ b/internal/core/pool/datacentre_test.go
@@ -28,7 +28,7 @@
 	for _, dc := range dataCentres {
 		for k := range 4 {
 			s.list = append(s.list, &roster.Upstream{
-				Entry: roster.Entry{ID: fmt.Sprintf("%s%d", dc, k), Service: "pool", Address: dc, DataCentre: dc, Slots: 24}, Seen: s.now,
+				Entry: roster.Entry{ID: fmt.Sprintf("%s%d", dc, k), Service: "pool", Address: dc, DataCentre: dc, Slots: 24}, FirstSeen: s.now,
 			})
 		}
 	}
@@ -56,16 +56,16 @@
 
 // askFrom requests a generation from the entry in a data centre.
 func (a *dataCentreSim) askFrom(dc string) {
-	ask := placement.Ask{
+	req := placement.Request{
 		Attempt: fmt.Sprintf("%s-%d", dc, a.halfSeconds), Org: "org", Prompt: 3000, MaxOutput: 900, Expected: 900, MaxWait: 3 * time.Second,
 	}
-	a.asks[ask.Attempt] = ask
-	a.home.Ask(a.now, a.entry(dc), msg.GrantAsk{Pool: "pool", Ask: ask})
+	a.asks[req.Attempt] = req
+	a.home.Place(a.now, a.entry(dc), msg.GrantRequest{Pool: "pool", Request: req})
 	a.drain()
 	if a.placed[dc] == nil {
 		a.placed[dc] = map[string]int{}
 	}
-	if up := a.granted[ask.Attempt]; up != "" {
+	if up := a.granted[req.Attempt]; up != "" {
 		a.placed[dc][up[:1]]++
 	}
 }
@@ -84,7 +84,7 @@
 			delete(a.granted, attempt)
 			continue
 		}
-		m.Running = append(m.Running, msg.RunningAttempt{Ask: a.asks[attempt], Upstream: up, Tokens: int(age / (10 * time.Millisecond))})
+		m.Running = append(m.Running, msg.RunningAttempt{Request: a.asks[attempt], Upstream: up, Tokens: int(age / (10 * time.Millisecond))})
 	}
 	a.home.Announce(a.now, a.entry(dc), m)
 }
--- a/internal/core/pool/evacuate.go
+++ b/internal/core/pool/evacuate.go
@@ -75,7 +75,7 @@
 
 // abandonCopy records that an order ended without confirmation of whether its copy is used.
 func (h *Home) abandonCopy(now time.Time, o *order) {
-	h.abandoned = append(h.abandoned, abandonedCopy{upstream: o.to, tokens: o.tokens, until: now.Add(h.engine.CopyLife)})
+	h.abandoned = append(h.abandoned, abandonedCopy{upstream: o.to, tokens: o.tokens, until: now.Add(h.engine.CopyTTL)})
 }
 
 // expireCopies releases the memory of expired copies.
@@ -128,7 +128,7 @@
 // orderNext orders the move of the first movable generation for which a destination has room.
 func (h *Home) orderNext(now time.Time, e *evacuation) {
 	for _, p := range h.movable(now, e) {
-		to := h.placement.Destination(now, p.Ask.Attempt,
+		to := h.placement.Destination(now, p.Request.Attempt,
 			func(name string) bool { return h.sameDataCentre(e.upstream.ID, name) },
 			func(name string) bool { return h.isDestination(name) || now.Before(h.fullUntil[name]) })
 		if to == "" {
@@ -141,10 +141,10 @@
 
 // movable returns the generations of an evacuation that can be moved now. Those that will not end
 // before the upstream stops come first, then the more valuable ones.
-func (h *Home) movable(now time.Time, e *evacuation) []placement.Placed {
-	var out []placement.Placed
-	for _, p := range h.placement.On(now, e.upstream.ID) {
-		if !p.Begun || e.tries[p.Ask.Attempt] >= maxTries || h.entries[p.Ask.Attempt] == "" || now.Before(e.retryAt[p.Ask.Attempt]) {
+func (h *Home) movable(now time.Time, e *evacuation) []placement.RunningGeneration {
+	var out []placement.RunningGeneration
+	for _, p := range h.placement.Generations(now, e.upstream.ID) {
+		if !p.Prefilled || e.tries[p.Request.Attempt] >= maxTries || h.entries[p.Request.Attempt] == "" || now.Before(e.retryAt[p.Request.Attempt]) {
 			continue
 		}
 		if p.Tokens > 0 && remainingTime(p) < minRemainingTime && now.Add(minRemainingTime).Before(e.stopsAt) {
@@ -152,7 +152,7 @@
 		}
 		out = append(out, p)
 	}
-	endsInTime := func(p placement.Placed) int {
+	endsInTime := func(p placement.RunningGeneration) int {
 		if now.Add(remainingTime(p)).Before(e.stopsAt) {
 			return 1
 		}
@@ -161,20 +161,20 @@
 	if h.without.Has(mechanism.MoveOrder) {
 		return out
 	}
-	slices.SortStableFunc(out, func(a, b placement.Placed) int {
+	slices.SortStableFunc(out, func(a, b placement.RunningGeneration) int {
 		return cmp.Or(cmp.Compare(endsInTime(a), endsInTime(b)), cmp.Compare(value(b), value(a)))
 	})
 	return out
 }
 
 // remainingTime returns the expected remaining duration of a generation.
-func remainingTime(p placement.Placed) time.Duration {
-	return time.Duration(p.Left * float64(p.TokenTime))
+func remainingTime(p placement.RunningGeneration) time.Duration {
+	return time.Duration(p.Remaining * float64(p.TokenTime))
 }
 
 // value returns the work that is lost if a generation is, in prompt tokens.
-func value(p placement.Placed) float64 {
-	return float64(p.Ask.Prompt) + outputValue*(float64(p.Tokens)+p.Left)
+func value(p placement.RunningGeneration) float64 {
+	return float64(p.Request.Prompt) + outputValue*(float64(p.Tokens)+p.Remaining)
 }
 
 // sameDataCentre reports whether two upstreams are known to be in the same data centre.
@@ -194,26 +194,26 @@
 }
 
 // sendOrder orders the entry of a generation to move it.
-func (h *Home) sendOrder(now time.Time, e *evacuation, p placement.Placed, to string) {
+func (h *Home) sendOrder(now time.Time, e *evacuation, p placement.RunningGeneration, to string) {
 	h.lastOrder++
-	e.tries[p.Ask.Attempt]++
+	e.tries[p.Request.Attempt]++
 	e.order = &order{
-		attempt: p.Ask.Attempt, number: h.lastOrder, to: to, tokens: p.Ask.Prompt + p.Tokens, sentAt: now,
+		attempt: p.Request.Attempt, number: h.lastOrder, to: to, tokens: p.Request.Prompt + p.Tokens, sentAt: now,
 		deadline: now.Add(2*h.copyTime(p, e.upstream.ID, to) + orderSlack),
 	}
 	h.placement.HoldCopy(to, e.order.tokens)
-	h.placement.Started(now, to)
-	h.send(h.entries[p.Ask.Attempt], msg.MoveOrder{
-		Pool: h.service, Attempt: p.Ask.Attempt, Number: h.lastOrder,
+	h.placement.CountStart(now, to)
+	h.send(h.entries[p.Request.Attempt], msg.MoveOrder{
+		Pool: h.service, Attempt: p.Request.Attempt, Number: h.lastOrder,
 		From: e.upstream.ID, To: to, ToAddress: h.upstreams[to].Address, ToDataCentre: h.upstreams[to].DataCentre,
 	})
-	h.note("move_ordered", "request", p.Ask.Attempt, "entry", h.entries[p.Ask.Attempt], "from", e.upstream.ID, "to", to,
-		"tokens", p.Ask.Prompt+p.Tokens, "left", int(p.Left), "try", e.tries[p.Ask.Attempt], "since_notice", now.Sub(e.upstream.LeavingSince))
+	h.note("move_ordered", "request", p.Request.Attempt, "entry", h.entries[p.Request.Attempt], "from", e.upstream.ID, "to", to,
+		"tokens", p.Request.Prompt+p.Tokens, "left", int(p.Remaining), "try", e.tries[p.Request.Attempt], "since_notice", now.Sub(e.upstream.LeavingSince))
 }
 
 // copyTime estimates the duration of a copy. A copy between data centres takes twice as long.
-func (h *Home) copyTime(p placement.Placed, from, to string) time.Duration {
-	bits := float64(p.Ask.Prompt+p.Tokens) * h.engine.TokenBytes * 8
+func (h *Home) copyTime(p placement.RunningGeneration, from, to string) time.Duration {
+	bits := float64(p.Request.Prompt+p.Tokens) * h.engine.TokenBytes * 8
 	t := time.Duration(bits / (max(h.engine.LinkMbps, 1) * 1e6) * float64(time.Second))
 	if !h.sameDataCentre(from, to) {
 		t *= 2
@@ -221,8 +221,8 @@
 	return t
 }
 
-// Moved processes an entry's report of the outcome of a move order.
-func (h *Home) Moved(now time.Time, m msg.Moved) {
+// OnMoveResult processes an entry's report of the outcome of a move order.
+func (h *Home) OnMoveResult(now time.Time, m msg.MoveResult) {
 	for id, e := range h.evacuations {
 		if e.order == nil || e.order.number != m.Number {
 			continue
--- a/internal/core/pool/pool.go
+++ b/internal/core/pool/pool.go
@@ -55,8 +55,8 @@
 	return min(max(AnnounceInterval, time.Duration(running)*announcePerRun), maxAnnounceInterval)
 }
 
-// Out is an outgoing message.
-type Out struct {
+// OutgoingMessage is an outgoing message.
+type OutgoingMessage struct {
 	// To is the name of the receiving instance.
 	To  string
 	Msg msg.Message
@@ -94,7 +94,7 @@
 	lastOrder int64
 	// probes, out and notes hold the results that the caller has not yet taken.
 	probes []Probe
-	out    []Out
+	out    []OutgoingMessage
 	notes  []Note
 }
 
@@ -116,7 +116,7 @@
 func NewHome(service string, engine route.Engine, without mechanism.Set, ways mechanism.Ways) *Home {
 	engine.Moves = engine.Moves && !without.Has(mechanism.Moves)
 	return &Home{
-		service: service, engine: engine, without: without, isGroup: roster.ParseGroup(service).Of > 0, upstreams: map[string]*roster.Upstream{},
+		service: service, engine: engine, without: without, isGroup: roster.ParseGroup(service).Count > 0, upstreams: map[string]*roster.Upstream{},
 		entries: map[string]string{}, evacuations: map[string]*evacuation{}, fullUntil: map[string]time.Time{},
 		unreachable: map[string]time.Time{}, ownNotices: map[string]time.Time{}, probedAt: map[string]time.Time{}, failures: map[string]*health.Record{},
 		placement: placement.NewHome(placement.Settings{
@@ -126,8 +126,8 @@
 	}
 }
 
-// Take returns and clears the outgoing messages.
-func (h *Home) Take() []Out {
+// TakeMessages returns and clears the outgoing messages.
+func (h *Home) TakeMessages() []OutgoingMessage {
 	out := h.out
 	h.out = nil
 	return out
@@ -147,7 +147,7 @@
 	return notes
 }
 
-func (h *Home) send(to string, m msg.Message) { h.out = append(h.out, Out{To: to, Msg: m}) }
+func (h *Home) send(to string, m msg.Message) { h.out = append(h.out, OutgoingMessage{To: to, Msg: m}) }
 
 func (h *Home) note(event string, pairs ...any) {
 	h.notes = append(h.notes, Note{Event: event, Pairs: append(pairs, "pool", h.service)})
@@ -167,20 +167,20 @@
 	return from.DataCentre
 }
 
-// Ask processes an entry's request to place a generation.
-func (h *Home) Ask(now time.Time, from Entry, m msg.GrantAsk) {
-	h.entries[m.Ask.Attempt] = from.Name
-	m.Ask.DataCentre = h.nearTo(from)
-	h.decide(now, h.placement.Ask(now, m.Ask))
+// Place processes an entry's request to place a generation.
+func (h *Home) Place(now time.Time, from Entry, m msg.GrantRequest) {
+	h.entries[m.Request.Attempt] = from.Name
+	m.Request.DataCentre = h.nearTo(from)
+	h.decide(now, h.placement.Place(now, m.Request))
 }
 
 // decide sends decisions to the entries that requested them.
 func (h *Home) decide(now time.Time, ds []placement.Decision) {
 	for _, d := range ds {
-		m := msg.GrantAnswer{Pool: h.service, Decision: d, TTL: grantTTL}
+		m := msg.GrantResponse{Pool: h.service, Decision: d, TTL: grantTTL}
 		if u := h.upstreams[d.Upstream]; u != nil {
 			m.Address = u.Address
-			if h.isGroup || now.Sub(u.Seen) < propagationTime {
+			if h.isGroup || now.Sub(u.FirstSeen) < propagationTime {
 				m.Entry = &u.Entry
 			}
 		}
@@ -199,7 +199,7 @@
 func (h *Home) End(now time.Time, m msg.GrantEnd) {
 	delete(h.entries, m.Attempt)
 	h.recordOutcome(now, m)
-	h.decide(now, h.placement.End(now, m.Attempt, m.Tokens, !m.Failed && !m.Cut))
+	h.decide(now, h.placement.End(now, m.Attempt, m.Tokens, !m.Failed && !m.CallerDisconnected))
 	h.evacuate(now)
 }
 
@@ -210,7 +210,7 @@
 	if m.Unreachable {
 		h.Unreachable(now, m.Upstream)
 	}
-	if u == nil || m.Cut || m.Unreachable || !u.TakesWork() {
+	if u == nil || m.CallerDisconnected || m.Unreachable || !u.TakesWork() {
 		return
 	}
 	r := h.failures[m.Upstream]
@@ -236,15 +236,15 @@
 // Announce processes an entry's announcement of its running generations.
 func (h *Home) Announce(now time.Time, from Entry, m msg.Announce) {
 	for _, a := range m.Running {
-		h.entries[a.Ask.Attempt] = from.Name
-		a.Ask.DataCentre = h.nearTo(from)
-		h.placement.Running(now, a.Ask, a.Upstream, placement.Sighting{Tokens: a.Tokens, Pace: a.Pace})
+		h.entries[a.Request.Attempt] = from.Name
+		a.Request.DataCentre = h.nearTo(from)
+		h.placement.RecordRunning(now, a.Request, a.Upstream, placement.Progress{Tokens: a.Tokens, Pace: a.Pace})
 	}
 }
 
-// Begun processes the first token of an attempt. From then on its generation can be moved.
-func (h *Home) Begun(now time.Time, m msg.Begun) {
-	h.decide(now, h.placement.Began(now, m.Attempt))
+// OnFirstToken processes the first token of an attempt. From then on its generation can be moved.
+func (h *Home) OnFirstToken(now time.Time, m msg.FirstToken) {
+	h.decide(now, h.placement.OnFirstToken(now, m.Attempt))
 	h.evacuate(now)
 }
 
--- a/internal/core/pool/pool_test.go
+++ b/internal/core/pool/pool_test.go
@@ -20,7 +20,7 @@
 // generations, and a copy of 3,200 tokens takes 0.18 s.
 var engine = route.Engine{
 	Slots: 24, MemoryToken: 34_000, TokenBytes: 18_432, LinkMbps: 2_700,
-	Moves: true, Backups: true, CopyLife: 5 * time.Second, EventTokens: 4,
+	Moves: true, Backups: true, CopyTTL: 5 * time.Second, EventTokens: 4,
 }
 
 // entry is the entry of all requests unless a test states another one. It has no data centre.
@@ -38,7 +38,7 @@
 	granted map[string]string
 	refused map[string]time.Duration
 	orders  []msg.MoveOrder
-	asks    map[string]placement.Ask
+	asks    map[string]placement.Request
 	// prefilledAt is when the prefill of an attempt ends, announcedFirst is set once the home was
 	// notified of the first token. prefillUntil is when the last prefill of each upstream ends.
 	prefilledAt    map[string]time.Time
@@ -52,7 +52,7 @@
 }
 
 func newSim(t *testing.T, upstreams int) *sim {
-	s := &sim{t: t, now: start, home: NewHome("pool", engine, 0, 0), granted: map[string]string{}, refused: map[string]time.Duration{}, asks: map[string]placement.Ask{}, prefilledAt: map[string]time.Time{}, announcedFirst: map[string]bool{}, prefillUntil: map[string]time.Time{}}
+	s := &sim{t: t, now: start, home: NewHome("pool", engine, 0, 0), granted: map[string]string{}, refused: map[string]time.Duration{}, asks: map[string]placement.Request{}, prefilledAt: map[string]time.Time{}, announcedFirst: map[string]bool{}, prefillUntil: map[string]time.Time{}}
 	for k := range upstreams {
 		s.join(fmt.Sprintf("u%02d", k))
 	}
@@ -62,7 +62,7 @@
 
 func (s *sim) join(id string) {
 	s.list = append(s.list, &roster.Upstream{
-		Entry: roster.Entry{ID: id, Service: "pool", Address: id + ":80", DataCentre: "dc-" + id[len(id)-1:], Slots: 24}, Seen: s.now,
+		Entry: roster.Entry{ID: id, Service: "pool", Address: id + ":80", DataCentre: "dc-" + id[len(id)-1:], Slots: 24}, FirstSeen: s.now,
 	})
 }
 
@@ -118,7 +118,7 @@
 	for _, attempt := range slices.Sorted(maps.Keys(s.granted)) {
 		if !s.announcedFirst[attempt] && !s.now.Before(s.prefilledAt[attempt]) {
 			s.announcedFirst[attempt] = true
-			s.home.Begun(s.now, msg.Begun{Pool: "pool", Attempt: attempt})
+			s.home.OnFirstToken(s.now, msg.FirstToken{Pool: "pool", Attempt: attempt})
 		}
 	}
 	s.drain()
@@ -128,22 +128,22 @@
 func (s *sim) announce() {
 	var running []msg.RunningAttempt
 	for _, attempt := range slices.Sorted(maps.Keys(s.granted)) {
-		ask, tokens := s.asks[attempt], max(int(s.now.Sub(s.prefilledAt[attempt])/tokenTime), 0)
-		if tokens >= ask.MaxOutput {
-			s.home.End(s.now, msg.GrantEnd{Pool: "pool", Attempt: attempt, Tokens: ask.MaxOutput})
+		req, tokens := s.asks[attempt], max(int(s.now.Sub(s.prefilledAt[attempt])/tokenTime), 0)
+		if tokens >= req.MaxOutput {
+			s.home.End(s.now, msg.GrantEnd{Pool: "pool", Attempt: attempt, Tokens: req.MaxOutput})
 			delete(s.granted, attempt)
 			continue
 		}
-		running = append(running, msg.RunningAttempt{Ask: ask, Upstream: s.granted[attempt], Tokens: tokens})
+		running = append(running, msg.RunningAttempt{Request: req, Upstream: s.granted[attempt], Tokens: tokens})
 	}
 	s.home.Announce(s.now, entry, msg.Announce{Pool: "pool", Running: running})
 }
 
 // drain applies the home's outgoing messages to the simulation.
 func (s *sim) drain() {
-	for _, o := range s.home.Take() {
+	for _, o := range s.home.TakeMessages() {
 		switch m := o.Msg.(type) {
-		case msg.GrantAnswer:
+		case msg.GrantResponse:
 			switch m.Decision.Kind {
 			case placement.Granted:
 				s.granted[m.Decision.Attempt] = m.Decision.Upstream
@@ -167,12 +167,12 @@
 }
 
 func (s *sim) ask(attempt string, prompt, output int) {
-	ask := placement.Ask{
+	req := placement.Request{
 		Attempt: attempt, Org: "org", Prompt: prompt, MaxOutput: output, Expected: output, MaxWait: 3 * time.Second,
 		FirstTarget: 1500 * time.Millisecond,
 	}
-	s.asks[attempt] = ask
-	s.home.Ask(s.now, entry, msg.GrantAsk{Pool: "pool", Ask: ask})
+	s.asks[attempt] = req
+	s.home.Place(s.now, entry, msg.GrantRequest{Pool: "pool", Request: req})
 	s.drain()
 }
 
@@ -199,7 +199,7 @@
 
 // answerOrder reports the outcome of a move order to the home.
 func (s *sim) answerOrder(o msg.MoveOrder, outcome msg.MoveOutcome) {
-	s.home.Moved(s.now, msg.Moved{Pool: "pool", Attempt: o.Attempt, Number: o.Number, Outcome: outcome})
+	s.home.OnMoveResult(s.now, msg.MoveResult{Pool: "pool", Attempt: o.Attempt, Number: o.Number, Outcome: outcome})
 	if outcome == msg.MoveDone {
 		s.granted[o.Attempt] = o.To
 	}
@@ -359,7 +359,7 @@
 func TestANewHomeEvacuatesAnnouncedGenerations(t *testing.T) {
 	s := newSim(t, 3)
 	s.home.Announce(s.now, entry, msg.Announce{Pool: "pool", Running: []msg.RunningAttempt{{
-		Ask: placement.Ask{Attempt: "d", Org: "org", Prompt: 3000, MaxOutput: 900, Expected: 900}, Upstream: "u01", Tokens: 100,
+		Request: placement.Request{Attempt: "d", Org: "org", Prompt: 3000, MaxOutput: 900, Expected: 900}, Upstream: "u01", Tokens: 100,
 	}}})
 	s.find("u01").LeavingSince = s.now
 	s.sync()
@@ -407,7 +407,7 @@
 		probed[p.ID]++
 	}
 	for _, u := range s.list {
-		if n := probed[u.ID]; s.home.placement.Runs(u.ID) && n != 3 {
+		if n := probed[u.ID]; s.home.placement.HasGenerations(u.ID) && n != 3 {
 			t.Errorf("%s: %d probes in three seconds while the store replies, want 3", u.ID, n)
 		}
 	}
@@ -416,7 +416,7 @@
 	if probes := len(s.home.Probes()); probes < 8 || probes > 16 {
 		t.Errorf("probes of 4 upstreams in a second without the store = %d, want 8 to 16", probes)
 	}
-	s.home.Leaves(s.now, "u02", 1500*time.Millisecond, true)
+	s.home.NoticeLeaving(s.now, "u02", 1500*time.Millisecond, true)
 	s.drain()
 	if len(s.orders) != 1 || s.orders[0].From != "u02" {
 		t.Fatalf("orders = %+v, want one from u02", s.orders)
@@ -455,12 +455,12 @@
 	s := newSim(t, 2)
 	for k := range 5 {
 		id := fmt.Sprintf("d-%d", k)
-		ask := placement.Ask{Attempt: id, Org: "org", Prompt: 3000, MaxOutput: 900, Expected: 900}
-		s.asks[id] = ask
-		s.home.Announce(s.now, entry, msg.Announce{Pool: "pool", Running: []msg.RunningAttempt{{Ask: ask, Upstream: "u01", Tokens: 300}}})
+		req := placement.Request{Attempt: id, Org: "org", Prompt: 3000, MaxOutput: 900, Expected: 900}
+		s.asks[id] = req
+		s.home.Announce(s.now, entry, msg.Announce{Pool: "pool", Running: []msg.RunningAttempt{{Request: req, Upstream: "u01", Tokens: 300}}})
 	}
-	big := placement.Ask{Attempt: "big", Org: "org", Prompt: 9000, MaxOutput: 2000, Expected: 2000}
-	s.home.Announce(s.now, entry, msg.Announce{Pool: "pool", Running: []msg.RunningAttempt{{Ask: big, Upstream: "u00", Tokens: 600}}})
+	big := placement.Request{Attempt: "big", Org: "org", Prompt: 9000, MaxOutput: 2000, Expected: 2000}
+	s.home.Announce(s.now, entry, msg.Announce{Pool: "pool", Running: []msg.RunningAttempt{{Request: big, Upstream: "u00", Tokens: 600}}})
 	s.find("u00").LeavingSince = s.now
 	s.sync()
 	if len(s.orders) != 1 || s.orders[0].To != "u01" {
@@ -469,7 +469,7 @@
 	for k := 0; k < len(s.orders); k++ {
 		s.answerOrder(s.orders[k], msg.MoveFailed)
 	}
-	s.find("u00").Gone = true
+	s.find("u00").Removed = true
 	s.list = s.list[1:]
 	s.home.End(s.now, msg.GrantEnd{Pool: "pool", Attempt: "big", Upstream: "u00", Failed: true})
 	s.sync()
--- a/internal/core/pool/upstreams.go
+++ b/internal/core/pool/upstreams.go
@@ -57,16 +57,16 @@
 // During an outage of the store the listing shows no new notices.
 func (h *Home) probe(now time.Time, interval time.Duration) {
 	for _, id := range slices.Sorted(maps.Keys(h.upstreams)) {
-		if u := h.upstreams[id]; h.placement.Runs(id) && u.LeavingSince.IsZero() && now.Sub(h.probedAt[id]) >= interval {
+		if u := h.upstreams[id]; h.placement.HasGenerations(id) && u.LeavingSince.IsZero() && now.Sub(h.probedAt[id]) >= interval {
 			h.probedAt[id] = now
 			h.probes = append(h.probes, Probe{ID: id, Address: u.Address})
 		}
 	}
 }
 
-// Leaves processes an upstream's own notice that it is leaving. in is the time until it stops,
-// if known is set.
-func (h *Home) Leaves(now time.Time, id string, in time.Duration, known bool) {
+// NoticeLeaving processes an upstream's own notice that it is leaving. in is the time until it
+// stops, if known is set.
+func (h *Home) NoticeLeaving(now time.Time, id string, in time.Duration, known bool) {
 	u := h.upstreams[id]
 	if u == nil {
 		return
@@ -105,7 +105,7 @@
 	if !u.TakesWork() && h.evacuations[u.ID] == nil {
 		h.evacuations[u.ID] = newEvacuation(u, now)
 		h.probes = append(h.probes, Probe{ID: u.ID, Address: u.Address})
-		h.note("evacuation_began", "upstream", u.ID, "running", len(h.placement.On(now, u.ID)))
+		h.note("evacuation_began", "upstream", u.ID, "running", len(h.placement.Generations(now, u.ID)))
 	}
 }
 
@@ -128,16 +128,16 @@
 // leaving.
 func (h *Home) dropUnlisted(now time.Time, id string) {
 	u := h.upstreams[id]
-	u.Gone = true
+	u.Removed = true
 	if u.LeavingSince.IsZero() {
 		u.LeavingSince = now
 	}
-	if len(h.placement.On(now, id)) > 0 && now.Sub(u.LeavingSince) < evacuationTimeout {
+	if len(h.placement.Generations(now, id)) > 0 && now.Sub(u.LeavingSince) < evacuationTimeout {
 		h.report(now, u)
 		return
 	}
-	for _, ask := range h.placement.Remove(id) {
-		delete(h.entries, ask.Attempt)
+	for _, req := range h.placement.Remove(id) {
+		delete(h.entries, req.Attempt)
 	}
 	if e := h.evacuations[id]; e != nil && e.order != nil {
 		h.abandonCopy(now, e.order)
--- a/internal/core/poolhome.go
+++ b/internal/core/poolhome.go
@@ -87,14 +87,14 @@
 	}
 }
 
-func (i *Instance) onGrantAsk(now time.Time, from string, m msg.GrantAsk) {
+func (i *Instance) onGrantRequest(now time.Time, from string, m msg.GrantRequest) {
 	if i.version == nil || i.version.Pool(m.Pool) == nil {
 		return // the version with this pool is not in force here yet; the entry repeats its request
 	}
 	h := i.poolHomeFor(now, m.Pool)
-	h.entries[m.Ask.Attempt] = requester{name: from, lastNumber: max(h.entries[m.Ask.Attempt].lastNumber, m.Number)}
+	h.entries[m.Request.Attempt] = requester{name: from, lastNumber: max(h.entries[m.Request.Attempt].lastNumber, m.Number)}
 	if i.screen(now, h, from, &m) {
-		i.sendDecisions(now, h, h.home.Ask(now, m.Ask))
+		i.sendDecisions(now, h, h.home.Place(now, m.Request))
 	}
 }
 
@@ -111,7 +111,7 @@
 }
 
 func (i *Instance) sendDecision(h *poolHome, d placement.Decision) {
-	m := msg.GrantAnswer{Pool: h.pool, Decision: d, TTL: grantTTL, Number: h.entries[d.Attempt].lastNumber}
+	m := msg.GrantResponse{Pool: h.pool, Decision: d, TTL: grantTTL, Number: h.entries[d.Attempt].lastNumber}
 	if d.Kind == placement.Granted {
 		up, _ := i.view.Member(d.Upstream)
 		m.Address = up.Address
@@ -143,7 +143,7 @@
 
 func (i *Instance) releaseGrant(now time.Time, h *poolHome, m msg.GrantEnd) {
 	h.guard.forget(m.Attempt)
-	i.sendDecisions(now, h, h.home.End(now, m.Attempt, m.Tokens, !m.Failed && !m.Cut))
+	i.sendDecisions(now, h, h.home.End(now, m.Attempt, m.Tokens, !m.Failed && !m.CallerDisconnected))
 }
 
 func (i *Instance) onAnnounce(now time.Time, from string, m msg.Announce) {
@@ -152,11 +152,11 @@
 	}
 	h := i.poolHomeFor(now, m.Pool)
 	for _, a := range m.Running {
-		h.entries[a.Ask.Attempt] = requester{name: from, lastNumber: h.entries[a.Ask.Attempt].lastNumber}
-		h.home.Running(now, a.Ask, a.Upstream, placement.Sighting{Tokens: a.Tokens})
+		h.entries[a.Request.Attempt] = requester{name: from, lastNumber: h.entries[a.Request.Attempt].lastNumber}
+		h.home.RecordRunning(now, a.Request, a.Upstream, placement.Progress{Tokens: a.Tokens})
 		if h.boots[a.Upstream] != "" { // otherwise the upstream has crashed or has not reported yet
-			h.guard.track(now, a.Ask)
-			h.guard.markGranted(a.Ask.Attempt, a.Upstream)
+			h.guard.track(now, a.Request)
+			h.guard.markGranted(a.Request.Attempt, a.Upstream)
 		}
 	}
 }
@@ -219,11 +219,11 @@
 	if i.orderOnReport(now, h, e.Report) {
 		e.Report.Leaving = true // it gets no new work before it loads another version
 	}
-	i.resolveVerdict(now, h, name, e.Report.Boot, e.Asked)
-	i.sendDecisions(now, h, h.home.Report(now, e.Asked, e.Report))
+	i.resolveVerdict(now, h, name, e.Report.Boot, e.PolledAt)
+	i.sendDecisions(now, h, h.home.Report(now, e.PolledAt, e.Report))
 }
 
-func (i *Instance) onSilent(now time.Time, e UpstreamSilent) {
+func (i *Instance) onPollFailed(now time.Time, e PollFailed) {
 	h := i.homeOf(e.Upstream)
 	if h == nil {
 		return
--- a/internal/core/reserve.go
+++ b/internal/core/reserve.go
@@ -73,8 +73,8 @@
 	r.reserve.home = homes[0]
 	r.reserve.homesAsked++
 	i.wakeAt(r, now.Add(homeTimeout))
-	i.send(r.reserve.home, msg.ReserveAsk{Ask: budget.Ask{
-		Request: r.attempt, Org: r.org.Name, Entry: i.self, Boot: i.boot,
+	i.send(r.reserve.home, msg.ReserveRequest{Request: budget.Request{
+		RequestID: r.attempt, Org: r.org.Name, Entry: i.self, Boot: i.boot,
 		Version: r.version.Number, Limits: r.org.Limits,
 		Amount: r.reserve.amount, Tokens: r.MaxTokens, Hold: r.maxHoldTime(),
 	}})
@@ -98,22 +98,22 @@
 	i.emit(ResetPeer{To: name})
 }
 
-func (i *Instance) onReserveAnswer(now time.Time, from string, m msg.ReserveAnswer) {
-	r := i.requestByAttempt(m.Answer.Request)
+func (i *Instance) onReserveResponse(now time.Time, from string, m msg.ReserveResponse) {
+	r := i.requestByAttempt(m.Response.RequestID)
 	if r == nil || r.phase != phaseReserving || from != r.reserve.home {
-		if m.Answer.Granted {
-			i.returnLateReservation(from, m.Answer)
+		if m.Response.Granted {
+			i.returnLateReservation(from, m.Response)
 		}
 		return
 	}
-	if m.Answer.Waiting {
+	if m.Response.Waiting {
 		i.wakeAt(r, now.Add(debitTimeout))
 		return
 	}
-	if !m.Answer.Granted {
+	if !m.Response.Granted {
 		i.refuse(now, r, Finish{
-			Status: status.TooManyRequests, Reason: m.Answer.Reason,
-			Step: "reserve", Peer: from, RetryAfter: m.Answer.RetryAfter,
+			Status: status.TooManyRequests, Reason: m.Response.Reason,
+			Step: "reserve", Peer: from, RetryAfter: m.Response.RetryAfter,
 		})
 		return
 	}
@@ -122,12 +122,12 @@
 }
 
 // returnLateReservation returns a reservation that is no longer needed.
-func (i *Instance) returnLateReservation(home string, a budget.Answer) {
-	if r := i.requestByAttempt(a.Request); r != nil && r.reserve.held && r.reserve.home == home {
+func (i *Instance) returnLateReservation(home string, a budget.Response) {
+	if r := i.requestByAttempt(a.RequestID); r != nil && r.reserve.held && r.reserve.home == home {
 		return // a repeat of the reply for the reservation in use
 	}
 	i.count("late_answers_total", "reserve")
-	i.send(home, msg.Settle{Org: a.Org, Request: a.Request})
+	i.send(home, msg.Settle{Org: a.Org, Request: a.RequestID})
 }
 
 // settle ends the reservation with the cost of the attempt. An unknown cost counts as the reserved
--- a/internal/core/resume.go
+++ b/internal/core/resume.go
@@ -28,12 +28,12 @@
 
 // Reasons of streams that end early.
 const (
-	// ReasonElsewhere: the caller has resumed the stream on another connection.
-	ReasonElsewhere = "resumed_elsewhere"
+	// ReasonResumedElsewhere: the caller has resumed the stream on another connection.
+	ReasonResumedElsewhere = "resumed_elsewhere"
 	// ReasonCancelled: the generation was cancelled.
 	ReasonCancelled = "cancelled"
-	// ReasonCallerGone: the caller disconnected and did not resume.
-	ReasonCallerGone = "caller_gone"
+	// ReasonCallerDisconnected: the caller disconnected and did not resume.
+	ReasonCallerDisconnected = "caller_gone"
 )
 
 // signHandle returns the signed handle with which the caller can resume the stream at any instance.
@@ -126,7 +126,7 @@
 	r.reserve.held = false
 	r.place.home = ""
 	i.finish(now, r, Finish{
-		Outcome: Partial, Status: status.Conflict, Reason: ReasonElsewhere, Step: "stream", Tokens: r.seq.Next(),
+		Outcome: Partial, Status: status.Conflict, Reason: ReasonResumedElsewhere, Step: "stream", Tokens: r.seq.Next(),
 	})
 }
 
@@ -177,10 +177,10 @@
 	i.wakeAt(r, r.run.resumeAt)
 }
 
-// onCallerGone handles the end of a caller's connection. A stream that has delivered tokens is kept
-// for the resume window, and a claimed call that may not be repeated is followed to its end. Any
-// other request is ended, and its generation cancelled.
-func (i *Instance) onCallerGone(now time.Time, id string) {
+// onCallerDisconnected handles the end of a caller's connection. A stream that has delivered tokens
+// is kept for the resume window, and a claimed call that may not be repeated is followed to its
+// end. Any other request is ended, and its generation cancelled.
+func (i *Instance) onCallerDisconnected(now time.Time, id string) {
 	r := i.requests[id]
 	if r == nil {
 		return
@@ -204,7 +204,7 @@
 	if r.mayHaveRun() {
 		outcome = Unknown
 	}
-	i.finish(now, r, Finish{Outcome: outcome, Status: status.ServiceUnavailable, Reason: ReasonCallerGone, Step: fmt.Sprint(r.phase)})
+	i.finish(now, r, Finish{Outcome: outcome, Status: status.ServiceUnavailable, Reason: ReasonCallerDisconnected, Step: fmt.Sprint(r.phase)})
 }
 
 // abandonTimeout returns how long the entry follows a generation without a caller.
@@ -218,6 +218,6 @@
 	i.emit(CloseUpstream{Attempt: r.attempt})
 	r.place.home = "" // no GrantEnd is sent: the home detects by itself that no entry follows the generation
 	i.finish(now, r, Finish{
-		Outcome: Partial, Status: status.Gone, Reason: ReasonCallerGone, Step: "stream", Tokens: r.seq.Next(),
+		Outcome: Partial, Status: status.Gone, Reason: ReasonCallerDisconnected, Step: "stream", Tokens: r.seq.Next(),
 	})
 }
--- a/internal/core/retry/budget.go
+++ b/internal/core/retry/budget.go
@@ -3,9 +3,9 @@
 //
 // In any period an instance makes at most
 //
-//	Saved + Earned x successes
+//	MaxRetries + RetriesPerSuccess x successes
 //
-// retries, so that n requests cause at most n + Saved + Earned x n attempts.
+// retries, so that n requests cause at most n + MaxRetries + RetriesPerSuccess x n attempts.
 package retry
 
 import (
@@ -14,12 +14,12 @@
 )
 
 const (
-	// Earned is the fraction of a retry that one success earns.
-	Earned = 0.1
-	// Saved is the maximum and the initial number of retries in a budget. It covers the requests
-	// of one entry on an engine that crashes with a full batch of 64: spread over a dozen
+	// RetriesPerSuccess is the fraction of a retry that one success earns.
+	RetriesPerSuccess = 0.1
+	// MaxRetries is the maximum and the initial number of retries in a budget. It covers the
+	// requests of one entry on an engine that crashes with a full batch of 64: spread over a dozen
 	// entries, each loses five or six.
-	Saved = 20
+	MaxRetries = 20
 	// baseBackoff and maxBackoff bound the delay before a retry.
 	baseBackoff = 25 * time.Millisecond
 	maxBackoff  = 2 * time.Second
@@ -62,18 +62,18 @@
 
 // NewBudgets returns full budgets; seed is the seed of the jitter.
 func NewBudgets(seed uint64) *Budgets {
-	return &Budgets{instance: Saved, orgs: map[string]*account{}, rng: rand.New(rand.NewPCG(seed, seed))}
+	return &Budgets{instance: MaxRetries, orgs: map[string]*account{}, rng: rand.New(rand.NewPCG(seed, seed))}
 }
 
-// Success adds Earned to the budgets of the instance and the organisation.
+// Success adds RetriesPerSuccess to the budgets of the instance and the organisation.
 func (b *Budgets) Success(org string) {
-	b.instance = min(Saved, b.instance+Earned)
+	b.instance = min(MaxRetries, b.instance+RetriesPerSuccess)
 	a := b.orgs[org]
 	if a == nil {
 		return
 	}
-	a.remaining += Earned
-	if a.remaining >= Saved {
+	a.remaining += RetriesPerSuccess
+	if a.remaining >= MaxRetries {
 		delete(b.orgs, org)
 	}
 }
@@ -106,7 +106,7 @@
 	if len(b.orgs) >= maxOrgs {
 		return nil
 	}
-	a := &account{remaining: Saved, lastUsed: now}
+	a := &account{remaining: MaxRetries, lastUsed: now}
 	b.orgs[org] = a
 	return a
 }
--- a/internal/core/retry/budget_test.go
+++ b/internal/core/retry/budget_test.go
@@ -13,7 +13,7 @@
 )
 
 // For any sequence of successes and failures of a few organisations, neither the instance nor an
-// organisation may make more retries than its successes have earned, plus the initial Saved.
+// organisation may make more retries than its successes have earned, plus the initial MaxRetries.
 func TestRetryBudgetPropertyNeverOverspent(t *testing.T) {
 	props := gopter.NewProperties(testkit.Parameters())
 	props.Property("retries <= Saved + Earned x successes", prop.ForAll(
@@ -32,7 +32,7 @@
 				}
 			}
 			for owner, n := range retries {
-				if float64(n) > Saved+Earned*float64(successes[owner])+1e-6 {
+				if float64(n) > MaxRetries+RetriesPerSuccess*float64(successes[owner])+1e-6 {
 					return false
 				}
 			}
@@ -56,7 +56,7 @@
 	b := NewBudgets(1)
 	b.instance = 1e6
 	now := time.Unix(0, 0)
-	for range Saved {
+	for range MaxRetries {
 		b.Take(now, "failing")
 	}
 	if v := b.Take(now, "failing"); v != SpentOrg {
--- a/internal/core/roster/bench_test.go
+++ b/internal/core/roster/bench_test.go
@@ -7,32 +7,32 @@
 
 // largeList returns a complete list of 3,000 upstreams, and the request of an instance that
 // already has the current versions of its groups.
-func largeList(b *testing.B) (*Roster, Question) {
+func largeList(b *testing.B) (*Roster, ListRequest) {
 	b.Helper()
 	r := New()
 	all := spread("large", 1000)
 	r.Replace(start, all, int64(len(all)))
 	r.Divide(start)
 	layout, divided := r.Layout()
-	return r, Question{Version: r.Newest(), Divided: divided, Groups: layout.Own("large", "a", "i1", allOpen)}
+	return r, ListRequest{Version: r.Newest(), LayoutVersion: divided, Groups: layout.GroupsFor("large", "a", "i1", allOpen)}
 }
 
 func BenchmarkAnswerNothingNew(b *testing.B) {
 	r, q := largeList(b)
 	b.ReportAllocs()
 	for b.Loop() {
-		r.Answer(start, q)
+		r.Respond(start, q)
 	}
 }
 
 func BenchmarkAnswerOneChange(b *testing.B) {
 	r, q := largeList(b)
 	v := r.Newest()
-	removed := r.In(q.Groups[0])[0].ID
+	removed := r.UpstreamsIn(q.Groups[0])[0].ID
 	r.Update(start, []Change{{ID: removed, Version: v + 1, Removed: true}}, v+1)
 	b.ReportAllocs()
 	for b.Loop() {
-		r.Answer(start, q)
+		r.Respond(start, q)
 	}
 }
 
--- a/internal/core/roster/expiry.go
+++ b/internal/core/roster/expiry.go
@@ -43,9 +43,9 @@
 		return nil
 	}
 	if r.storeDown || now.Sub(r.storeReturned) < outageGrace && !r.storeReturned.IsZero() {
-		u.Lapses = r.storeReturned.Add(expiryGrace)
+		u.ExpiresAt = r.storeReturned.Add(expiryGrace)
 		if r.storeDown {
-			u.Lapses = now.Add(expiryGrace)
+			u.ExpiresAt = now.Add(expiryGrace)
 		}
 		return nil
 	}
@@ -54,13 +54,13 @@
 
 // drop removes an upstream from the roster and keeps its version as a tombstone.
 func (r *Roster) drop(now time.Time, u *Upstream) *Upstream {
-	r.markChanged(r.layout.Of(u.Entry), r.newest)
+	r.markChanged(r.layout.GroupOf(u.Entry), r.newest)
 	delete(r.byID, u.ID)
 	r.removedAt[u.ID] = now
 	if u.LeavingSince.IsZero() {
 		u.LeavingSince = now
 	}
-	u.Gone = true
+	u.Removed = true
 	return u
 }
 
@@ -69,8 +69,8 @@
 func (r *Roster) Tick(now time.Time) []*Upstream {
 	var left []*Upstream
 	for _, u := range r.byID {
-		if !u.Lapses.IsZero() && !r.storeDown && !now.Before(u.Lapses) {
-			g := r.layout.Of(u.Entry)
+		if !u.ExpiresAt.IsZero() && !r.storeDown && !now.Before(u.ExpiresAt) {
+			g := r.layout.GroupOf(u.Entry)
 			r.droppedAt[g], r.reannouncedAt[g] = now, now
 			left = append(left, r.drop(now, u))
 		}
@@ -114,9 +114,9 @@
 	}
 }
 
-// Left reports whether the upstream of an entry was removed within the last tombstoneTTL, in
-// which case the entry is stale.
-func (r *Roster) Left(e Entry) bool {
+// RecentlyRemoved reports whether the upstream of an entry was removed within the last
+// tombstoneTTL, in which case the entry is stale.
+func (r *Roster) RecentlyRemoved(e Entry) bool {
 	_, left := r.removedAt[e.ID]
 	return left && r.byID[e.ID] == nil
 }
--- a/internal/core/roster/group.go
+++ b/internal/core/roster/group.go
@@ -44,22 +44,22 @@
 	Service string
 	// DataCentre is the location of the upstreams; "" for the group of an undivided service.
 	DataCentre string
-	// Index is the number of the group, from 0, and Of the number of groups in the data
-	// centre. Of is 0 for the group of an undivided service.
+	// Index is the number of the group, from 0, and Count the number of groups in the data
+	// centre. Count is 0 for the group of an undivided service.
 	Index int
-	Of    int
+	Count int
 }
 
-// Whole returns the group that contains all upstreams of an undivided service.
-func Whole(service string) Group { return Group{Service: service} }
+// Undivided returns the group that contains all upstreams of an undivided service.
+func Undivided(service string) Group { return Group{Service: service} }
 
 // Name returns the name of the pool that serves the group: the service name if the service is
 // undivided, otherwise "service/data centre/index/number of groups".
 func (g Group) Name() string {
-	if g.Of == 0 {
+	if g.Count == 0 {
 		return g.Service
 	}
-	return fmt.Sprintf("%s/%s/%d/%d", g.Service, g.DataCentre, g.Index, g.Of)
+	return fmt.Sprintf("%s/%s/%d/%d", g.Service, g.DataCentre, g.Index, g.Count)
 }
 
 // ParseGroup returns the group with the given name. It is the inverse of Group.Name; a name
@@ -68,27 +68,27 @@
 	parts := strings.Split(name, "/")
 	n := len(parts)
 	if n < 4 {
-		return Whole(name)
+		return Undivided(name)
 	}
 	index, err := strconv.Atoi(parts[n-2])
 	of, err2 := strconv.Atoi(parts[n-1])
 	if err != nil || err2 != nil || of < 1 || index < 0 || index >= of {
-		return Whole(name)
+		return Undivided(name)
 	}
-	return Group{Service: strings.Join(parts[:n-3], "/"), DataCentre: parts[n-3], Index: index, Of: of}
+	return Group{Service: strings.Join(parts[:n-3], "/"), DataCentre: parts[n-3], Index: index, Count: of}
 }
 
 // Layout maps a service and a data centre to a number of groups. Services that it does not
 // contain are undivided.
 type Layout map[string]map[string]int
 
-// Of returns the group that the upstream of an entry belongs to.
-func (l Layout) Of(e Entry) Group {
+// GroupOf returns the group that the upstream of an entry belongs to.
+func (l Layout) GroupOf(e Entry) Group {
 	of := l[e.Service][e.DataCentre]
 	if of == 0 {
-		return Whole(e.Service)
+		return Undivided(e.Service)
 	}
-	return Group{Service: e.Service, DataCentre: e.DataCentre, Index: groupIndex(e.ID, of), Of: of}
+	return Group{Service: e.Service, DataCentre: e.DataCentre, Index: groupIndex(e.ID, of), Count: of}
 }
 
 // groupIndex hashes a name to an index from 0 to n-1.
@@ -100,20 +100,20 @@
 	var out []Group
 	for dc, of := range l[service] {
 		for k := 0; k < of && (dataCentre == "" || dc == dataCentre); k++ {
-			out = append(out, Group{Service: service, DataCentre: dc, Index: k, Of: of})
+			out = append(out, Group{Service: service, DataCentre: dc, Index: k, Count: of})
 		}
 	}
 	slices.SortFunc(out, compareGroups)
 	return out
 }
 
-// Own returns the groups of a service over which an instance balances requests: the only group
-// of an undivided service, otherwise up to groupsPerInstance groups of the instance's data
-// centre, or of all data centres if its own has no group or is not open. Data centres for
-// which open returns false are excluded; nil means that no group remains.
-func (l Layout) Own(service, dataCentre, instance string, open func(dataCentre string) bool) []Group {
+// GroupsFor returns the groups of a service over which an instance balances requests: the only
+// group of an undivided service, otherwise up to groupsPerInstance groups of the instance's data
+// centre, or of all data centres if its own has no group or is not open. Data centres for which
+// open returns false are excluded; nil means that no group remains.
+func (l Layout) GroupsFor(service, dataCentre, instance string, open func(dataCentre string) bool) []Group {
 	if l[service] == nil {
-		return []Group{Whole(service)}
+		return []Group{Undivided(service)}
 	}
 	closed := func(g Group) bool { return !open(g.DataCentre) }
 	groups := slices.DeleteFunc(l.Groups(service, dataCentre), closed)
@@ -169,10 +169,10 @@
 
 // Has reports whether a group exists in the layout.
 func (l Layout) Has(g Group) bool {
-	if g.Of == 0 {
+	if g.Count == 0 {
 		return l[g.Service] == nil
 	}
-	return l[g.Service][g.DataCentre] == g.Of
+	return l[g.Service][g.DataCentre] == g.Count
 }
 
 func (l Layout) equal(o Layout) bool {
--- a/internal/core/roster/group_test.go
+++ b/internal/core/roster/group_test.go
@@ -41,10 +41,10 @@
 	layout, divided := reader.Layout()
 	var own []Group
 	for service := range layout {
-		own = append(own, layout.Own(service, dataCentre, instance, allOpen)...)
+		own = append(own, layout.GroupsFor(service, dataCentre, instance, allOpen)...)
 	}
 	groups := append(reader.Since(start, r.Newest(), own), reader.Copies(start, own)...)
-	r.Adopt(start, Share{Version: reader.Newest(), Layout: layout, Divided: divided, Groups: groups})
+	r.Adopt(start, ListUpdate{Version: reader.Newest(), Layout: layout, LayoutVersion: divided, Groups: groups})
 	r.Keep(own)
 }
 
@@ -59,7 +59,7 @@
 	}
 	seen := map[string]bool{}
 	for _, g := range layout.Groups("large", "") {
-		list := r.In(g)
+		list := r.UpstreamsIn(g)
 		if len(list) < 8 || len(list) > 48 {
 			t.Errorf("group %s has %d upstreams, want 8 to 48", g.Name(), len(list))
 		}
@@ -77,7 +77,7 @@
 		t.Errorf("%d upstreams are in a group, want all 600", len(seen))
 	}
 	for _, name := range []string{"small", "a/b", "s/dc/2/2", "s/dc/-1/4", "s/dc/x/4"} {
-		if ParseGroup(name) != Whole(name) {
+		if ParseGroup(name) != Undivided(name) {
 			t.Errorf("ParseGroup(%q) returns a group of a divided service, want that of an undivided one", name)
 		}
 	}
@@ -163,20 +163,20 @@
 	r := newReader(t, all...)
 	follower := New()
 	syncFrom(follower, r, "i1", "b")
-	if n := len(follower.Of("large")); n < 16 || n > 96 {
+	if n := len(follower.UpstreamsOf("large")); n < 16 || n > 96 {
 		t.Fatalf("%d upstreams of the large service are known, want 16 to 96", n)
 	}
-	if len(follower.Of("small")) != 6 {
-		t.Errorf("%d upstreams of the small service are known, want 6", len(follower.Of("small")))
+	if len(follower.UpstreamsOf("small")) != 6 {
+		t.Errorf("%d upstreams of the small service are known, want 6", len(follower.UpstreamsOf("small")))
 	}
 	layout, _ := r.Layout()
-	own := layout.Own("large", "b", "i1", allOpen)
+	own := layout.GroupsFor("large", "b", "i1", allOpen)
 	for _, g := range own {
-		if !follower.Knows(g) || len(follower.In(g)) != len(r.In(g)) || g.DataCentre != "b" {
-			t.Errorf("group %s: %d upstreams known, want all %d of a group in data centre b", g.Name(), len(follower.In(g)), len(r.In(g)))
+		if !follower.HasGroup(g) || len(follower.UpstreamsIn(g)) != len(r.UpstreamsIn(g)) || g.DataCentre != "b" {
+			t.Errorf("group %s: %d upstreams known, want all %d of a group in data centre b", g.Name(), len(follower.UpstreamsIn(g)), len(r.UpstreamsIn(g)))
 		}
 	}
-	removed := follower.In(own[0])[0]
+	removed := follower.UpstreamsIn(own[0])[0]
 	v := r.Newest()
 	r.Update(at(time.Second), []Change{{ID: removed.ID, Version: v + 1, Removed: true}}, v+1)
 	if changed := r.Since(start, v, own); len(changed) != 1 || changed[0].Group != own[0] {
@@ -186,14 +186,14 @@
 		t.Errorf("Since returns %d of all groups, want only the one that changed", len(changed))
 	}
 	syncFrom(follower, r, "i1", "b")
-	if follower.Find(removed.ID) != nil || !removed.Gone {
+	if follower.Find(removed.ID) != nil || !removed.Removed {
 		t.Error("an upstream that the reader removed is still in the follower's list")
 	}
 	if follower.Divide(start) {
 		t.Error("an instance that knows only some groups changed the layout")
 	}
 	follower.Keep(nil)
-	if len(follower.Of("large")) != 0 || len(follower.Of("small")) != 6 || follower.Knows(own[0]) {
+	if len(follower.UpstreamsOf("large")) != 0 || len(follower.UpstreamsOf("small")) != 6 || follower.HasGroup(own[0]) {
 		t.Error("Keep(nil) must drop the groups of the divided service and keep the undivided one")
 	}
 }
@@ -205,8 +205,8 @@
 	r := newReader(t, all...)
 	follower := New()
 	syncFrom(follower, r, "i1", "a")
-	if len(follower.Of("s")) != 60 {
-		t.Fatalf("%d upstreams of the undivided service are known, want 60", len(follower.Of("s")))
+	if len(follower.UpstreamsOf("s")) != 60 {
+		t.Fatalf("%d upstreams of the undivided service are known, want 60", len(follower.UpstreamsOf("s")))
 	}
 	var more []Change
 	v := r.Newest()
@@ -215,7 +215,7 @@
 		more = append(more, c)
 	}
 	r.Update(at(time.Second), more, v+int64(len(more)))
-	if !follower.Whole() {
+	if !follower.Complete() {
 		t.Error("a follower whose services are all undivided does not report a complete list")
 	}
 	if !r.Divide(start) {
@@ -223,12 +223,12 @@
 	}
 	syncFrom(follower, r, "i1", "a")
 	layout, _ := r.Layout()
-	for _, g := range layout.Own("s", "a", "i1", allOpen) {
-		if !slices.Equal(names(follower.In(g)), names(r.In(g))) {
-			t.Errorf("group %s: upstreams %v, want %v", g.Name(), names(follower.In(g)), names(r.In(g)))
+	for _, g := range layout.GroupsFor("s", "a", "i1", allOpen) {
+		if !slices.Equal(names(follower.UpstreamsIn(g)), names(r.UpstreamsIn(g))) {
+			t.Errorf("group %s: upstreams %v, want %v", g.Name(), names(follower.UpstreamsIn(g)), names(r.UpstreamsIn(g)))
 		}
 	}
-	for _, u := range follower.Of("s") {
+	for _, u := range follower.UpstreamsOf("s") {
 		if u.DataCentre != "a" {
 			t.Errorf("upstream %s of a group that is not used is still known", u.ID)
 		}
@@ -259,9 +259,9 @@
 func TestAnswerWithoutChangesIsCheap(t *testing.T) {
 	r := newReader(t, spread("large", 1000)...)
 	layout, divided := r.Layout()
-	q := Question{Version: r.Newest(), Divided: divided, Groups: layout.Own("large", "a", "i1", allOpen)}
-	if allocs := testing.AllocsPerRun(100, func() { r.Answer(start, q) }); allocs > 3 {
-		t.Errorf("Answer without changes makes %.0f allocations, want at most 3", allocs)
+	q := ListRequest{Version: r.Newest(), LayoutVersion: divided, Groups: layout.GroupsFor("large", "a", "i1", allOpen)}
+	if allocs := testing.AllocsPerRun(100, func() { r.Respond(start, q) }); allocs > 3 {
+		t.Errorf("Respond without changes makes %.0f allocations, want at most 3", allocs)
 	}
 }
 
@@ -273,25 +273,25 @@
 	layout, divided := r.Layout()
 	follower := New()
 	syncFrom(follower, r, "i1", "b")
-	own := layout.Own("large", "b", "i1", allOpen)
+	own := layout.GroupsFor("large", "b", "i1", allOpen)
 	other := layout.Groups("large", "c")[:1]
 	for _, c := range []struct {
 		name string
-		q    Question
+		q    ListRequest
 		ok   bool
 	}{
-		{"the follower's own groups", Question{Divided: divided, Groups: own}, true},
-		{"a group unknown to the follower", Question{Divided: divided, Groups: other, New: other}, false},
-		{"all groups", Question{Divided: divided, All: true}, false},
+		{"the follower's own groups", ListRequest{LayoutVersion: divided, Groups: own}, true},
+		{"a group unknown to the follower", ListRequest{LayoutVersion: divided, Groups: other, Missing: other}, false},
+		{"all groups", ListRequest{LayoutVersion: divided, All: true}, false},
 	} {
-		if _, ok := follower.Answer(start, c.q); ok != c.ok {
-			t.Errorf("request for %s: Answer of a follower returns %v, want %v", c.name, ok, c.ok)
+		if _, ok := follower.Respond(start, c.q); ok != c.ok {
+			t.Errorf("request for %s: Respond of a follower returns %v, want %v", c.name, ok, c.ok)
 		}
-		if _, ok := r.Answer(start, c.q); !ok {
-			t.Errorf("request for %s: Answer of a reader returns false, want true", c.name)
+		if _, ok := r.Respond(start, c.q); !ok {
+			t.Errorf("request for %s: Respond of a reader returns false, want true", c.name)
 		}
 	}
-	if _, ok := New().Answer(start, Question{}); ok {
-		t.Error("Answer of an instance without a list returns true, want false")
+	if _, ok := New().Respond(start, ListRequest{}); ok {
+		t.Error("Respond of an instance without a list returns true, want false")
 	}
 }
--- a/internal/core/roster/roster.go
+++ b/internal/core/roster/roster.go
@@ -17,9 +17,9 @@
 	Slots      int
 	// Leaving is set once the upstream has announced its shutdown.
 	Leaving bool
-	// Cold is the remaining warm-up time when the entry was written; 0 if the upstream is warm.
-	// Upstreams are cold after a start and may become cold again.
-	Cold time.Duration
+	// ColdRemaining is the remaining warm-up time when the entry was written; 0 if the upstream is
+	// warm. Upstreams are cold after a start and may become cold again.
+	ColdRemaining time.Duration
 	// Born identifies the run of the upstream: its start in Unix milliseconds; 0 if unknown.
 	// Another run can reuse the id.
 	Born int64
@@ -30,29 +30,29 @@
 	Entry
 	// Version is the version of the entry in the list.
 	Version int64
-	// Seen is when the entry of this run was first received.
-	Seen time.Time
+	// FirstSeen is when the entry of this run was first received.
+	FirstSeen time.Time
 	// LeavingSince is when the first sign of the shutdown arrived; zero if there was none.
 	LeavingSince time.Time
 	// ColdUntil is the expected end of the warm-up; zero if the upstream was never cold.
 	ColdUntil time.Time
-	// Lapses is when an upstream whose entry expired will be dropped; zero while the entry is
+	// ExpiresAt is when an upstream whose entry expired will be dropped; zero while the entry is
 	// listed.
-	Lapses time.Time
-	// Gone is set once the entry was removed or replaced by that of another run.
-	Gone bool
+	ExpiresAt time.Time
+	// Removed is set once the entry was removed or replaced by that of another run.
+	Removed bool
 }
 
-// Chill records a report that the upstream stays cold for a duration from now. It never
+// ExtendWarmUp records a report that the upstream stays cold for a duration from now. It never
 // shortens the expected warm-up.
-func (u *Upstream) Chill(now time.Time, cold time.Duration) {
+func (u *Upstream) ExtendWarmUp(now time.Time, cold time.Duration) {
 	if until := now.Add(cold); cold > 0 && until.After(u.ColdUntil) {
 		u.ColdUntil = until
 	}
 }
 
 // TakesWork reports whether new work may be sent to the upstream.
-func (u *Upstream) TakesWork() bool { return !u.Gone && u.LeavingSince.IsZero() }
+func (u *Upstream) TakesWork() bool { return !u.Removed && u.LeavingSince.IsZero() }
 
 // Change is an update of one row of the list: its new entry, or its removal.
 type Change struct {
@@ -133,9 +133,9 @@
 	return joined
 }
 
-// Known reports whether any version of the list was received. Without a list, an instance that
+// Received reports whether any version of the list was received. Without a list, an instance that
 // has its configuration would refuse every request.
-func (r *Roster) Known() bool { return r.newest > 0 }
+func (r *Roster) Received() bool { return r.newest > 0 }
 
 // Newest returns the newest version of the list received.
 func (r *Roster) Newest() int64 { return r.newest }
@@ -169,10 +169,10 @@
 // markGroups marks the groups of the old and the new entry as changed.
 func (r *Roster) markGroups(c Change) {
 	if u := r.byID[c.ID]; u != nil {
-		r.markChanged(r.layout.Of(u.Entry), c.Version)
+		r.markChanged(r.layout.GroupOf(u.Entry), c.Version)
 	}
 	if c.Valid && !c.Removed {
-		r.markChanged(r.layout.Of(c.Entry), c.Version)
+		r.markChanged(r.layout.GroupOf(c.Entry), c.Version)
 	}
 }
 
@@ -202,7 +202,7 @@
 	}
 	var out []Change
 	for _, u := range known {
-		if !listed[u.ID] && u.Lapses.IsZero() {
+		if !listed[u.ID] && u.ExpiresAt.IsZero() {
 			out = append(out, Change{ID: u.ID, Version: version, Removed: true})
 		}
 	}
@@ -218,23 +218,23 @@
 	}
 	if old != nil && sameRun(old.Entry, c.Entry) {
 		beginsToLeave := c.Entry.Leaving && old.LeavingSince.IsZero()
-		old.Entry, old.Version, old.Lapses = c.Entry, c.Version, time.Time{}
-		old.Chill(now, c.Entry.Cold)
+		old.Entry, old.Version, old.ExpiresAt = c.Entry, c.Version, time.Time{}
+		old.ExtendWarmUp(now, c.Entry.ColdRemaining)
 		if beginsToLeave {
 			old.LeavingSince = now
 			return old
 		}
 		return nil
 	}
-	u := &Upstream{Entry: c.Entry, Version: c.Version, Seen: now}
-	u.Chill(now, c.Entry.Cold)
+	u := &Upstream{Entry: c.Entry, Version: c.Version, FirstSeen: now}
+	u.ExtendWarmUp(now, c.Entry.ColdRemaining)
 	if c.Entry.Leaving {
 		u.LeavingSince = now
 	}
 	r.byID[c.ID] = u
 	r.joined = append(r.joined, u)
 	if old != nil {
-		old.Gone = true
+		old.Removed = true
 		return old
 	}
 	return nil
@@ -250,8 +250,8 @@
 	if c.Removed || !c.Valid {
 		return u != nil
 	}
-	return u == nil || c.Entry.Cold > 0 && now.Add(c.Entry.Cold).Sub(u.ColdUntil) > coldSlack || !sameRun(u.Entry, c.Entry) || u.Entry.Leaving != c.Entry.Leaving ||
-		u.DataCentre != c.Entry.DataCentre || !u.Lapses.IsZero()
+	return u == nil || c.Entry.ColdRemaining > 0 && now.Add(c.Entry.ColdRemaining).Sub(u.ColdUntil) > coldSlack || !sameRun(u.Entry, c.Entry) || u.Entry.Leaving != c.Entry.Leaving ||
+		u.DataCentre != c.Entry.DataCentre || !u.ExpiresAt.IsZero()
 }
 
 // sameRun reports whether two entries with the same id belong to the same run.
@@ -274,13 +274,13 @@
 	r.byService, r.byGroup = map[string][]*Upstream{}, map[Group][]*Upstream{}
 	for _, u := range r.All() {
 		r.byService[u.Service] = append(r.byService[u.Service], u)
-		g := r.layout.Of(u.Entry)
+		g := r.layout.GroupOf(u.Entry)
 		r.byGroup[g] = append(r.byGroup[g], u)
 	}
 }
 
-// Of returns the upstreams of a service, including leaving ones.
-func (r *Roster) Of(service string) []*Upstream { return r.byService[service] }
+// UpstreamsOf returns the upstreams of a service, including leaving ones.
+func (r *Roster) UpstreamsOf(service string) []*Upstream { return r.byService[service] }
 
 // All returns every known upstream, ordered by id.
 func (r *Roster) All() []*Upstream {
--- a/internal/core/roster/roster_test.go
+++ b/internal/core/roster/roster_test.go
@@ -85,7 +85,7 @@
 	r.Update(start, []Change{listed("a", 1)}, 1)
 	u := r.Find("a")
 	left := r.Update(at(time.Second), []Change{{ID: "a", Version: 2, Removed: true}}, 2)
-	if len(left) != 1 || u.TakesWork() || !u.Gone || len(r.Of("pool")) != 0 {
+	if len(left) != 1 || u.TakesWork() || !u.Removed || len(r.UpstreamsOf("pool")) != 0 {
 		t.Errorf("left = %v, upstream = %+v, want the upstream removed and not accepting work", names(left), u)
 	}
 }
@@ -96,7 +96,7 @@
 	r := New()
 	r.Update(start, []Change{listed("a", 1), listed("b", 2)}, 2)
 	r.Update(start, []Change{{ID: "a", Version: 3}, {ID: "junk", Version: 4}}, 4)
-	if got := names(r.Of("pool")); len(got) != 1 || got[0] != "b" {
+	if got := names(r.UpstreamsOf("pool")); len(got) != 1 || got[0] != "b" {
 		t.Errorf("upstreams = %v, want b, which has a valid entry", got)
 	}
 }
@@ -110,7 +110,7 @@
 	restarted := listed("a", 2)
 	restarted.Entry.Born = 2
 	left := r.Update(start, []Change{restarted}, 2)
-	if r.Find("a") == old || !old.Gone || len(left) != 1 || !r.Find("a").TakesWork() {
+	if r.Find("a") == old || !old.Removed || len(left) != 1 || !r.Find("a").TakesWork() {
 		t.Error("want a new upstream for the new run and the upstream of the old run removed")
 	}
 }
@@ -125,7 +125,7 @@
 		t.Errorf("changed since 0: %v, want the group; since 1: %v, want none; newest version = %d, want 2", r.Since(start, 0, nil), r.Since(start, 1, nil), r.Newest())
 	}
 	copied := New()
-	copied.Adopt(start, Share{Version: r.Newest(), Groups: r.Since(start, 0, nil)})
+	copied.Adopt(start, ListUpdate{Version: r.Newest(), Groups: r.Since(start, 0, nil)})
 	if copied.Find("a") == nil || copied.Newest() != 2 {
 		t.Error("the list is not complete after Adopt of the changes since version 0")
 	}
@@ -139,7 +139,7 @@
 	r := New()
 	r.Update(start, []Change{listed("a", 1), listed("b", 2)}, 2)
 	r.StoreDown()
-	left := r.Adopt(at(time.Second), Share{Version: 4, Groups: []GroupCopy{{Group: Whole("pool"), List: []Change{listed("b", 3)}}}})
+	left := r.Adopt(at(time.Second), ListUpdate{Version: 4, Groups: []GroupCopy{{Group: Undivided("pool"), List: []Change{listed("b", 3)}}}})
 	if len(left) != 1 || left[0].ID != "a" || r.Find("a") != nil {
 		t.Errorf("left = %v, want upstream a, which the copy does not contain", names(left))
 	}
--- a/internal/core/roster/sync.go
+++ b/internal/core/roster/sync.go
@@ -15,14 +15,14 @@
 // Layout returns the current layout and its version.
 func (r *Roster) Layout() (Layout, int64) { return r.layout, r.layoutVersion }
 
-// Whole reports whether the upstreams of all groups are known.
-func (r *Roster) Whole() bool { return r.complete }
+// Complete reports whether the upstreams of all groups are known.
+func (r *Roster) Complete() bool { return r.complete }
 
-// In returns the upstreams of a group, including leaving ones.
-func (r *Roster) In(g Group) []*Upstream { return r.byGroup[g] }
+// UpstreamsIn returns the upstreams of a group, including leaving ones.
+func (r *Roster) UpstreamsIn(g Group) []*Upstream { return r.byGroup[g] }
 
-// Knows reports whether all upstreams of a group are known.
-func (r *Roster) Knows(g Group) bool { return r.complete || g.Of == 0 || r.completeGroups[g] }
+// HasGroup reports whether all upstreams of a group are known.
+func (r *Roster) HasGroup(g Group) bool { return r.complete || g.Count == 0 || r.completeGroups[g] }
 
 // Divide recomputes the layout and reports whether it changed. Only an instance with the
 // complete list decides on the layout: others would compute it from the few upstreams that they
@@ -56,7 +56,7 @@
 func (r *Roster) countWorking() map[string]map[string]int {
 	count := map[string]map[string]int{}
 	for _, u := range r.byID {
-		if !u.TakesWork() || !u.Lapses.IsZero() {
+		if !u.TakesWork() || !u.ExpiresAt.IsZero() {
 			continue
 		}
 		if count[u.Service] == nil {
@@ -95,12 +95,12 @@
 		r.markChanged(g, version)
 	}
 	for g := range r.completeGroups {
-		if l[g.Service][g.DataCentre] != g.Of {
+		if l[g.Service][g.DataCentre] != g.Count {
 			delete(r.completeGroups, g)
 		}
 	}
 	for g := range r.changed {
-		if g.Of > 0 && l[g.Service][g.DataCentre] != g.Of {
+		if g.Count > 0 && l[g.Service][g.DataCentre] != g.Count {
 			delete(r.changed, g)
 		}
 	}
@@ -115,7 +115,7 @@
 	}
 	var changed []Group
 	for g, at := range r.changed {
-		if at > version && (want == nil || g.Of == 0 || slices.Contains(want, g)) {
+		if at > version && (want == nil || g.Count == 0 || slices.Contains(want, g)) {
 			changed = append(changed, g)
 		}
 	}
@@ -131,7 +131,7 @@
 func (r *Roster) Copies(now time.Time, groups []Group) []GroupCopy {
 	var out []GroupCopy
 	for _, g := range groups {
-		if r.Knows(g) {
+		if r.HasGroup(g) {
 			out = append(out, r.copy(now, g))
 		}
 	}
@@ -143,7 +143,7 @@
 	c := GroupCopy{Group: g, List: make([]Change, 0, len(r.byGroup[g]))}
 	for _, u := range r.byGroup[g] {
 		e := u.Entry
-		e.Cold = max(u.ColdUntil.Sub(now), 0)
+		e.ColdRemaining = max(u.ColdUntil.Sub(now), 0)
 		c.List = append(c.List, Change{ID: u.ID, Version: u.Version, Valid: true, Entry: e})
 	}
 	return c
@@ -154,46 +154,46 @@
 	return cmp.Or(cmp.Compare(a.Service, b.Service), cmp.Compare(a.DataCentre, b.DataCentre), cmp.Compare(a.Index, b.Index))
 }
 
-// Share is a response to a Question: the changes of the list since the versions of the
+// ListUpdate is a response to a ListRequest: the changes of the list since the versions of the
 // requester.
-type Share struct {
+type ListUpdate struct {
 	// Version is the version of the sender's list.
 	Version int64
-	// Layout is nil if the requester already has the current layout; Divided is the version of
-	// the layout.
-	Layout  Layout
-	Divided int64
-	Groups  []GroupCopy
-	// All is set if the requester asked for every group.
-	All bool
+	// Layout is nil if the requester already has the current layout; LayoutVersion is the version
+	// of the layout.
+	Layout        Layout
+	LayoutVersion int64
+	Groups        []GroupCopy
+	// Complete is set if the requester asked for every group.
+	Complete bool
 }
 
-// Question is a request for the changes of the list since given versions.
-type Question struct {
-	// Version is the version of the requester's list, Divided that of its layout.
-	Version int64
-	Divided int64
-	// Groups are the groups that the requester uses, New those of them that it has no copy of.
+// ListRequest is a request for the changes of the list since given versions.
+type ListRequest struct {
+	// Version is the version of the requester's list, LayoutVersion that of its layout.
+	Version       int64
+	LayoutVersion int64
+	// Groups are the groups that the requester uses, Missing those of them that it has no copy of.
 	// All requests every group.
-	Groups []Group
-	New    []Group
-	All    bool
+	Groups  []Group
+	Missing []Group
+	All     bool
 }
 
-// Answer returns the changes since the versions of a request, or nil if there are none. It
+// Respond returns the changes since the versions of a request, or nil if there are none. It
 // returns false if this instance lacks some of the requested groups.
-func (r *Roster) Answer(now time.Time, q Question) (s *Share, ok bool) {
-	if !r.Known() || q.All && !r.complete {
+func (r *Roster) Respond(now time.Time, q ListRequest) (s *ListUpdate, ok bool) {
+	if !r.Received() || q.All && !r.complete {
 		return nil, false
 	}
-	s = &Share{Version: r.newest, Divided: r.layoutVersion, All: q.All}
-	if q.Divided != r.layoutVersion {
+	s = &ListUpdate{Version: r.newest, LayoutVersion: r.layoutVersion, Complete: q.All}
+	if q.LayoutVersion != r.layoutVersion {
 		s.Layout = r.layout
 	}
 	if q.All {
 		s.Groups = r.Since(now, q.Version, nil)
 	} else {
-		groups, lacking := r.inLayout(q.Groups), r.inLayout(q.New)
+		groups, lacking := r.inLayout(q.Groups), r.inLayout(q.Missing)
 		if !r.knowsAll(groups) {
 			return nil, false
 		}
@@ -212,7 +212,7 @@
 
 // knowsAll reports whether all upstreams of each group are known.
 func (r *Roster) knowsAll(groups []Group) bool {
-	return !slices.ContainsFunc(groups, func(g Group) bool { return !r.Knows(g) })
+	return !slices.ContainsFunc(groups, func(g Group) bool { return !r.HasGroup(g) })
 }
 
 // inLayout returns those groups that exist in the current layout.
@@ -226,9 +226,9 @@
 	return out
 }
 
-// Ask returns the request of an instance that uses some groups, or all of them.
-func (r *Roster) Ask(use []Group, all bool) Question {
-	q := Question{Version: r.newest, Divided: r.layoutVersion, All: all}
+// Request returns the request of an instance that uses some groups, or all of them.
+func (r *Roster) Request(use []Group, all bool) ListRequest {
+	q := ListRequest{Version: r.newest, LayoutVersion: r.layoutVersion, All: all}
 	if all {
 		if !r.complete {
 			q.Version = 0
@@ -237,8 +237,8 @@
 	}
 	q.Groups = use
 	for _, g := range use {
-		if !r.Knows(g) {
-			q.New = append(q.New, g)
+		if !r.HasGroup(g) {
+			q.Missing = append(q.Missing, g)
 		}
 	}
 	return q
@@ -247,14 +247,14 @@
 // Adopt applies copies of groups from another instance and returns the upstreams that began to
 // leave or were removed. Upstreams that a copy does not contain are removed at once, without
 // expiryGrace: the sender has already waited for expired entries to be renewed.
-func (r *Roster) Adopt(now time.Time, s Share) (left []*Upstream) {
+func (r *Roster) Adopt(now time.Time, s ListUpdate) (left []*Upstream) {
 	r.storeDown, r.storeReturned = false, time.Time{}
 	for _, u := range r.byID {
-		u.Lapses = time.Time{}
+		u.ExpiresAt = time.Time{}
 	}
 	switch {
-	case s.Layout != nil && s.Divided != r.layoutVersion:
-		r.adoptLayout(s.Layout, s.Divided)
+	case s.Layout != nil && s.LayoutVersion != r.layoutVersion:
+		r.adoptLayout(s.Layout, s.LayoutVersion)
 	case r.layout == nil:
 		r.layout = Layout{} // no layout was sent, so no service is divided
 	}
@@ -265,14 +265,14 @@
 		changes := append(slices.Clip(c.List), r.removals(c.List, s.Version, r.byGroup[c.Group])...)
 		left = append(left, r.Update(now, changes, s.Version)...)
 		r.markChanged(c.Group, s.Version)
-		if c.Group.Of > 0 {
+		if c.Group.Count > 0 {
 			r.completeGroups[c.Group] = true
 		}
 	}
 	r.newest = max(r.newest, s.Version)
 	// Undivided services are sent to every instance, so the list is complete if no service is
 	// divided.
-	r.complete = s.All || len(r.layout) == 0
+	r.complete = s.Complete || len(r.layout) == 0
 	return left
 }
 
@@ -281,11 +281,11 @@
 func (r *Roster) Keep(groups []Group) bool {
 	dropped := false
 	for g := range r.byGroup {
-		if g.Of == 0 || slices.Contains(groups, g) {
+		if g.Count == 0 || slices.Contains(groups, g) {
 			continue
 		}
 		for _, u := range r.byGroup[g] {
-			u.Gone = true // callers that still hold the pointer must not choose the upstream
+			u.Removed = true // callers that still hold the pointer must not choose the upstream
 			delete(r.byID, u.ID)
 			delete(r.versions, u.ID)
 		}
--- a/internal/core/route/route.go
+++ b/internal/core/route/route.go
@@ -97,8 +97,8 @@
 	// Moves and Backups specify which transfers of running generations the pool supports.
 	Moves   bool
 	Backups bool
-	// CopyLife is how long the destination keeps the copy of a generation.
-	CopyLife time.Duration
+	// CopyTTL is how long the destination keeps the copy of a generation.
+	CopyTTL time.Duration
 	// EventTokens is the number of tokens in one event of a stream.
 	EventTokens int
 }
--- a/internal/core/run.go
+++ b/internal/core/run.go
@@ -23,7 +23,7 @@
 	i.emit(Dispatch{
 		Request: r.ID, Attempt: r.attempt, Upstream: r.run.upstream, Address: r.run.address, Link: r.run.link,
 		Engine: r.engine(), Method: r.Method, Path: r.Path, Body: r.Body, MaxToken: r.MaxTokens, Key: r.IdempotencyKey,
-		Priority: r.run.priority, Before: r.run.sendBefore, Timeout: r.service.Timeout.D(),
+		Priority: r.run.priority, SendBefore: r.run.sendBefore, Timeout: r.service.Timeout.D(),
 	})
 }
 
@@ -118,7 +118,7 @@
 func (i *Instance) failForeign(now time.Time, r *request) {
 	i.count("tokens_dropped_total", "foreign")
 	i.emit(CloseUpstream{Attempt: r.attempt})
-	i.attemptFailed(now, r, UpstreamFailed{Sent: true, Gone: true, Step: "stream", Err: "another generation"})
+	i.attemptFailed(now, r, UpstreamFailed{Sent: true, NotFound: true, Step: "stream", Err: "another generation"})
 }
 
 func (i *Instance) onAlive(now time.Time, e UpstreamAlive) {
@@ -160,7 +160,7 @@
 	r.run.produced = e.Tokens
 	r.run.producedKnown = true
 	if !r.disconnected && !(r.Stream && r.seq.Bound()) {
-		i.attemptFailed(now, r, UpstreamFailed{Sent: true, Gone: true, Step: "stream", Err: "cancelled"})
+		i.attemptFailed(now, r, UpstreamFailed{Sent: true, NotFound: true, Step: "stream", Err: "cancelled"})
 		return
 	}
 	i.finish(now, r, Finish{
@@ -169,7 +169,7 @@
 	})
 }
 
-func (i *Instance) onAnswer(now time.Time, e UpstreamAnswer) {
+func (i *Instance) onUpstreamResponse(now time.Time, e UpstreamResponse) {
 	r := i.currentRequest(e.Request, e.Attempt, "answer")
 	if r == nil {
 		return
@@ -226,7 +226,7 @@
 	i.recordDecision(now, r.ID, "failed", "upstream", r.run.upstream, "step", e.Step, "error", e.Err, "sent", e.Sent)
 	// A resumed generation was sent over its first connection.
 	e.Sent = e.Sent || r.run.link > 1
-	if r.engine() && e.Sent && !e.Gone {
+	if r.engine() && e.Sent && !e.NotFound {
 		i.resumeOrFail(now, r, "broken")
 		return
 	}
--- a/internal/core/simulation_test.go
+++ b/internal/core/simulation_test.go
@@ -212,7 +212,7 @@
 	case core.Dispatch:
 		sim.heldCalls = append(sim.heldCalls, heldCall{owner: n, dispatch: &a})
 	case core.Poll:
-		sim.handle(n, core.UpstreamReport{Asked: sim.now, Report: placement.Report{Upstream: a.Upstream, Boot: "u", Capacity: 1 << 20, MaxBatch: 512}})
+		sim.handle(n, core.UpstreamReport{PolledAt: sim.now, Report: placement.Report{Upstream: a.Upstream, Boot: "u", Capacity: 1 << 20, MaxBatch: 512}})
 	case core.Deliver:
 		sim.lastEventIDs[a.Request] = a.EventID()
 	case core.Finish:
@@ -330,13 +330,13 @@
 // callService executes a dispatch as the daemon does: it sends the call once, and only before
 // the grant has expired.
 func (sim *simulation) callService(n *simInstance, d core.Dispatch, result int) {
-	if sim.now.After(d.Before) || result == callLost {
+	if sim.now.After(d.SendBefore) || result == callLost {
 		sim.handle(n, core.UpstreamFailed{Request: d.Request, Attempt: d.Attempt, Link: d.Link, Step: "request", Err: "not sent"})
 		return
 	}
 	sim.executions = append(sim.executions, execution{request: d.Request, key: d.Key, body: string(d.Body), at: sim.now})
 	if result == callSucceeds {
-		sim.handle(n, core.UpstreamAnswer{Request: d.Request, Attempt: d.Attempt, Status: 200, Body: []byte("ran " + string(d.Body))})
+		sim.handle(n, core.UpstreamResponse{Request: d.Request, Attempt: d.Attempt, Status: 200, Body: []byte("ran " + string(d.Body))})
 		return
 	}
 	sim.handle(n, core.UpstreamFailed{Request: d.Request, Attempt: d.Attempt, Link: d.Link, Sent: true, Step: "read", Err: "cut"})
--- a/internal/core/strikes.go
+++ b/internal/core/strikes.go
@@ -55,7 +55,7 @@
 	}
 	i.strikes.lastSync = now
 	for range n {
-		i.send(others[i.strikes.nextIndex%len(others)], msg.StrikesAsk{})
+		i.send(others[i.strikes.nextIndex%len(others)], msg.StrikesRequest{})
 		i.strikes.nextIndex++
 	}
 }
@@ -64,7 +64,7 @@
 // this one, so that not all instances ask the same one.
 func (i *Instance) otherInstances() []string {
 	var before, after []string
-	for _, name := range i.view.Entries() {
+	for _, name := range i.view.LiveInstances() {
 		switch {
 		case name < i.self:
 			before = append(before, name)
@@ -75,7 +75,7 @@
 	return append(after, before...)
 }
 
-func (i *Instance) onStrikesAsk(now time.Time, from string) {
+func (i *Instance) onStrikesRequest(now time.Time, from string) {
 	var m msg.Strikes
 	for _, s := range i.suspects.Recent(now, maxStrikes) {
 		m.List = append(m.List, msg.Strike{
--- a/internal/core/suspect/suspect.go
+++ b/internal/core/suspect/suspect.go
@@ -102,8 +102,8 @@
 	l.byFingerprint = kept
 }
 
-// Judge returns the verdict on a fingerprint.
-func (l *List) Judge(now time.Time, fingerprint uint64) Verdict {
+// Verdict returns the verdict on a fingerprint.
+func (l *List) Verdict(now time.Time, fingerprint uint64) Verdict {
 	e := l.byFingerprint[fingerprint]
 	switch {
 	case e == nil:
@@ -118,8 +118,8 @@
 	}
 }
 
-// Until returns when a fingerprint expires; zero if it has no strike.
-func (l *List) Until(fingerprint uint64) time.Time {
+// ExpiresAt returns when a fingerprint expires; zero if it has no strike.
+func (l *List) ExpiresAt(fingerprint uint64) time.Time {
 	if e := l.byFingerprint[fingerprint]; e != nil {
 		return e.lastStrike.Add(l.ttl)
 	}
--- a/internal/core/suspect/suspect_test.go
+++ b/internal/core/suspect/suspect_test.go
@@ -14,17 +14,17 @@
 	if !l.Strike(now, Strike{7, crash, now}) || l.Strike(now, Strike{7, crash, now}) {
 		t.Error("the same strike twice: want new only the first time")
 	}
-	if v := l.Judge(now, 7); v != Suspected {
+	if v := l.Verdict(now, 7); v != Suspected {
 		t.Errorf("verdict after one crash = %d, want Suspected", v)
 	}
 	l.Strike(now, Strike{7, Crash{Upstream: "engine-1", Boot: "b"}, now})
-	if v := l.Judge(now, 7); v != Refused {
+	if v := l.Verdict(now, 7); v != Refused {
 		t.Errorf("verdict after a second crash of the same upstream = %d, want Refused", v)
 	}
 	for later := now; later.Before(now.Add(time.Hour)); later = later.Add(time.Second) {
 		l.Strike(later, Strike{7, crash, now.Add(time.Second)}) // the old strike is received again each second
 	}
-	if v := l.Judge(now.Add(time.Hour), 7); v != Clean {
+	if v := l.Verdict(now.Add(time.Hour), 7); v != Clean {
 		t.Errorf("verdict after an hour of repeated old strikes = %d, want Clean", v)
 	}
 	for n := range uint64(3 * maxFingerprints) {
@@ -33,7 +33,7 @@
 	if l.Len() > maxFingerprints {
 		t.Errorf("stored fingerprints = %d, want at most %d", l.Len(), maxFingerprints)
 	}
-	if v := l.Judge(now, 3*maxFingerprints-1); v != Suspected {
+	if v := l.Verdict(now, 3*maxFingerprints-1); v != Suspected {
 		t.Error("the newest strike was evicted, want it kept")
 	}
 	if got := l.Recent(now, 5); len(got) != 5 || got[0].Fingerprint != 3*maxFingerprints-1 {
--- a/internal/core/target_test.go
+++ b/internal/core/target_test.go
@@ -179,21 +179,21 @@
 		h.handle(core.ObjectResult{Hash: a.Hash, OK: true, Data: h.object, Config: h.decodedConfig})
 	case core.Poll:
 		if h.answersPolls {
-			h.handle(core.UpstreamReport{Asked: h.now, Report: report(a.Upstream, 0)})
+			h.handle(core.UpstreamReport{PolledAt: h.now, Report: report(a.Upstream, 0)})
 		}
 	}
 }
 
 func (h *targetHarness) respondToPeer(a core.Send) {
 	switch m := a.Msg.(type) {
-	case msg.ReserveAsk:
-		h.handle(core.PeerMessage{From: a.To, Msg: msg.ReserveAnswer{
-			Answer: budget.Answer{Org: m.Ask.Org, Request: m.Ask.Request, Granted: true},
+	case msg.ReserveRequest:
+		h.handle(core.PeerMessage{From: a.To, Msg: msg.ReserveResponse{
+			Response: budget.Response{Org: m.Request.Org, RequestID: m.Request.RequestID, Granted: true},
 		}})
-	case msg.GrantAsk:
-		h.handle(core.PeerMessage{From: a.To, Msg: msg.GrantAnswer{
+	case msg.GrantRequest:
+		h.handle(core.PeerMessage{From: a.To, Msg: msg.GrantResponse{
 			Pool: m.Pool, Address: "127.2.0.0:8000", TTL: time.Second, Number: m.Number,
-			Decision: placement.Decision{Attempt: m.Ask.Attempt, Kind: placement.Granted, Upstream: h.grantedUpstream},
+			Decision: placement.Decision{Attempt: m.Request.Attempt, Kind: placement.Granted, Upstream: h.grantedUpstream},
 		}})
 	}
 }
--- a/internal/core/verdict.go
+++ b/internal/core/verdict.go
@@ -41,7 +41,7 @@
 // heldRequest is a grant request and the entry that sent it.
 type heldRequest struct {
 	from    string
-	request msg.GrantAsk
+	request msg.GrantRequest
 }
 
 // verdictFor returns the pending verdict on an upstream and creates it if needed.
@@ -63,40 +63,40 @@
 // awaitVerdict holds a retry until the verdict on the upstream of its previous attempt is known, and
 // reports whether it does so. Without the wait, a request that crashes upstreams would reach the next upstream before
 // its first strike.
-func (i *Instance) awaitVerdict(now time.Time, h *poolHome, from string, m msg.GrantAsk) bool {
-	if m.Failed == "" {
+func (i *Instance) awaitVerdict(now time.Time, h *poolHome, from string, m msg.GrantRequest) bool {
+	if m.FailedUpstream == "" {
 		return false
 	}
-	if m.FailedBoot == "" || i.version.PoolOf(m.Failed) != h.pool {
-		i.pollUpstream(m.Failed)
+	if m.FailedBoot == "" || i.version.PoolOf(m.FailedUpstream) != h.pool {
+		i.pollUpstream(m.FailedUpstream)
 		return false
 	}
-	if boot := h.boots[m.Failed]; boot != "" && boot != m.FailedBoot || h.crashedBoots[m.Failed] == m.FailedBoot {
-		i.recordStrike(now, m.Ask.Fingerprint, suspect.Crash{Upstream: m.Failed, Boot: m.FailedBoot})
+	if boot := h.boots[m.FailedUpstream]; boot != "" && boot != m.FailedBoot || h.crashedBoots[m.FailedUpstream] == m.FailedBoot {
+		i.recordStrike(now, m.Request.Fingerprint, suspect.Crash{Upstream: m.FailedUpstream, Boot: m.FailedBoot})
 		return false
 	}
-	v := h.guard.verdictFor(now, m.Failed)
+	v := h.guard.verdictFor(now, m.FailedUpstream)
 	if v.timedOut {
 		return false
 	}
 	v.hold(now, from, m)
-	i.pollUpstream(m.Failed)
-	i.sendDecision(h, placement.Decision{Attempt: m.Ask.Attempt, Kind: placement.Queued})
+	i.pollUpstream(m.FailedUpstream)
+	i.sendDecision(h, placement.Decision{Attempt: m.Request.Attempt, Kind: placement.Queued})
 	return true
 }
 
 // hold adds the grant request of a retry, or replaces it if the entry repeats the request.
-func (v *verdict) hold(now time.Time, from string, m msg.GrantAsk) {
+func (v *verdict) hold(now time.Time, from string, m msg.GrantRequest) {
 	held := len(v.heldRequests)
-	v.dropRequest(m.Ask.Attempt)
+	v.dropRequest(m.Request.Attempt)
 	if len(v.heldRequests) == held { // not a repeat of a held grant request
-		v.addFailure(now, m.Ask.Fingerprint, m.FailedBoot)
+		v.addFailure(now, m.Request.Fingerprint, m.FailedBoot)
 	}
 	v.heldRequests = append(v.heldRequests, heldRequest{from: from, request: m})
 }
 
 func (v *verdict) dropRequest(attempt string) {
-	v.heldRequests = slices.DeleteFunc(v.heldRequests, func(a heldRequest) bool { return a.request.Ask.Attempt == attempt })
+	v.heldRequests = slices.DeleteFunc(v.heldRequests, func(a heldRequest) bool { return a.request.Request.Attempt == attempt })
 }
 
 // holdFailedGrant keeps the grant of a failed attempt until the verdict on the upstream is known, and
@@ -142,8 +142,8 @@
 		i.releaseGrant(now, h, m)
 	}
 	for _, a := range requests {
-		a.request.Failed, a.request.FailedBoot = "", ""
-		i.onGrantAsk(now, a.from, a.request)
+		a.request.FailedUpstream, a.request.FailedBoot = "", ""
+		i.onGrantRequest(now, a.from, a.request)
 	}
 }
 
--- a/internal/core/watch/watch.go
+++ b/internal/core/watch/watch.go
@@ -31,9 +31,9 @@
 	// maxConfirmationAge is the maximum age of a source's confirmation before another source is
 	// tried. Each query of a reader to the store takes up to a second.
 	maxConfirmationAge = 2200 * time.Millisecond
-	// RelayMore is added to the maximum age if the source is a relay, because the reader
+	// RelayExtraAge is added to the maximum age if the source is a relay, because the reader
 	// holds the relay's queries for up to PeerHold.
-	RelayMore = PeerHold + 200*time.Millisecond
+	RelayExtraAge = PeerHold + 200*time.Millisecond
 	// keyAgeShare limits the maximum age to this fraction of the time for which keys are accepted
 	// after a confirmation.
 	keyAgeShare = 0.6
@@ -65,9 +65,9 @@
 	Standby bool
 	// Large is set in a large fleet, where only a few instances may read the store.
 	Large bool
-	// Ask lists the instances that are designated as sources, in order of preference. Others
-	// lists all other live instances, in a rotation that differs between instances.
-	Ask, Others []string
+	// Designated lists the designated sources, in order of preference. Others lists all other live
+	// instances, in a rotation that differs between instances.
+	Designated, Others []string
 }
 
 // Source returns the source to query next: the first one that is not being skipped, or else the
@@ -94,11 +94,11 @@
 // upstreams at once if a few relays failed.
 func sourceOrder(c Choice) []string {
 	var sources []string
-	storeFirst := c.Reads || len(c.Ask) == 0
+	storeFirst := c.Reads || len(c.Designated) == 0
 	if storeFirst {
 		sources = append(sources, Store)
 	}
-	sources = append(sources, c.Ask...)
+	sources = append(sources, c.Designated...)
 	storeNext := !storeFirst && (c.Standby || !c.Large)
 	if storeNext {
 		sources = append(sources, Store)
@@ -110,19 +110,19 @@
 	return sources
 }
 
-// Bad reports whether a source is being skipped.
-func (w *Watch) Bad(now time.Time, source string) bool { return now.Before(w.skipUntil[source]) }
+// Skipped reports whether a source is being skipped.
+func (w *Watch) Skipped(now time.Time, source string) bool { return now.Before(w.skipUntil[source]) }
 
 // Failed records that a source did not respond. The source is skipped for a while.
 func (w *Watch) Failed(now time.Time, source string) { w.skipUntil[source] = now.Add(backoff) }
 
-// Answered records a source's response and reports whether its confirmation is recent enough;
+// OnResponse records a source's response and reports whether its confirmation is recent enough;
 // otherwise the source is skipped for a while. age is the age of the confirmation, negative if
 // the source has no data. relayed is set if the source is a relay.
-func (w *Watch) Answered(now time.Time, source string, age time.Duration, relayed bool) bool {
+func (w *Watch) OnResponse(now time.Time, source string, age time.Duration, relayed bool) bool {
 	maxAge := w.maxAge
 	if relayed {
-		maxAge += RelayMore
+		maxAge += RelayExtraAge
 	}
 	switch {
 	case age < 0:
--- a/internal/core/watch/watch_test.go
+++ b/internal/core/watch/watch_test.go
@@ -9,10 +9,10 @@
 
 func TestReadersQueryTheStoreAndOthersTheReaders(t *testing.T) {
 	live := []string{"b", "c", "d"}
-	if got := New(0).Source(start, Choice{Reads: true, Ask: []string{"b"}, Others: live}); got != Store {
+	if got := New(0).Source(start, Choice{Reads: true, Designated: []string{"b"}, Others: live}); got != Store {
 		t.Errorf("reader queries %q, want the store", got)
 	}
-	if got := New(0).Source(start, Choice{Ask: []string{"a", "b"}, Others: []string{"a", "b", "c"}}); got != "a" {
+	if got := New(0).Source(start, Choice{Designated: []string{"a", "b"}, Others: []string{"a", "b", "c"}}); got != "a" {
 		t.Errorf("another instance queries %q, want the first reader", got)
 	}
 	if got := New(0).Source(start, Choice{}); got != Store {
@@ -27,16 +27,16 @@
 	w, live := New(0), []string{"a", "b", "c"}
 	want := []string{"a", "b", Store, "c"}
 	for _, source := range want {
-		if got := w.Source(start, Choice{Ask: []string{"a", "b"}, Others: live}); got != source {
+		if got := w.Source(start, Choice{Designated: []string{"a", "b"}, Others: live}); got != source {
 			t.Fatalf("queries %q, want %q", got, source)
 		}
 		w.Failed(start, source)
 		start = start.Add(time.Millisecond)
 	}
-	if got := w.Source(start, Choice{Ask: []string{"a", "b"}, Others: live}); got != "a" {
+	if got := w.Source(start, Choice{Designated: []string{"a", "b"}, Others: live}); got != "a" {
 		t.Errorf("queries %q after all sources failed, want the one that failed first", got)
 	}
-	if got := w.Source(start.Add(backoff), Choice{Ask: []string{"a", "b"}, Others: live}); got != "a" {
+	if got := w.Source(start.Add(backoff), Choice{Designated: []string{"a", "b"}, Others: live}); got != "a" {
 		t.Errorf("queries %q after the backoff, want the first source", got)
 	}
 }
@@ -46,12 +46,12 @@
 // queried before keys are refused.
 func TestAReaderWithAnOldConfirmationIsSkipped(t *testing.T) {
 	w := New(0)
-	w.Answered(start, "a", maxConfirmationAge+time.Millisecond, false)
-	if got := w.Source(start, Choice{Ask: []string{"a", "b"}, Others: []string{"a", "b"}}); got != "b" {
+	w.OnResponse(start, "a", maxConfirmationAge+time.Millisecond, false)
+	if got := w.Source(start, Choice{Designated: []string{"a", "b"}, Others: []string{"a", "b"}}); got != "b" {
 		t.Errorf("queries %q, want the other reader", got)
 	}
-	w.Answered(start, "b", time.Second, false)
-	if got := w.Source(start, Choice{Ask: []string{"a", "b"}, Others: []string{"a", "b"}}); got != "b" {
+	w.OnResponse(start, "b", time.Second, false)
+	if got := w.Source(start, Choice{Designated: []string{"a", "b"}, Others: []string{"a", "b"}}); got != "b" {
 		t.Errorf("queries %q after a recent confirmation of the other reader, want that one", got)
 	}
 }
@@ -60,12 +60,12 @@
 // held. If it counted as too old, every instance of the data centre would query the store.
 func TestARelaysConfirmationMayBeOlder(t *testing.T) {
 	w := New(0)
-	w.Answered(start, "a", maxConfirmationAge+PeerHold, true)
-	if got := w.Source(start, Choice{Ask: []string{"a", "b"}, Others: nil}); got != "a" {
+	w.OnResponse(start, "a", maxConfirmationAge+PeerHold, true)
+	if got := w.Source(start, Choice{Designated: []string{"a", "b"}, Others: nil}); got != "a" {
 		t.Errorf("queries %q, want the relay", got)
 	}
-	w.Answered(start, "a", maxConfirmationAge+RelayMore+time.Millisecond, true)
-	if got := w.Source(start, Choice{Ask: []string{"a", "b"}, Others: nil}); got != "b" {
+	w.OnResponse(start, "a", maxConfirmationAge+RelayExtraAge+time.Millisecond, true)
+	if got := w.Source(start, Choice{Designated: []string{"a", "b"}, Others: nil}); got != "b" {
 		t.Errorf("queries %q, want another source than the outdated relay", got)
 	}
 }
@@ -75,7 +75,7 @@
 // have to read the full list of upstreams there.
 func TestLargeFleetsQueryTheStoreLast(t *testing.T) {
 	w := New(0)
-	c := Choice{Large: true, Ask: []string{"a"}, Others: []string{"a", "b", "c", "d", "e", "f", "g", "h"}}
+	c := Choice{Large: true, Designated: []string{"a"}, Others: []string{"a", "b", "c", "d", "e", "f", "g", "h"}}
 	for _, want := range []string{"a", "b", "c", "d", "e", "f", Store} {
 		if got := w.Source(start, c); got != want {
 			t.Fatalf("queries %q, want %q", got, want)
@@ -88,7 +88,7 @@
 // others, must query the store next, not instances that themselves wait for the standby.
 func TestTheStandbyQueriesTheStoreNext(t *testing.T) {
 	w := New(0)
-	c := Choice{Standby: true, Large: true, Ask: []string{"a"}, Others: []string{"a", "b"}}
+	c := Choice{Standby: true, Large: true, Designated: []string{"a"}, Others: []string{"a", "b"}}
 	for _, want := range []string{"a", Store, "b"} {
 		if got := w.Source(start, c); got != want {
 			t.Fatalf("queries %q, want %q", got, want)
--- a/internal/core/writeback.go
+++ b/internal/core/writeback.go
@@ -76,7 +76,7 @@
 		i.count("bookings_total", "write_back_dropped")
 	case res.Status == table.Conflict && w.undo:
 		row := res.Find(w.tx.Conds[0].Key)
-		if tx, ok := booking.Undo(now, row, w.baseVersion, w.attempt, w.bodyHash); ok {
+		if tx, ok := booking.UndoClaim(now, row, w.baseVersion, w.attempt, w.bodyHash); ok {
 			w.tx = tx
 			i.tryWriteBack(w)
 			return
--- a/internal/daemon/actions.go
+++ b/internal/daemon/actions.go
@@ -43,7 +43,7 @@
 		go d.scan(ctx, a)
 	case core.Fetch:
 		go d.fetch(ctx, a)
-	case core.AskTurn:
+	case core.RequestTurn:
 		go d.requestTurn(ctx, a)
 	case core.SendOrder:
 		go d.upstreams.Order(ctx, a)
@@ -53,7 +53,7 @@
 		d.metrics.Count(a.Group, a.Name)
 	case core.Log:
 		d.log.Info(a.Event, a.Pairs...)
-	case core.Explained:
+	case core.ExplainResult:
 		d.explains.reply(a.ID, a.Lines)
 	case core.Exit:
 		d.exitOnce.Do(func() { close(d.exited) })
@@ -106,7 +106,7 @@
 	return cfg
 }
 
-func (d *Daemon) requestTurn(ctx context.Context, a core.AskTurn) {
+func (d *Daemon) requestTurn(ctx context.Context, a core.RequestTurn) {
 	wait, err := d.platform.Fetch(ctx, a.Model, a.Version, a.Upstream)
-	d.loop.submit(core.TurnAnswer{Upstream: a.Upstream, Wait: wait, OK: err == nil})
+	d.loop.submit(core.TurnResult{Upstream: a.Upstream, Wait: wait, OK: err == nil})
 }
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -60,7 +60,7 @@
 	platform  Platform
 	loop      *loop
 	peers     *peer.Transport
-	upstreams *upstream.Caller
+	upstreams *upstream.Client
 	metrics   *metrics.Metrics
 	sinks     sinks
 	explains  pendingExplains
@@ -109,7 +109,7 @@
 	log.Info("starting", "name", s.Name, "data_centre", s.DataCentre, "without", without)
 	d.loop = newLoop(core.New(core.Options{Self: d.self, Boot: d.boot, Seed: rand.Uint64(), Without: without}))
 	d.loop.do = d.do
-	d.upstreams = upstream.NewCaller(d.loop.submit)
+	d.upstreams = upstream.NewClient(d.loop.submit)
 	d.addGauges()
 	return d, nil
 }
@@ -125,7 +125,7 @@
 	if err != nil {
 		return err
 	}
-	d.peers.Dropped = func(to string, frames int) { d.metrics.Add("peer_lost_messages_total", to, int64(frames)) }
+	d.peers.OnDropped = func(to string, frames int) { d.metrics.Add("peer_lost_messages_total", to, int64(frames)) }
 	return nil
 }
 
--- a/internal/daemon/requests.go
+++ b/internal/daemon/requests.go
@@ -38,8 +38,8 @@
 // Leave notifies the core that the caller has disconnected.
 func (d *Daemon) Leave(id string, s *Sink) {
 	d.sinks.remove(id)
-	if _, finish := s.Take(); finish == nil || s.Over() {
-		d.loop.submit(core.CallerGone{ID: id})
+	if _, finish := s.Take(); finish == nil || s.Overflowed() {
+		d.loop.submit(core.CallerDisconnected{ID: id})
 	}
 }
 
@@ -162,7 +162,7 @@
 	id, ch := d.explains.open()
 	defer d.explains.close(id)
 	err := d.loop.call(ctx, func(_ time.Time, inst *core.Instance) []core.Action {
-		return inst.AskExplain(id, request)
+		return inst.RequestExplain(id, request)
 	})
 	if err != nil {
 		return nil, fmt.Errorf("explain %s: %w", request, err)
--- a/internal/daemon/sink.go
+++ b/internal/daemon/sink.go
@@ -63,9 +63,9 @@
 	return tokens, s.finish
 }
 
-// Over reports whether the caller has fallen too far behind. From then on, nothing that Take
+// Overflowed reports whether the caller has fallen too far behind. From then on, nothing that Take
 // returns may be sent to the caller.
-func (s *Sink) Over() bool {
+func (s *Sink) Overflowed() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.overflowed
--- a/internal/daemon/sink_test.go
+++ b/internal/daemon/sink_test.go
@@ -14,8 +14,8 @@
 	for n := range maxBacklogTokens {
 		s.deliver(core.Deliver{Index: n})
 	}
-	if tokens, _ := s.Take(); len(tokens) != maxBacklogTokens || s.Over() {
-		t.Fatalf("backlog at its limit: %d tokens, cut off = %t; want %d and false", len(tokens), s.Over(), maxBacklogTokens)
+	if tokens, _ := s.Take(); len(tokens) != maxBacklogTokens || s.Overflowed() {
+		t.Fatalf("backlog at its limit: %d tokens, cut off = %t; want %d and false", len(tokens), s.Overflowed(), maxBacklogTokens)
 	}
 	for n := range 3 * maxBacklogTokens {
 		s.deliver(core.Deliver{Index: n})
@@ -23,7 +23,7 @@
 			t.Fatalf("sink holds %d tokens, want at most %d", len(s.tokens), maxBacklogTokens)
 		}
 	}
-	if tokens, _ := s.Take(); len(tokens) != 0 || !s.Over() {
-		t.Errorf("backlog beyond its limit: %d tokens returned after a gap, cut off = %t; want none and true", len(tokens), s.Over())
+	if tokens, _ := s.Take(); len(tokens) != 0 || !s.Overflowed() {
+		t.Errorf("backlog beyond its limit: %d tokens returned after a gap, cut off = %t; want none and true", len(tokens), s.Overflowed())
 	}
 }
--- a/internal/hosted/answer.go
+++ b/internal/hosted/answer.go
@@ -30,18 +30,18 @@
 
 // readResponse reads the head of the response to this request. A late response to an earlier
 // request on the connection is read to its end and dropped.
-func (x *exchange) readResponse(c *conn.Conn, a *forward.Attempt) (*http.Response, Answer, error) {
-	if !a.GiveUp.IsZero() {
-		_ = c.SetReadDeadline(time.Now().Add(a.GiveUp.Sub(a.Sent))) // fails only on a closed connection, on which the read fails, too
+func (x *exchange) readResponse(c *conn.Conn, a *forward.Attempt) (*http.Response, Response, error) {
+	if !a.CancelAt.IsZero() {
+		_ = c.SetReadDeadline(time.Now().Add(a.CancelAt.Sub(a.Sent))) // fails only on a closed connection, on which the read fails, too
 		defer func() { _ = c.SetReadDeadline(time.Time{}) }()
 	}
 	for range 3 {
-		resp, err := c.ReadAnswer(x.r.Method)
+		resp, err := c.ReadResponse(x.r.Method)
 		if err != nil {
-			return nil, Answer{}, err
+			return nil, Response{}, err
 		}
-		ans := x.server.wire.Answer(resp, x.call.ID)
-		if ans.Ours {
+		ans := x.server.wire.DecodeResponse(resp, x.call.ID)
+		if ans.Matches {
 			return resp, ans, nil
 		}
 		x.server.metrics.Count("late_answers_total", "dropped")
@@ -49,11 +49,11 @@
 			break
 		}
 	}
-	return nil, Answer{}, errOtherRequest
+	return nil, Response{}, errOtherRequest
 }
 
 // forwardResponse forwards the response and returns the attempt's outcome.
-func (x *exchange) forwardResponse(c *conn.Conn, a *forward.Attempt, resp *http.Response, ans Answer) (forward.Outcome, error) {
+func (x *exchange) forwardResponse(c *conn.Conn, a *forward.Attempt, resp *http.Response, ans Response) (forward.Outcome, error) {
 	success := resp.StatusCode >= 200 && resp.StatusCode < 300
 	if success && x.call.Route.Kind == route.Stream && ans.Signed {
 		return x.forwardStream(resp)
@@ -85,7 +85,7 @@
 
 // bufferResponse reads the body of a response into memory. It returns the bytes read also with an
 // error: errTooLarge after one byte more than maxBufferedResponse, or the error of the read.
-func bufferResponse(resp *http.Response, ans Answer) (*bufferedResponse, error) {
+func bufferResponse(resp *http.Response, ans Response) (*bufferedResponse, error) {
 	h := &bufferedResponse{status: resp.StatusCode, header: resp.Header, signed: ans.Signed}
 	var err error
 	h.body, err = io.ReadAll(io.LimitReader(resp.Body, maxBufferedResponse+1))
@@ -102,7 +102,7 @@
 	if forward.PromisesNotRun(h.status) {
 		h = &bufferedResponse{status: http.StatusBadGateway, header: http.Header{}, body: nil}
 	}
-	x.server.wire.Passed(x.w.Header(), h.header, h.signed)
+	x.server.wire.CopyHeaders(x.w.Header(), h.header, h.signed)
 	suppressContentSniffing(x.w.Header())
 	x.w.Header().Set("Content-Length", strconv.Itoa(len(h.body)))
 	x.headSent = true
@@ -117,7 +117,7 @@
 
 // forwardLarge forwards the buffered beginning of a response, and then the rest as it arrives.
 func (x *exchange) forwardLarge(resp *http.Response, h *bufferedResponse) (forward.Outcome, error) {
-	x.server.wire.Passed(x.w.Header(), resp.Header, true)
+	x.server.wire.CopyHeaders(x.w.Header(), resp.Header, true)
 	suppressContentSniffing(x.w.Header())
 	if resp.ContentLength >= 0 {
 		x.w.Header().Set("Content-Length", strconv.FormatInt(resp.ContentLength, 10))
--- a/internal/hosted/call.go
+++ b/internal/hosted/call.go
@@ -34,7 +34,7 @@
 }
 
 // call makes a call to an upstream, other than a caller's request, on a pooled connection.
-func (s *server) call(ctx context.Context, address string, call Call) (callResponse, error) {
+func (s *server) call(ctx context.Context, address string, call UpstreamCall) (callResponse, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	c, err := s.conns.Get(ctx, address)
@@ -52,14 +52,14 @@
 		c.Close()
 		return callResponse{}, err
 	}
-	resp, err := c.ReadAnswer(call.Method)
+	resp, err := c.ReadResponse(call.Method)
 	if err != nil {
 		c.Close()
 		return callResponse{}, err
 	}
 	got := callResponse{status: resp.StatusCode, closing: resp.Close}
 	got.body, err = io.ReadAll(io.LimitReader(resp.Body, maxCallResponse))
-	if err != nil || !c.Clean(resp) {
+	if err != nil || !c.Reusable(resp) {
 		c.Close()
 		return got, err
 	}
@@ -71,11 +71,11 @@
 func (s *server) requestReport(ctx context.Context, address string) (Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	got, err := s.call(ctx, address, s.wire.Report())
+	got, err := s.call(ctx, address, s.wire.ReportCall())
 	if err != nil {
 		return Report{}, err
 	}
-	r, err := s.wire.Reported(got.body)
+	r, err := s.wire.DecodeReport(got.body)
 	if err != nil {
 		return Report{}, fmt.Errorf("%w: %w", errUnreadable, err)
 	}
--- a/internal/hosted/call_test.go
+++ b/internal/hosted/call_test.go
@@ -13,8 +13,10 @@
 // empty report.
 type fakeWire struct{ Wire }
 
-func (fakeWire) Report() Call                    { return Call{Method: http.MethodGet, Target: "/state"} }
-func (fakeWire) Reported([]byte) (Report, error) { return Report{}, nil }
+func (fakeWire) ReportCall() UpstreamCall {
+	return UpstreamCall{Method: http.MethodGet, Target: "/state"}
+}
+func (fakeWire) DecodeReport([]byte) (Report, error) { return Report{}, nil }
 
 // A leaving upstream closes each connection immediately, while its report lags. An upstream that
 // stays also closes a connection occasionally. If it were considered leaving because of that, all
--- a/internal/hosted/cordon.go
+++ b/internal/hosted/cordon.go
@@ -35,7 +35,7 @@
 
 // changedCordons returns the cordons in a response of the store, or nil if they are unchanged.
 // Their version is that of the first response that contained them.
-func (f *follower) changedCordons(read ConfigRead) (changed *cordon.Set) {
+func (f *follower) changedCordons(read ConfigResponse) (changed *cordon.Set) {
 	f.logUnreadable(read)
 	f.server.decide(func(_ time.Time, g *forward.Gate) {
 		next := cordon.NewSet(read.Version, read.Cordoned)
@@ -48,7 +48,7 @@
 
 // logUnreadable logs the errors of cordons that cannot be decoded in full, once for the same
 // errors. Such cordons are in force nevertheless, because their data centres are known.
-func (f *follower) logUnreadable(read ConfigRead) {
+func (f *follower) logUnreadable(read ConfigResponse) {
 	problems := errors.Join(read.Unreadable...)
 	text := fmt.Sprint(problems)
 	if problems != nil && text != f.lastCordonErrors {
--- a/internal/hosted/crash.go
+++ b/internal/hosted/crash.go
@@ -22,20 +22,20 @@
 		return
 	}
 	go func() {
-		if p := conn.Probe(a.Entry.Address, crashProbeTimeout); p != conn.Refuses && p != conn.Silent {
+		if p := conn.Probe(a.Entry.Address, crashProbeTimeout); p != conn.Refused && p != conn.TimedOut {
 			return
 		}
 		crash := suspect.Crash{Upstream: a.Entry.ID, Boot: strconv.FormatInt(a.Entry.Born, 10)}
 		first := false
 		s.decide(func(now time.Time, g *forward.Gate) {
-			first = g.Strike(now, suspect.Strike{Fingerprint: c.Print, Crash: crash, At: now})
+			first = g.Strike(now, suspect.Strike{Fingerprint: c.Fingerprint, Crash: crash, At: now})
 		})
 		if !first {
 			return
 		}
 		s.metrics.Count("strikes_total", c.Service)
-		s.log.Info("strike", "request", c.ID, "print", c.Print, "upstream", crash.Upstream, "boot", crash.Boot)
-		s.homes.broadcast(msg.Strike{Fingerprint: c.Print, Upstream: crash.Upstream, Boot: crash.Boot})
+		s.log.Info("strike", "request", c.ID, "print", c.Fingerprint, "upstream", crash.Upstream, "boot", crash.Boot)
+		s.homes.broadcast(msg.Strike{Fingerprint: c.Fingerprint, Upstream: crash.Upstream, Boot: crash.Boot})
 	}()
 }
 
@@ -60,13 +60,13 @@
 		return
 	}
 	s.metrics.Count("upstreams_failing_total", "told")
-	s.homes.broadcast(msg.Failing{Upstream: a.Entry.ID, Born: a.Entry.Born})
+	s.homes.broadcast(msg.UpstreamFailing{Upstream: a.Entry.ID, Born: a.Entry.Born})
 }
 
 // onFailing handles another instance's announcement that an upstream gave no usable response.
-func (s *server) onFailing(from string, m msg.Failing) {
+func (s *server) onFailing(from string, m msg.UpstreamFailing) {
 	s.metrics.Count("upstreams_failing_total", "heard")
-	s.decide(func(now time.Time, g *forward.Gate) { g.Failing(now, m.Upstream, m.Born) })
+	s.decide(func(now time.Time, g *forward.Gate) { g.ReportFailure(now, m.Upstream, m.Born) })
 	s.log.Info("upstream_failing", "upstream", m.Upstream, "source", from)
 }
 
--- a/internal/hosted/endpoints.go
+++ b/internal/hosted/endpoints.go
@@ -53,7 +53,7 @@
 // configuration, the cordons and a list of upstreams, and may accept keys.
 func (i *Instance) ready() (ok bool) {
 	i.server.decide(func(now time.Time, g *forward.Gate) {
-		ok = !i.server.leaving && g.Table() != nil && g.Cordons().Known() && g.Roster().Known() && g.KeysGood(now)
+		ok = !i.server.leaving && g.Table() != nil && g.Cordons().Known() && g.Roster().Received() && g.KeysGood(now)
 	})
 	return ok
 }
@@ -62,7 +62,7 @@
 // instance serves every route, so that the response depends only on the caller's location and
 // on the regions allowed for the host that it asks for.
 func (i *Instance) handleDirectory(w http.ResponseWriter, req *http.Request) {
-	location, host := i.wire.Caller(req)
+	location, host := i.wire.DirectoryRequest(req)
 	i.server.decide(func(_ time.Time, g *forward.Gate) {
 		if g.Table() != nil {
 			location.Regions = g.Table().RegionsOf(host)
@@ -76,7 +76,7 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	if err := i.wire.Addresses(w, addresses, directoryTTL); err != nil {
+	if err := i.wire.WriteDirectory(w, addresses, directoryTTL); err != nil {
 		i.log.Debug("directory_answer_lost", "error", err)
 	}
 }
--- a/internal/hosted/events.go
+++ b/internal/hosted/events.go
@@ -101,7 +101,7 @@
 		x.pace = pace
 	})
 	if first && x.home != "" {
-		x.server.homes.send(x.home, msg.Begun{Pool: x.call.Pool, Attempt: x.call.Grant()})
+		x.server.homes.send(x.home, msg.FirstToken{Pool: x.call.Pool, Attempt: x.call.Grant()})
 	}
 }
 
@@ -121,7 +121,7 @@
 	}
 	x.headSent = true
 	x.firstByte = time.Since(x.started)
-	x.server.wire.Passed(x.w.Header(), resp.Header, true)
+	x.server.wire.CopyHeaders(x.w.Header(), resp.Header, true)
 	suppressContentSniffing(x.w.Header())
 	x.w.WriteHeader(resp.StatusCode)
 }
--- a/internal/hosted/exchange.go
+++ b/internal/hosted/exchange.go
@@ -36,7 +36,7 @@
 	lastErr       error
 	// grants receives the responses of homes; home is the instance that granted the current
 	// attempt, or "".
-	grants chan msg.GrantAnswer
+	grants chan msg.GrantResponse
 	home   string
 	// upstream is the last attempt's upstream, listAge the age of the list at admission; both
 	// are logged.
@@ -56,8 +56,8 @@
 // run makes attempts until the call has its final response.
 func (x *exchange) run() {
 	step := x.decideStep(func(now time.Time, g *forward.Gate) forward.Step { return g.Start(now, x.call) })
-	for step.Send != nil || step.AskHome {
-		if step.AskHome {
+	for step.Send != nil || step.RequestGrant {
+		if step.RequestGrant {
 			step = x.requestGrant()
 			continue
 		}
@@ -182,7 +182,7 @@
 		<-sent
 		return outcome, err
 	}
-	if err == nil && c.Clean(resp) && !ans.Leaving {
+	if err == nil && c.Reusable(resp) && !ans.Closing {
 		pooled = true
 		x.server.conns.Put(c, conn.KeepAlive(resp.Header))
 	}
@@ -194,7 +194,7 @@
 func (x *exchange) send(c *conn.Conn, a *forward.Attempt) <-chan error {
 	req := &conn.Request{
 		Method: x.r.Method, Target: x.r.RequestURI, Host: x.r.Host,
-		Header: x.server.wire.Outgoing(x.r.Header, x.call, a), Body: x.body.reader(), Length: x.body.length,
+		Header: x.server.wire.AttemptHeaders(x.r.Header, x.call, a), Body: x.body.reader(), Length: x.body.length,
 	}
 	done := make(chan error, 1)
 	if x.body.replayable() {
@@ -212,15 +212,15 @@
 }
 
 // observeLoad records the load and the remaining warm-up that an upstream's response states.
-func (x *exchange) observeLoad(a *forward.Attempt, ans Answer) {
-	if ans.Load == nil && ans.Cold == 0 {
+func (x *exchange) observeLoad(a *forward.Attempt, ans Response) {
+	if ans.Load == nil && ans.ColdRemaining == 0 {
 		return
 	}
 	x.server.decide(func(now time.Time, g *forward.Gate) {
 		if ans.Load != nil {
 			g.Observe(now, a.Upstream, *ans.Load)
 		}
-		a.Upstream.Chill(now, ans.Cold)
+		a.Upstream.ExtendWarmUp(now, ans.ColdRemaining)
 	})
 }
 
--- a/internal/hosted/fleet.go
+++ b/internal/hosted/fleet.go
@@ -37,7 +37,7 @@
 	seeds       []string
 	seedAddress string
 	// joinReplies receives the responses to this instance's join requests.
-	joinReplies chan msg.JoinAnswer
+	joinReplies chan msg.JoinResponse
 	// joinDone is closed once the members are known, or once neither a seed nor the store has
 	// returned them; joinOnce ensures that this happens only once.
 	joinDone chan struct{}
@@ -102,12 +102,12 @@
 		for _, m := range v.Others() {
 			if in(m.DataCentre) && v.HeartbeatInterval(m.DataCentre) > 0 {
 				others = append(others, m.Heartbeat)
-				alive[m.Name] = v.Hears(now, m.Name)
+				alive[m.Name] = v.IsAlive(now, m.Name)
 			}
 		}
 	})
 	for _, o := range others {
-		self.Hears = alive[o.Name]
+		self.ReceivesYours = alive[o.Name]
 		f.send(o, self)
 	}
 }
@@ -145,7 +145,9 @@
 func (f *peers) onHeartbeat(b msg.Heartbeat) {
 	var contact fleet.Contact
 	mustReset := false
-	f.with(func(now time.Time, v *fleet.Fleet) { contact, mustReset = v.Heard(now, b), v.Unheard(now, b) })
+	f.with(func(now time.Time, v *fleet.Fleet) {
+		contact, mustReset = v.OnHeartbeat(now, b), v.MustResetConnection(now, b)
+	})
 	if mustReset {
 		f.log.Info("peer_link_reset", "peer", b.Name, "why", "peer_does_not_hear")
 		f.transport.Reset(b.Name)
@@ -156,9 +158,9 @@
 	case fleet.Regained:
 		f.log.Info("dependency_regained", "dependency", "instance", "peer", b.Name, "boot", b.Boot, "ready", b.Ready)
 	}
-	if b.Answer {
+	if b.WantsResponse {
 		self := f.self()
-		self.Hears = true
+		self.ReceivesYours = true
 		f.send(b, self)
 	}
 }
@@ -173,14 +175,14 @@
 		var address string
 		var triedAt time.Time
 		f.with(func(now time.Time, v *fleet.Fleet) {
-			if m := v.Find(name); m != nil && v.Hears(now, name) {
+			if m := v.Find(name); m != nil && v.IsAlive(now, name) {
 				address, triedAt = m.PeerAddress, now
 			}
 		})
 		if address == "" {
 			return // the instance is already known to be dead, or was removed
 		}
-		if conn.Probe(address, redialTimeout) == conn.Refuses {
+		if conn.Probe(address, redialTimeout) == conn.Refused {
 			f.markDead(triedAt, name)
 			return
 		}
@@ -190,7 +192,7 @@
 // markDead marks an instance as dead that refused a connection at triedAt.
 func (f *peers) markDead(triedAt time.Time, name string) {
 	changed := false
-	f.with(func(now time.Time, v *fleet.Fleet) { changed = v.Gone(now, triedAt, name) })
+	f.with(func(now time.Time, v *fleet.Fleet) { changed = v.OnConnectionRefused(now, triedAt, name) })
 	if changed {
 		f.log.Info("dependency_lost", "dependency", "instance", "peer", name, "why", "refuses_connections")
 		f.onPeerLost()
--- a/internal/hosted/fleet_test.go
+++ b/internal/hosted/fleet_test.go
@@ -45,7 +45,7 @@
 	self := testRow("self").Heartbeat
 	return &peers{
 		store: store, transport: transport, metrics: metrics.NewMetrics(), log: hclog.NewNullLogger(), onPeerLost: func() {},
-		state: func() (bool, bool, bool) { return true, false, true }, fleet: fleet.New(boottime.Now(), self, nil, 0), heartbeatsSentAt: map[string]time.Time{}, joinDone: make(chan struct{}), joinReplies: make(chan msg.JoinAnswer, 1),
+		state: func() (bool, bool, bool) { return true, false, true }, fleet: fleet.New(boottime.Now(), self, nil, 0), heartbeatsSentAt: map[string]time.Time{}, joinDone: make(chan struct{}), joinReplies: make(chan msg.JoinResponse, 1),
 	}
 }
 
@@ -59,7 +59,7 @@
 		t.Fatal(err)
 	}
 	f.with(func(now time.Time, v *fleet.Fleet) {
-		v.Heard(now, testRow("other").Heartbeat)
+		v.OnHeartbeat(now, testRow("other").Heartbeat)
 		v.Tick(now.Add(2 * fleet.ForgetAfter))
 		if v.Find("other") != nil {
 			t.Fatal("the instance \"other\" is still a member after ForgetAfter; the test requires that it was removed")
--- a/internal/hosted/follow.go
+++ b/internal/hosted/follow.go
@@ -137,7 +137,7 @@
 
 // applyConfig applies a response of the store; sentAt is the time at which the read was sent. It
 // ignores a response older than the known configuration or cordons.
-func (f *follower) applyConfig(sentAt time.Time, read ConfigRead) {
+func (f *follower) applyConfig(sentAt time.Time, read ConfigResponse) {
 	var cordonsVersion int64
 	f.server.decide(func(_ time.Time, g *forward.Gate) { cordonsVersion = g.Cordons().Version })
 	if read.Version < max(f.configVersion, cordonsVersion) {
@@ -222,7 +222,7 @@
 // listIsComplete reports whether every upstream is known. An instance that has polled other
 // instances may know only the upstreams that it uses.
 func (f *follower) listIsComplete() (all bool) {
-	f.server.decide(func(_ time.Time, g *forward.Gate) { all = g.Roster().Whole() })
+	f.server.decide(func(_ time.Time, g *forward.Gate) { all = g.Roster().Complete() })
 	return all
 }
 
@@ -238,7 +238,7 @@
 // store is down; the full list is read next.
 func (f *follower) readList(ctx context.Context, full bool) error {
 	sentAt := boottime.Now()
-	var read ListRead
+	var read ListResponse
 	var err error
 	if full {
 		read, err = f.store.List(ctx)
@@ -254,7 +254,7 @@
 
 // applyList applies a response of the store; sentAt is the time at which the read was sent, and
 // full is set if the response holds the full list.
-func (f *follower) applyList(sentAt time.Time, read ListRead, full bool) {
+func (f *follower) applyList(sentAt time.Time, read ListResponse, full bool) {
 	for _, err := range read.Unreadable {
 		f.metrics.Count("list_entries_total", "unreadable")
 		f.log.Warn("upstream_entry_unreadable", "version", read.Version, "error", err)
@@ -267,7 +267,7 @@
 		switch {
 		case full:
 			left, _ = r.Replace(now, read.Changes, read.Version)
-		case r.Whole():
+		case r.Complete():
 			left = r.Update(now, read.Changes, read.Version)
 		default:
 			return nil // groups were dropped while the request was in progress
@@ -303,7 +303,7 @@
 	}
 	for _, u := range left[:min(len(left), maxChangeLogLines)] {
 		f.log.Info("upstream_leaving", "upstream", u.ID, "service", u.Service, "address", u.Address,
-			"gone", u.Gone, "source", source, "version", u.Version)
+			"gone", u.Removed, "source", source, "version", u.Version)
 	}
 	if more := max(len(joined), len(left)) - maxChangeLogLines; more > 0 {
 		f.log.Info("upstreams_changed", "joined", len(joined), "left", len(left), "source", source, "listed", listed)
--- a/internal/hosted/home.go
+++ b/internal/hosted/home.go
@@ -89,7 +89,7 @@
 func (h *homes) groups() []roster.Group {
 	var out []roster.Group
 	for _, name := range h.poolNames() {
-		if g := roster.ParseGroup(name); g.Of > 0 {
+		if g := roster.ParseGroup(name); g.Count > 0 {
 			out = append(out, g)
 		}
 	}
@@ -99,14 +99,14 @@
 // homeOutput is the output of a pool's home.
 type homeOutput struct {
 	pool     string
-	messages []pool.Out
+	messages []pool.OutgoingMessage
 	notes    []pool.Note
 	probes   []pool.Probe
 }
 
 // takeOutput removes the pending output of a home and returns it.
 func (h *homes) takeOutput(name string, p *pool.Home) homeOutput {
-	return homeOutput{pool: name, messages: p.Take(), notes: p.Notes(), probes: p.Probes()}
+	return homeOutput{pool: name, messages: p.TakeMessages(), notes: p.Notes(), probes: p.Probes()}
 }
 
 // poolView is the state of a pool as known to this instance.
@@ -135,7 +135,7 @@
 		if l.service != nil {
 			l.ColdRate = l.service.ColdRate
 		}
-		for _, u := range g.Roster().In(group) {
+		for _, u := range g.Roster().UpstreamsIn(group) {
 			c := *u
 			c.ColdUntil = g.ColdUntil(u)
 			l.Upstreams = append(l.Upstreams, &c)
@@ -177,7 +177,7 @@
 		return
 	}
 	if r.Leaving || r.Known {
-		h.withHome(name, func(now time.Time, p *pool.Home) { p.Leaves(now, l.ID, r.LeavesIn, r.Known) })
+		h.withHome(name, func(now time.Time, p *pool.Home) { p.NoticeLeaving(now, l.ID, r.LeavesIn, r.Known) })
 	}
 }
 
@@ -221,16 +221,16 @@
 func (h *homes) handle(from string, m msg.Message) bool {
 	entry := pool.Entry{Name: from, DataCentre: h.dataCentreOf(from)}
 	switch m := m.(type) {
-	case msg.GrantAsk:
-		h.withHome(m.Pool, func(now time.Time, p *pool.Home) { p.Ask(now, entry, m) })
+	case msg.GrantRequest:
+		h.withHome(m.Pool, func(now time.Time, p *pool.Home) { p.Place(now, entry, m) })
 	case msg.GrantEnd:
 		h.withHome(m.Pool, func(now time.Time, p *pool.Home) { p.End(now, m) })
 	case msg.Announce:
 		h.withHome(m.Pool, func(now time.Time, p *pool.Home) { p.Announce(now, entry, m) })
-	case msg.Begun:
-		h.withHome(m.Pool, func(now time.Time, p *pool.Home) { p.Begun(now, m) })
-	case msg.Moved:
-		h.withHome(m.Pool, func(now time.Time, p *pool.Home) { p.Moved(now, m) })
+	case msg.FirstToken:
+		h.withHome(m.Pool, func(now time.Time, p *pool.Home) { p.OnFirstToken(now, m) })
+	case msg.MoveResult:
+		h.withHome(m.Pool, func(now time.Time, p *pool.Home) { p.OnMoveResult(now, m) })
 	default:
 		return false
 	}
--- a/internal/hosted/instance.go
+++ b/internal/hosted/instance.go
@@ -96,7 +96,7 @@
 	}
 	i.peers = &peers{
 		store: store, metrics: m, log: log, state: i.state, onPeerLost: srv.announce, heartbeatsSentAt: map[string]time.Time{},
-		seeds: s.Seeds, seedAddress: s.SeedAddress, joinReplies: make(chan msg.JoinAnswer, 16), joinDone: make(chan struct{}),
+		seeds: s.Seeds, seedAddress: s.SeedAddress, joinReplies: make(chan msg.JoinResponse, 16), joinDone: make(chan struct{}),
 		fleet: fleet.New(boottime.Now(), i.ownHeartbeat(), s.Regions, s.Without),
 	}
 	i.relay = &relay{
@@ -261,9 +261,9 @@
 			return err
 		}
 	}
-	peers.Dropped = func(to string, frames int) { i.metrics.Add("peer_lost_messages_total", to, int64(frames)) }
-	peers.Ended = i.peers.linkEnded
-	peers.Sent = i.countSent
+	peers.OnDropped = func(to string, frames int) { i.metrics.Add("peer_lost_messages_total", to, int64(frames)) }
+	peers.OnConnectionEnded = i.peers.linkEnded
+	peers.OnQueued = i.countSent
 	i.peers.transport = peers
 	tree.Add(peers)
 	return nil
--- a/internal/hosted/join.go
+++ b/internal/hosted/join.go
@@ -55,7 +55,7 @@
 	case <-ctx.Done():
 	case <-t.C:
 	case a := <-f.joinReplies:
-		f.with(func(_ time.Time, v *fleet.Fleet) { j.Answered(a, v.Size()) })
+		f.with(func(_ time.Time, v *fleet.Fleet) { j.OnResponse(a, v.Size()) })
 	}
 }
 
@@ -103,33 +103,33 @@
 
 // querySeed asks one seed for its members.
 func (f *peers) querySeed(address string) {
-	ask := f.joinRequest()
-	f.send(msg.Heartbeat{Name: seedName + address, PeerAddress: address}, ask)
+	req := f.joinRequest()
+	f.send(msg.Heartbeat{Name: seedName + address, PeerAddress: address}, req)
 }
 
 // joinRequest returns the request for another instance's members.
-func (f *peers) joinRequest() (ask msg.JoinAsk) {
+func (f *peers) joinRequest() (req msg.JoinRequest) {
 	ready, leaving, reads := f.state()
 	f.with(func(now time.Time, v *fleet.Fleet) {
 		v.SetSelf(now, ready, leaving, reads)
-		ask = v.JoinAsk()
+		req = v.JoinRequest()
 	})
-	return ask
+	return req
 }
 
-// onJoinAsk answers a request for members.
-func (f *peers) onJoinAsk(m msg.JoinAsk) {
-	m.Sender.Hears = true // a join request does not state whether our heartbeats arrive
+// onJoinRequest answers a request for members.
+func (f *peers) onJoinRequest(m msg.JoinRequest) {
+	m.Sender.ReceivesYours = true // a join request does not state whether our heartbeats arrive
 	f.onHeartbeat(m.Sender)
 	ready := f.hasJoined()
-	var answer msg.JoinAnswer
-	f.with(func(_ time.Time, v *fleet.Fleet) { answer = v.JoinAnswer(m, ready) })
+	var answer msg.JoinResponse
+	f.with(func(_ time.Time, v *fleet.Fleet) { answer = v.JoinResponse(m, ready) })
 	f.send(m.Sender, answer)
 }
 
-// onJoinAnswer handles a list of members.
-func (f *peers) onJoinAnswer(from string, m msg.JoinAnswer) {
-	f.with(func(now time.Time, v *fleet.Fleet) { v.Told(now, m.Size) })
+// onJoinResponse handles a list of members.
+func (f *peers) onJoinResponse(from string, m msg.JoinResponse) {
+	f.with(func(now time.Time, v *fleet.Fleet) { v.SetSizeHint(now, m.Size) })
 	f.addMembers("instance "+from, m.Instances, (*fleet.Fleet).Introduce)
 	select {
 	case f.joinReplies <- m:
@@ -154,7 +154,7 @@
 	}
 	f.log.Info("instances_learned", "source", source, "count", len(known), "new", len(fresh))
 	self := f.self()
-	self.Answer = true
+	self.WantsResponse = true
 	for _, b := range fresh {
 		if f.sendsHeartbeats(b.DataCentre) {
 			f.send(b, self)
--- a/internal/hosted/move.go
+++ b/internal/hosted/move.go
@@ -28,7 +28,7 @@
 // onMoveOrder starts a move that the pool's home has ordered, and sends its outcome to the home.
 func (s *server) onMoveOrder(from string, m msg.MoveOrder) {
 	reply := func(o msg.MoveOutcome) {
-		s.homes.send(from, msg.Moved{Pool: m.Pool, Attempt: m.Attempt, Number: m.Number, Outcome: o})
+		s.homes.send(from, msg.MoveResult{Pool: m.Pool, Attempt: m.Attempt, Number: m.Number, Outcome: o})
 	}
 	x := s.findExchange(requestOf(m.Attempt))
 	if x == nil {
@@ -153,16 +153,16 @@
 }
 
 // copyGeneration copies a generation's memory once; with final, the generation is stopped first.
-func (s *server) copyGeneration(ctx context.Context, source, id, to string, final bool) (Copy, error) {
-	call, err := s.wire.Move(id, to, final)
+func (s *server) copyGeneration(ctx context.Context, source, id, to string, final bool) (CopyResult, error) {
+	call, err := s.wire.CopyCall(id, to, final)
 	if err != nil {
-		return Copy{Outcome: msg.MoveFailed}, err
+		return CopyResult{Outcome: msg.MoveFailed}, err
 	}
 	got, err := s.call(ctx, source, call)
 	if err != nil {
-		return Copy{Outcome: msg.MoveFailed}, fmt.Errorf("copy generation to %s: %w", to, err)
+		return CopyResult{Outcome: msg.MoveFailed}, fmt.Errorf("copy generation to %s: %w", to, err)
 	}
-	return s.wire.Moved(got.status, got.body), nil
+	return s.wire.DecodeCopy(got.status, got.body), nil
 }
 
 // awaitMove waits for the end of a move in progress, which may be the reason why the stream
--- a/internal/hosted/peers.go
+++ b/internal/hosted/peers.go
@@ -46,11 +46,11 @@
 		return
 	}
 	switch m := m.(type) {
-	case msg.GrantAnswer:
-		i.server.onGrantAnswer(m)
+	case msg.GrantResponse:
+		i.server.onGrantResponse(m)
 	case msg.Strike:
 		i.server.onStrike(m)
-	case msg.Failing:
+	case msg.UpstreamFailing:
 		i.server.onFailing(from, m)
 	case msg.MoveOrder:
 		i.server.onMoveOrder(from, m)
@@ -58,17 +58,17 @@
 		i.peers.onHeartbeat(m)
 	case msg.Presences:
 		i.peers.onPresences(from, m)
-	case msg.PresenceAsk:
-		i.peers.onPresenceAsk(from, m)
-	case msg.JoinAsk:
-		i.peers.onJoinAsk(m)
-	case msg.JoinAnswer:
-		i.peers.onJoinAnswer(from, m)
-	case msg.SyncAsk:
+	case msg.PresenceRequest:
+		i.peers.onPresenceRequest(from, m)
+	case msg.JoinRequest:
+		i.peers.onJoinRequest(m)
+	case msg.JoinResponse:
+		i.peers.onJoinResponse(from, m)
+	case msg.SyncRequest:
 		i.relay.handlePoll(from, m)
-	case msg.SyncAnswer:
+	case msg.SyncResponse:
 		select {
-		case i.poller.replies <- syncReply{from: from, SyncAnswer: m}:
+		case i.poller.replies <- syncReply{from: from, SyncResponse: m}:
 		default: // the queue is full, as the requester no longer waits for this response
 		}
 	default:
--- a/internal/hosted/place.go
+++ b/internal/hosted/place.go
@@ -26,7 +26,7 @@
 
 // grantRequest is a request for a grant that a home has not decided yet.
 type grantRequest struct {
-	message msg.GrantAsk
+	message msg.GrantRequest
 	home    string
 	// firstSentAt and lastSentAt are the times at which the request was first and last sent. The
 	// validity of a grant counts from the transmission that may have led to it.
@@ -38,7 +38,7 @@
 	s := x.server
 	now := boottime.Now()
 	q := &grantRequest{home: s.homes.homeOf(x.call.Pool), firstSentAt: now, lastSentAt: now}
-	s.decide(func(now time.Time, g *forward.Gate) { q.message = g.Ask(now, x.call) })
+	s.decide(func(now time.Time, g *forward.Gate) { q.message = g.GrantRequest(now, x.call) })
 	s.homes.send(q.home, q.message)
 	timeout, repeat := time.NewTimer(forward.HomeTimeout), time.NewTimer(time.Hour)
 	defer timeout.Stop()
@@ -46,7 +46,7 @@
 	for {
 		select {
 		case <-x.ctx.Done():
-			s.homes.send(q.home, msg.GrantEnd{Pool: x.call.Pool, Attempt: q.message.Ask.Attempt, Cut: true})
+			s.homes.send(q.home, msg.GrantEnd{Pool: x.call.Pool, Attempt: q.message.Request.Attempt, CallerDisconnected: true})
 			return x.stopStep()
 		case <-timeout.C:
 			return x.onHomeSilent(q.home)
@@ -54,21 +54,21 @@
 			q.lastSentAt = boottime.Now()
 			s.homes.send(q.home, q.message)
 		case a := <-x.grants:
-			if a.Decision.Attempt != q.message.Ask.Attempt {
+			if a.Decision.Attempt != q.message.Request.Attempt {
 				continue // late response about another attempt
 			}
 			if a.Decision.Kind != placement.Queued {
 				return x.onDecision(q, a)
 			}
 			// The home is alive and will decide later.
-			timeout.Reset(forward.AskInterval + forward.HomeTimeout)
-			repeat.Reset(forward.AskInterval)
+			timeout.Reset(forward.GrantRetryInterval + forward.HomeTimeout)
+			repeat.Reset(forward.GrantRetryInterval)
 		}
 	}
 }
 
 // onDecision processes the home's decision, a grant or a refusal, and returns the next step.
-func (x *exchange) onDecision(q *grantRequest, a msg.GrantAnswer) forward.Step {
+func (x *exchange) onDecision(q *grantRequest, a msg.GrantResponse) forward.Step {
 	s := x.server
 	if a.Decision.Kind == placement.Refused {
 		return x.decideStep(func(_ time.Time, g *forward.Gate) forward.Step {
@@ -79,7 +79,7 @@
 	waited := boottime.Now().Sub(q.firstSentAt)
 	s.metrics.Observe("placement_milliseconds", x.call.Service, waited)
 	s.log.Info("placed", "request", x.call.ID, "home", q.home, "pool", x.call.Pool, "upstream", a.Decision.Upstream,
-		"prompt", q.message.Ask.Prompt, "hint", q.message.Ask.Expected, "waited", waited.Round(time.Millisecond))
+		"prompt", q.message.Request.Prompt, "hint", q.message.Request.Expected, "waited", waited.Round(time.Millisecond))
 	return x.decideStep(func(now time.Time, g *forward.Gate) forward.Step { return g.Granted(now, q.lastSentAt, x.call, a) })
 }
 
@@ -90,7 +90,7 @@
 	s.homes.reportSilent(home)
 	s.metrics.Count("homes_silent_total", x.call.Service)
 	s.log.Info("home_silent", "request", x.call.ID, "home", home, "pool", x.call.Pool)
-	return x.decideStep(func(now time.Time, g *forward.Gate) forward.Step { return g.HomeSilent(now, x.call) })
+	return x.decideStep(func(now time.Time, g *forward.Gate) forward.Step { return g.HomeTimedOut(now, x.call) })
 }
 
 // stopStep returns the step of a call whose caller has disconnected or whose deadline has passed.
@@ -109,7 +109,7 @@
 	s := x.server
 	end := msg.GrantEnd{
 		Pool: x.call.Pool, Attempt: attempt, Tokens: x.tokens(),
-		Failed: o != forward.Done && o != forward.Cancelled, Cut: o == forward.Cancelled,
+		Failed: o != forward.Done && o != forward.Cancelled, CallerDisconnected: o == forward.Cancelled,
 		Upstream: a.Entry.ID, Unreachable: o == forward.NotSent,
 	}
 	s.homes.send(x.home, end)
@@ -149,11 +149,11 @@
 			if a == nil || x.call.Pool == "" {
 				continue
 			}
-			ask := g.Ask(now, x.call).Ask
-			ask.Exclude = nil
+			req := g.GrantRequest(now, x.call).Request
+			req.Exclude = nil
 			name := g.PoolOf(a)
 			running[name] = append(running[name], msg.RunningAttempt{
-				Ask: ask, Upstream: a.Entry.ID, Tokens: x.tokens(), Pace: x.pace / time.Duration(max(x.eventTokens, 1)),
+				Request: req, Upstream: a.Entry.ID, Tokens: x.tokens(), Pace: x.pace / time.Duration(max(x.eventTokens, 1)),
 			})
 		}
 	})
@@ -165,8 +165,8 @@
 	s.decide(func(time.Time, *forward.Gate) { s.announcedTo = notified })
 }
 
-// onGrantAnswer passes a home's response to the waiting request.
-func (s *server) onGrantAnswer(m msg.GrantAnswer) {
+// onGrantResponse passes a home's response to the waiting request.
+func (s *server) onGrantResponse(m msg.GrantResponse) {
 	x := s.findExchange(requestOf(m.Decision.Attempt))
 	if x == nil {
 		return // the request has ended, and the home was notified of that
--- a/internal/hosted/ports.go
+++ b/internal/hosted/ports.go
@@ -13,12 +13,12 @@
 	"mulberrylug.example/mulberrylug/internal/core/route"
 )
 
-// ErrHistoryGone reports that the store no longer holds the requested changes, so that the full
+// ErrChangesExpired reports that the store no longer holds the requested changes, so that the full
 // state must be read.
-var ErrHistoryGone = errors.New("the store no longer holds the requested changes")
+var ErrChangesExpired = errors.New("the store no longer holds the requested changes")
 
-// ConfigRead is a response of the store with the configuration and the cordons.
-type ConfigRead struct {
+// ConfigResponse is a response of the store with the configuration and the cordons.
+type ConfigResponse struct {
 	// Version is the version of the store that the response reflects.
 	Version int64
 	// Config is nil if the response holds none.
@@ -29,8 +29,8 @@
 	Unreadable []error
 }
 
-// ListRead is a response of the store with the list of upstreams, or with changes of it.
-type ListRead struct {
+// ListResponse is a response of the store with the list of upstreams, or with changes of it.
+type ListResponse struct {
 	Version int64
 	Changes []roster.Change
 	// Unreadable holds an error for each entry among the changes that cannot be used.
@@ -38,11 +38,11 @@
 }
 
 // Store is the platform's store. ListSince is a long poll for changes after a version, and
-// returns ErrHistoryGone if those are no longer held.
+// returns ErrChangesExpired if those are no longer held.
 type Store interface {
-	Config(ctx context.Context) (ConfigRead, error)
-	List(ctx context.Context) (ListRead, error)
-	ListSince(ctx context.Context, after int64, wait time.Duration) (ListRead, error)
+	Config(ctx context.Context) (ConfigResponse, error)
+	List(ctx context.Context) (ListResponse, error)
+	ListSince(ctx context.Context, after int64, wait time.Duration) (ListResponse, error)
 	// Join registers an instance, Members lists the registered ones, Remove deletes rows that
 	// have not been written since they were read.
 	Join(ctx context.Context, self msg.Heartbeat) error
@@ -50,31 +50,31 @@
 	Remove(ctx context.Context, rows []fleet.Row) error
 }
 
-// Answer is the decoded head of an upstream's response.
-type Answer struct {
-	// Ours is false for a response to another request.
-	Ours bool
+// Response is the decoded head of an upstream's response.
+type Response struct {
+	// Matches is false for a response to another request.
+	Matches bool
 	// NotRun is set if the upstream states that it did not run the request.
 	NotRun bool
 	// Signed is set if the response carries the upstream's signature.
 	Signed bool
-	// Leaving is set if the upstream closes the connection after the response.
-	Leaving bool
+	// Closing is set if the upstream closes the connection after the response.
+	Closing bool
 	// Load is the upstream's load; nil if unknown.
 	Load *forward.Report
-	// Cold is the remaining time of the upstream's warm-up; 0 if unknown.
-	Cold time.Duration
+	// ColdRemaining is the remaining time of the upstream's warm-up; 0 if unknown.
+	ColdRemaining time.Duration
 }
 
-// Call is a call to an upstream other than a caller's request.
-type Call struct {
+// UpstreamCall is a call to an upstream other than a caller's request.
+type UpstreamCall struct {
 	Method string
 	Target string
 	Body   []byte
 }
 
-// Copy is an upstream's response to a request to copy a generation's memory.
-type Copy struct {
+// CopyResult is an upstream's response to a request to copy a generation's memory.
+type CopyResult struct {
 	// Handle names the copy.
 	Handle string
 	// Events is the number of events that the generation had produced.
@@ -101,31 +101,32 @@
 	// IsReady and IsDirectory report whether a request is for the respective endpoint.
 	IsReady(r *http.Request) bool
 	IsDirectory(r *http.Request) bool
-	// Caller returns the location of the sender of a directory request, and the host that the
-	// request asks for.
-	Caller(r *http.Request) (location fleet.Place, host string)
-	// Addresses writes a directory response with the lifetime ttl.
-	Addresses(w http.ResponseWriter, addresses []string, ttl time.Duration) error
+	// DirectoryRequest returns the location of the sender of a directory request, and the host that
+	// the request asks for.
+	DirectoryRequest(r *http.Request) (location fleet.Place, host string)
+	// WriteDirectory writes a directory response with the lifetime ttl.
+	WriteDirectory(w http.ResponseWriter, addresses []string, ttl time.Duration) error
 	// Request decodes a caller's request without its body.
 	Request(r *http.Request) forward.Request
-	// Outgoing returns the headers of an attempt, derived from the caller's.
-	Outgoing(caller http.Header, c *forward.Call, a *forward.Attempt) http.Header
-	// Answer decodes the head of a response.
-	Answer(resp *http.Response, requestID string) Answer
-	// Passed copies the headers of a response that are meant for the caller. The signature is
+	// AttemptHeaders returns the headers of an attempt, derived from the caller's.
+	AttemptHeaders(caller http.Header, c *forward.Call, a *forward.Attempt) http.Header
+	// DecodeResponse decodes the head of a response.
+	DecodeResponse(resp *http.Response, requestID string) Response
+	// CopyHeaders copies the headers of a response that are meant for the caller. The signature is
 	// copied only if signed is set, which it never is for a status that is not the upstream's.
-	Passed(to, from http.Header, signed bool)
-	// Move returns the call that copies a generation's memory to another upstream; with final,
-	// the generation is stopped first. Moved decodes the response, DropCopy returns the call
+	CopyHeaders(to, from http.Header, signed bool)
+	// CopyCall returns the call that copies a generation's memory to another upstream; with final,
+	// the generation is stopped first. DecodeCopy decodes the response, DropCopy returns the call
 	// that frees a copy, and CopyAt returns the value that names a copy to the upstream that
 	// continues from it.
-	Move(id, to string, final bool) (Call, error)
-	Moved(status int, body []byte) Copy
-	DropCopy(handle string) Call
+	CopyCall(id, to string, final bool) (UpstreamCall, error)
+	DecodeCopy(status int, body []byte) CopyResult
+	DropCopy(handle string) UpstreamCall
 	CopyAt(address, handle string) string
-	// Report returns the call that requests an upstream's state, Reported decodes the response.
-	Report() Call
-	Reported(body []byte) (Report, error)
-	// Refuse writes the response for a request that this system refuses.
-	Refuse(w http.ResponseWriter, requestID string, r forward.Refusal) error
+	// ReportCall returns the call that requests an upstream's state, DecodeReport decodes the
+	// response.
+	ReportCall() UpstreamCall
+	DecodeReport(body []byte) (Report, error)
+	// WriteRefusal writes the response for a request that this system refuses.
+	WriteRefusal(w http.ResponseWriter, requestID string, r forward.Refusal) error
 }
--- a/internal/hosted/presence.go
+++ b/internal/hosted/presence.go
@@ -25,18 +25,18 @@
 	var unknown []string
 	f.with(func(now time.Time, v *fleet.Fleet) {
 		for _, p := range m.List {
-			if !v.HeardPresence(now, p) {
+			if !v.OnPresence(now, p) {
 				unknown = append(unknown, p.Source)
 			}
 		}
 	})
 	if len(unknown) > 0 {
-		f.sendTo(from, msg.PresenceAsk{Sources: unknown})
+		f.sendTo(from, msg.PresenceRequest{Sources: unknown})
 	}
 }
 
-// onPresenceAsk sends an instance the full presences that it requests.
-func (f *peers) onPresenceAsk(from string, m msg.PresenceAsk) {
+// onPresenceRequest sends an instance the full presences that it requests.
+func (f *peers) onPresenceRequest(from string, m msg.PresenceRequest) {
 	var list []msg.Presence
 	f.with(func(now time.Time, v *fleet.Fleet) { list = v.Presences(now, m.Sources) })
 	if len(list) > 0 {
--- a/internal/hosted/relay.go
+++ b/internal/hosted/relay.go
@@ -56,19 +56,19 @@
 
 // heldPoll is a poll that is answered as soon as there is an update, and at until otherwise.
 type heldPoll struct {
-	message msg.SyncAsk
+	message msg.SyncRequest
 	until   time.Time
 }
 
 // handlePoll answers a poll immediately if there is an update, or if it must not be held.
 // Otherwise it holds the poll.
-func (r *relay) handlePoll(from string, m msg.SyncAsk) {
+func (r *relay) handlePoll(from string, m msg.SyncRequest) {
 	if answer, updated := r.reply(m); updated {
 		r.send(from, answer)
 		return
 	}
 	if !r.mayHold() {
-		r.send(from, msg.SyncAnswer{Number: m.Number, ConfigAge: -1})
+		r.send(from, msg.SyncResponse{Number: m.Number, ConfigAge: -1})
 		return
 	}
 	r.mu.Lock()
@@ -110,8 +110,8 @@
 }
 
 // reply returns the updates since the requester's versions and reports whether there are any.
-func (r *relay) reply(m msg.SyncAsk) (a msg.SyncAnswer, updated bool) {
-	a = msg.SyncAnswer{Number: m.Number, ConfigAge: -1}
+func (r *relay) reply(m msg.SyncRequest) (a msg.SyncResponse, updated bool) {
+	a = msg.SyncResponse{Number: m.Number, ConfigAge: -1}
 	var newer *sharedConfig
 	r.server.decide(func(now time.Time, g *forward.Gate) {
 		if g.Table() == nil {
@@ -127,7 +127,7 @@
 		if c := g.Cordons(); c.Version > m.Cordons {
 			a.Cordons, updated = &c, true
 		}
-		share, ok := g.Roster().Answer(now, m.List)
+		share, ok := g.Roster().Respond(now, m.List)
 		if !ok {
 			a.ListAge = -1
 			return
@@ -142,7 +142,7 @@
 	if a.Config, err = newer.packOnce(); err != nil {
 		r.server.log.Error("configuration_not_packed", "version", newer.config.Version, "error", err)
 		// Without the configuration, the reply must not confirm the requester's older one.
-		return msg.SyncAnswer{Number: m.Number, ConfigAge: -1}, true
+		return msg.SyncResponse{Number: m.Number, ConfigAge: -1}, true
 	}
 	return a, true
 }
@@ -162,7 +162,7 @@
 // syncReply is a reply to a poll and the instance that sent it.
 type syncReply struct {
 	from string
-	msg.SyncAnswer
+	msg.SyncResponse
 }
 
 // run polls until the context ends.
@@ -192,12 +192,12 @@
 func (a *syncPoller) poll(ctx context.Context, source string) {
 	a.lastNumber++
 	all := a.follower.isSource()
-	q := msg.SyncAsk{Number: a.lastNumber}
+	q := msg.SyncRequest{Number: a.lastNumber}
 	if a.follower.isHome() {
 		q.Hold = homeHold
 	}
 	a.follower.server.decide(func(_ time.Time, g *forward.Gate) {
-		q.List = g.Roster().Ask(a.neededGroups(g), all)
+		q.List = g.Roster().Request(a.neededGroups(g), all)
 		q.Cordons = g.Cordons().Version
 		if g.Table() != nil {
 			q.Config = g.Table().Version
@@ -220,7 +220,7 @@
 			if got.from != source || got.Number != q.Number {
 				continue // late reply to an earlier poll
 			}
-			a.apply(ctx, source, sentAt, got.SyncAnswer, all)
+			a.apply(ctx, source, sentAt, got.SyncResponse, all)
 			return
 		}
 	}
@@ -228,7 +228,7 @@
 
 // apply applies a source's reply; sentAt is the time at which the poll was sent, and all is set if
 // the poll requested the full list.
-func (a *syncPoller) apply(ctx context.Context, source string, sentAt time.Time, m msg.SyncAnswer, all bool) {
+func (a *syncPoller) apply(ctx context.Context, source string, sentAt time.Time, m msg.SyncResponse, all bool) {
 	f := a.follower
 	if !f.sourceAnswered(source, m.ConfigAge) {
 		// During an outage the state of every instance is old. Other instances may be polled,
@@ -259,7 +259,7 @@
 
 // applyList applies a list received from another instance, and drops the groups that are not
 // needed here unless all are needed.
-func (a *syncPoller) applyList(source string, share roster.Share, all bool) {
+func (a *syncPoller) applyList(source string, share roster.ListUpdate, all bool) {
 	f := a.follower
 	var before, after int64
 	f.changeRoster(source, func(now time.Time, g *forward.Gate) []*roster.Upstream {
--- a/internal/hosted/rows.go
+++ b/internal/hosted/rows.go
@@ -105,11 +105,11 @@
 		list = append(list, r.Heartbeat)
 	}
 	f.addMembers("store", list, (*fleet.Fleet).Learn)
-	ask := f.joinRequest()
+	req := f.joinRequest()
 	rand.Shuffle(len(list), func(a, b int) { list[a], list[b] = list[b], list[a] })
 	for _, b := range list[:min(len(list), maxIntroducers)] {
-		if b.Name != ask.Sender.Name {
-			f.send(b, ask)
+		if b.Name != req.Sender.Name {
+			f.send(b, req)
 		}
 	}
 }
@@ -149,7 +149,7 @@
 	}
 	var dead []fleet.Row
 	f.with(func(now time.Time, v *fleet.Fleet) {
-		dead = s.Look(now, rows, func(name string) bool { return name == v.Self().Name || v.Hears(now, name) })
+		dead = s.DeadRows(now, rows, func(name string) bool { return name == v.Self().Name || v.IsAlive(now, name) })
 	})
 	if len(dead) == 0 {
 		return nil
--- a/internal/hosted/server.go
+++ b/internal/hosted/server.go
@@ -67,7 +67,7 @@
 	}
 	defer body.release()
 	req.Replayable, req.Length = body.replayable(), r.ContentLength
-	req.Print ^= xxhash.Sum64(body.data)
+	req.Fingerprint ^= xxhash.Sum64(body.data)
 	s.handle(w, r, req, body)
 }
 
@@ -85,7 +85,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), call.Deadline.Sub(call.Arrived))
 	defer cancel()
-	x := &exchange{server: s, w: w, r: r, body: b, call: call, ctx: ctx, started: time.Now(), grants: make(chan msg.GrantAnswer, 4)}
+	x := &exchange{server: s, w: w, r: r, body: b, call: call, ctx: ctx, started: time.Now(), grants: make(chan msg.GrantResponse, 4)}
 	s.decide(func(now time.Time, g *forward.Gate) {
 		x.listAge = now.Sub(g.Roster().Confirmed())
 		s.metrics.Observe("belief_age_milliseconds", "list", x.listAge)
@@ -146,7 +146,7 @@
 		pairs = append(pairs, "route", c.Route.Name, "service", c.Service, "sends", c.Sends(), "may_have_run", c.MayHaveRun())
 	}
 	s.log.Info("request_ended", pairs...)
-	if err := s.wire.Refuse(w, req.ID, refusal); err != nil {
+	if err := s.wire.WriteRefusal(w, req.ID, refusal); err != nil {
 		s.log.Debug("refusal_not_delivered", "request", req.ID, "error", err)
 	}
 }
--- a/internal/hosted/silence.go
+++ b/internal/hosted/silence.go
@@ -24,7 +24,7 @@
 	due := map[string][]silentAttempt{}
 	s.decide(func(now time.Time, g *forward.Gate) {
 		for _, x := range s.running {
-			if x.activeMove == nil && g.QuestionDue(now, x.call) {
+			if x.activeMove == nil && g.QueryDue(now, x.call) {
 				a := x.call.Current()
 				due[a.Entry.Address] = append(due[a.Entry.Address], silentAttempt{exchange: x, attempt: a})
 			}
@@ -60,7 +60,7 @@
 	var forwarded int
 	s.decide(func(_ time.Time, g *forward.Gate) {
 		forwarded = r.exchange.call.Events
-		finding = g.Judge(r.exchange.call, r.attempt, sentAt, forward.RunReport{Listed: listed, Events: events, Waiting: report.Waiting})
+		finding = g.Diagnose(r.exchange.call, r.attempt, sentAt, forward.RunReport{Listed: listed, Events: events, Waiting: report.Waiting})
 	})
 	s.metrics.Count("silent_streams_total", string(finding))
 	s.log.Info("stream_silent", "request", r.exchange.call.ID, "upstream", r.attempt.Entry.ID, "finding", finding,
@@ -68,7 +68,7 @@
 	switch finding {
 	case forward.FindingLinkSilent:
 		r.exchange.resumeElsewhere(r.attempt)
-	case forward.FindingGone:
+	case forward.FindingLost:
 		r.exchange.closeConn(r.attempt)
 	}
 }
@@ -79,7 +79,7 @@
 func (x *exchange) resumeElsewhere(a *forward.Attempt) {
 	order := msg.MoveOrder{Pool: x.call.Pool, Attempt: x.call.ID, From: a.Entry.ID}
 	x.server.decide(func(now time.Time, g *forward.Gate) {
-		if u := g.Refuge(now, x.call); u != nil {
+		if u := g.MoveTarget(now, x.call); u != nil {
 			order.To, order.ToAddress = u.ID, u.Address
 		}
 	})
--- a/internal/hosted/source.go
+++ b/internal/hosted/source.go
@@ -27,7 +27,7 @@
 	}
 	source := f.watch.Source(now, f.sources.Choice)
 	if source != f.lastSource {
-		f.log.Info("source_changed", "from", sourceName(f.lastSource), "to", sourceName(source), "reads", f.sources.Reads, "relays", f.sources.Relays)
+		f.log.Info("source_changed", "from", sourceName(f.lastSource), "to", sourceName(source), "reads", f.sources.Reads, "relays", f.sources.IsSource)
 		f.lastSource = source
 	}
 	return source
@@ -37,7 +37,7 @@
 func (f *follower) isSource() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.sources.Relays
+	return f.sources.IsSource
 }
 
 // sourceName returns the name of a source in logs and metrics.
@@ -65,7 +65,7 @@
 func (f *follower) readsStore() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return !f.watch.Bad(boottime.Now(), watch.Store)
+	return !f.watch.Skipped(boottime.Now(), watch.Store)
 }
 
 // sourceAnswered records the age of the state that a source confirms and reports whether the
@@ -73,5 +73,5 @@
 func (f *follower) sourceAnswered(source string, age time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.watch.Answered(boottime.Now(), source, age, f.sources.Relayed)
+	return f.watch.OnResponse(boottime.Now(), source, age, f.sources.FromRelay)
 }
--- a/internal/peer/codec_test.go
+++ b/internal/peer/codec_test.go
@@ -57,7 +57,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	wrongBody, err := marshal(envelope{From: "entry-1", Kind: msg.KindGrantAsk, Body: []byte{0xc1}})
+	wrongBody, err := marshal(envelope{From: "entry-1", Kind: msg.KindGrantRequest, Body: []byte{0xc1}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,7 +83,7 @@
 			t.Errorf("%s: decoded %+v, error %v, want error %v (nil: any error)", c.name, m, err, c.want)
 		}
 	}
-	if _, err := Encode("entry-1", msg.ExplainAnswer{Lines: []string{string(make([]byte, maxFrame))}}); !errors.Is(err, ErrTooLarge) {
+	if _, err := Encode("entry-1", msg.ExplainResponse{Lines: []string{string(make([]byte, maxFrame))}}); !errors.Is(err, ErrTooLarge) {
 		t.Errorf("Encode of a message above the maximum size: error %v, want %v", err, ErrTooLarge)
 	}
 }
--- a/internal/peer/size_test.go
+++ b/internal/peer/size_test.go
@@ -17,9 +17,9 @@
 // sampleAttempt is an attempt id of realistic length.
 const sampleAttempt = "entry-123:0123abcd:100000/1"
 
-// sampleAsk returns a placement request with values of realistic length.
-func sampleAsk() placement.Ask {
-	return placement.Ask{
+// sampleRequest returns a placement request with values of realistic length.
+func sampleRequest() placement.Request {
+	return placement.Request{
 		Attempt: sampleAttempt, Org: "organisation-12345", Fingerprint: 1 << 60, Prompt: 512, MaxOutput: 1024,
 		Prefix: []uint64{1 << 60, 1 << 61, 1 << 62, 1 << 63, 1 << 60, 1 << 61, 1 << 62, 1 << 63}, MaxWait: 20 * time.Second, FirstTarget: 1800 * time.Millisecond,
 	}
@@ -49,8 +49,8 @@
 	msg      msg.Message
 	maxBytes int
 } {
-	running := msg.RunningAttempt{Ask: sampleAsk(), Upstream: "engine-123", Tokens: 128, Pace: 7120 * time.Microsecond}
-	running.Ask.Prefix = nil
+	running := msg.RunningAttempt{Request: sampleRequest(), Upstream: "engine-123", Tokens: 128, Pace: 7120 * time.Microsecond}
+	running.Request.Prefix = nil
 	limits := config.Limits{
 		Spend: 1 << 40, Period: "day", RequestsPerSecond: 50, TokensPerSecond: 20_000, MaxOutputTokens: 4096, Concurrent: 64,
 	}
@@ -59,47 +59,47 @@
 		msg      msg.Message
 		maxBytes int
 	}{
-		{"grant_ask", msg.GrantAsk{Pool: "assistant-12@dc-a", Ask: sampleAsk()}, 200},
-		{"grant_answer", msg.GrantAnswer{
+		{"grant_ask", msg.GrantRequest{Pool: "assistant-12@dc-a", Request: sampleRequest()}, 200},
+		{"grant_answer", msg.GrantResponse{
 			Pool: "assistant-12@dc-a", Address: "127.100.100.100:8000", TTL: time.Second,
 			Decision: placement.Decision{Attempt: sampleAttempt, Kind: placement.Granted, Upstream: "engine-123"},
 		}, 130},
 		{"grant_end", msg.GrantEnd{Pool: "assistant-12@dc-a", Attempt: sampleAttempt, Tokens: 250}, 80},
-		{"reserve_ask", msg.ReserveAsk{Ask: budget.Ask{
-			Request: sampleAttempt, Org: "organisation-12345", Limits: limits, Amount: 409_600, Tokens: 1024,
+		{"reserve_ask", msg.ReserveRequest{Request: budget.Request{
+			RequestID: sampleAttempt, Org: "organisation-12345", Limits: limits, Amount: 409_600, Tokens: 1024,
 		}}, 130},
-		{"reserve_answer", msg.ReserveAnswer{Answer: budget.Answer{Org: "organisation-12345", Request: sampleAttempt, Granted: true}}, 85},
+		{"reserve_answer", msg.ReserveResponse{Response: budget.Response{Org: "organisation-12345", RequestID: sampleAttempt, Granted: true}}, 85},
 		{"settle", msg.Settle{Org: "organisation-12345", Request: sampleAttempt, Used: 100_000, Tokens: 250}, 85},
 		{"strike", msg.Strike{Fingerprint: 1 << 60, Upstream: "engine-123"}, 50},
-		{"config_told", msg.ConfigTold{Number: 100_000, Hash: fmt.Sprintf("%064x", 1)}, 100},
+		{"config_told", msg.ConfigVersion{Number: 100_000, Hash: fmt.Sprintf("%064x", 1)}, 100},
 		{"announce_empty", msg.Announce{Pool: "assistant-12@dc-a"}, 50},
 		{"announce_one", msg.Announce{Pool: "assistant-12@dc-a", Running: []msg.RunningAttempt{running}}, 150},
-		{"strikes_ask", msg.StrikesAsk{}, 20},
+		{"strikes_ask", msg.StrikesRequest{}, 20},
 		{"strikes", msg.Strikes{List: []msg.Strike{{Fingerprint: 1 << 60, Upstream: "engine-123", Boot: "0123456789abcdef"}}}, 70},
 		{"adopted", msg.Adopted{Request: sampleAttempt, Attempt: sampleAttempt}, 80},
-		{"follow_ask", msg.FollowAsk{Pool: "assistant-12@dc-a", Attempts: []string{sampleAttempt}}, 70},
-		{"follow_answer", msg.FollowAnswer{Pool: "assistant-12@dc-a", Attempts: []string{sampleAttempt}, Following: []string{sampleAttempt}}, 110},
-		{"config_ask", msg.ConfigAsk{}, 40},
-		{"config_object_ask", msg.ConfigObjectAsk{Hash: fmt.Sprintf("%064x", 1)}, 90},
+		{"follow_ask", msg.FollowRequest{Pool: "assistant-12@dc-a", Attempts: []string{sampleAttempt}}, 70},
+		{"follow_answer", msg.FollowResponse{Pool: "assistant-12@dc-a", Attempts: []string{sampleAttempt}, Following: []string{sampleAttempt}}, 110},
+		{"config_ask", msg.ConfigRequest{}, 40},
+		{"config_object_ask", msg.ConfigObjectRequest{Hash: fmt.Sprintf("%064x", 1)}, 90},
 		{"config_object_part", msg.ConfigObjectPart{Hash: fmt.Sprintf("%064x", 1), Data: []byte("part")}, 110},
 		{"leaving", msg.Leaving{}, 20},
-		{"explain_ask", msg.ExplainAsk{ID: 1, Request: sampleAttempt}, 60},
+		{"explain_ask", msg.ExplainRequest{ID: 1, Request: sampleAttempt}, 60},
 		{"heartbeat", sampleHeartbeat(), 90},
-		{"join_ask", msg.JoinAsk{Sender: sampleHeartbeat(), Known: 1 << 63}, 110},
-		{"join_answer", msg.JoinAnswer{Settled: true, Instances: slices.Repeat([]msg.Heartbeat{sampleHeartbeat()}, 390)}, 35_000},
+		{"join_ask", msg.JoinRequest{Sender: sampleHeartbeat(), Digest: 1 << 63}, 110},
+		{"join_answer", msg.JoinResponse{Eligible: true, Instances: slices.Repeat([]msg.Heartbeat{sampleHeartbeat()}, 390)}, 35_000},
 		{"presences", msg.Presences{List: slices.Repeat([]msg.Presence{{
 			Source: "entry-123", DataCentre: "dc-a", Digest: 1 << 63, Age: time.Second,
 		}}, 8)}, 400},
 		{"presences_whole", msg.Presences{List: []msg.Presence{{
 			Source: "entry-123", DataCentre: "dc-a", Digest: 1 << 63, Members: slices.Repeat([]msg.Heartbeat{sampleHeartbeat()}, 78),
 		}}}, 7_000},
-		{"presence_ask", msg.PresenceAsk{Sources: []string{"entry-123"}}, 40},
-		{"sync_ask", msg.SyncAsk{Number: 100_000, Config: 100_000, List: roster.Question{Version: 100_000}}, 40},
-		{"sync_answer_empty", msg.SyncAnswer{Number: 100_000, ConfigAge: time.Second}, 40},
-		{"sync_answer", msg.SyncAnswer{
+		{"presence_ask", msg.PresenceRequest{Sources: []string{"entry-123"}}, 40},
+		{"sync_ask", msg.SyncRequest{Number: 100_000, Config: 100_000, List: roster.ListRequest{Version: 100_000}}, 40},
+		{"sync_answer_empty", msg.SyncResponse{Number: 100_000, ConfigAge: time.Second}, 40},
+		{"sync_answer", msg.SyncResponse{
 			Number: 100_000, ConfigAge: time.Second, Config: packConfig(&route.Config{Version: 7}),
-			List: &roster.Share{Version: 100_000, Groups: []roster.GroupCopy{{
-				Group: roster.Whole("assistant-12"),
+			List: &roster.ListUpdate{Version: 100_000, Groups: []roster.GroupCopy{{
+				Group: roster.Undivided("assistant-12"),
 				List: []roster.Change{{ID: "engine-123", Version: 100_000, Valid: true, Entry: roster.Entry{
 					ID: "engine-123", Service: "assistant-12", Address: "127.100.100.100:8000", DataCentre: "dc-a", Slots: 64,
 				}}},
@@ -108,10 +108,10 @@
 		{"move_order", msg.MoveOrder{
 			Pool: "assistant-12", Attempt: sampleAttempt, Number: 100_000, From: "engine-123", To: "engine-124", ToAddress: "127.100.100.100:8000",
 		}, 120},
-		{"moved", msg.Moved{Pool: "assistant-12", Attempt: sampleAttempt, Number: 100_000, Outcome: msg.MoveDone}, 80},
-		{"failing", msg.Failing{Upstream: "engine-123", Born: 1_790_000_000_000}, 50},
-		{"begun", msg.Begun{Pool: "assistant-12@dc-a", Attempt: sampleAttempt}, 80},
-		{"explain_answer", msg.ExplainAnswer{ID: 1, Lines: []string{"time=2026-01-01T00:00:00Z request=entry-1:0:1 step=finish"}}, 90},
+		{"moved", msg.MoveResult{Pool: "assistant-12", Attempt: sampleAttempt, Number: 100_000, Outcome: msg.MoveDone}, 80},
+		{"failing", msg.UpstreamFailing{Upstream: "engine-123", Born: 1_790_000_000_000}, 50},
+		{"begun", msg.FirstToken{Pool: "assistant-12@dc-a", Attempt: sampleAttempt}, 80},
+		{"explain_answer", msg.ExplainResponse{ID: 1, Lines: []string{"time=2026-01-01T00:00:00Z request=entry-1:0:1 step=finish"}}, 90},
 	}
 }
 
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -39,15 +39,15 @@
 	listeners []net.Listener
 	handle    Handler
 	log       hclog.Logger
-	// Dropped is called with the number of frames lost when a connection fails. It must be set
+	// OnDropped is called with the number of frames lost when a connection fails. It must be set
 	// before the first Send.
-	Dropped func(to string, frames int)
-	// Sent is called with the size in bytes of each frame that is to be queued. It must be set
+	OnDropped func(to string, frames int)
+	// OnQueued is called with the size in bytes of each frame that is to be queued. It must be set
 	// before the first Send.
-	Sent func(to string, kind msg.Kind, bytes int)
-	// Ended is called when a connection from another instance has ended, with the name of that
-	// instance. It must be set before Serve.
-	Ended func(from string)
+	OnQueued func(to string, kind msg.Kind, bytes int)
+	// OnConnectionEnded is called when a connection from another instance has ended, with the name
+	// of that instance. It must be set before Serve.
+	OnConnectionEnded func(from string)
 
 	mu    sync.Mutex
 	links map[string]*link
@@ -66,7 +66,7 @@
 func Listen(address, self string, handle Handler, log hclog.Logger) (*Transport, error) {
 	t := &Transport{
 		self: self, handle: handle, log: log, links: map[string]*link{},
-		Dropped: func(string, int) {}, Sent: func(string, msg.Kind, int) {}, Ended: func(string) {},
+		OnDropped: func(string, int) {}, OnQueued: func(string, msg.Kind, int) {}, OnConnectionEnded: func(string) {},
 	}
 	return t, t.ListenAlso(address)
 }
@@ -139,7 +139,7 @@
 		if err != nil {
 			t.logEnd(conn, err)
 			if ctx.Err() == nil && sender != "" {
-				t.Ended(sender)
+				t.OnConnectionEnded(sender)
 			}
 			return
 		}
@@ -164,7 +164,7 @@
 	if err != nil {
 		return fmt.Errorf("send to %s: %w", to, err)
 	}
-	t.Sent(to, m.Kind(), len(frame))
+	t.OnQueued(to, m.Kind(), len(frame))
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !t.link(to, address).queue.push(frame) {
@@ -245,7 +245,7 @@
 			queued := len(l.queue.take())
 			l.queue.done(queued)
 			lost += queued
-			t.Dropped(l.to, lost)
+			t.OnDropped(l.to, lost)
 			t.log.Debug("peer_link_broke", "step", "send", "peer", l.to, "address", l.address, "lost", lost, "error", err)
 		}
 	}
--- a/internal/peer/transport_test.go
+++ b/internal/peer/transport_test.go
@@ -112,7 +112,7 @@
 	}
 	defer paused.Close()
 	a, b := newTestTransport(t, "a"), newTestTransport(t, "b")
-	big := msg.ExplainAnswer{Lines: []string{string(make([]byte, 64<<10))}}
+	big := msg.ExplainResponse{Lines: []string{string(make([]byte, 64<<10))}}
 	dropped := 0
 	for range 4 * maxQueueBytes / (64 << 10) {
 		if a.Send("paused", paused.Addr().String(), big) != nil {
@@ -138,7 +138,7 @@
 	}
 	closed.Close()
 	var lost atomic.Int64
-	a.Dropped = func(_ string, n int) { lost.Add(int64(n)) }
+	a.OnDropped = func(_ string, n int) { lost.Add(int64(n)) }
 	if err := a.Send("b", closed.Addr().String(), msg.Settle{Tokens: 1}); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/prooftest/bookings/bookings_test.go
+++ b/internal/prooftest/bookings/bookings_test.go
@@ -238,10 +238,10 @@
 	srv := httptest.NewServer(desk.Handler())
 	defer srv.Close()
 	events := make(chan core.Event, 1)
-	caller := upstream.NewCaller(func(e core.Event) { events <- e })
+	caller := upstream.NewClient(func(e core.Event) { events <- e })
 	caller.Run(context.Background(), core.Dispatch{
 		Request: "r", Attempt: "r/1", Address: srv.Listener.Addr().String(), Method: http.MethodPost, Path: "/refills",
-		Before: time.Now().Add(-time.Millisecond), Timeout: within,
+		SendBefore: time.Now().Add(-time.Millisecond), Timeout: within,
 	})
 	if e, ok := (<-events).(core.UpstreamFailed); !ok || e.Sent {
 		t.Errorf("event = %+v, want a failure that was not sent", e)
--- a/internal/prooftest/config/config_test.go
+++ b/internal/prooftest/config/config_test.go
@@ -99,7 +99,7 @@
 func applyAt(f *demo.Fleet, n int, req apply.Request) (core.ConfigPointer, error) {
 	ctx := context.Background()
 	if n%2 == 0 {
-		return apply.Through(ctx, f.Instances[n/2].OperatorAddress(), req)
+		return apply.ApplyThrough(ctx, f.Instances[n/2].OperatorAddress(), req)
 	}
 	srv, err := standin.Start("127.0.0.1:0", f.Platform)
 	if err != nil {
@@ -177,7 +177,7 @@
 		go func() { answers <- reasonOf(t, frozen.CallerAddress(), demo.APIKey) }()
 	}
 	req := apply.Request{Files: files("another-key"), Operator: "o", ApplyID: "a", Base: 1}
-	if _, err := apply.Through(context.Background(), f.Instances[1].OperatorAddress(), req); err != nil {
+	if _, err := apply.ApplyThrough(context.Background(), f.Instances[1].OperatorAddress(), req); err != nil {
 		t.Fatal(err)
 	}
 	<-thawed
@@ -210,7 +210,7 @@
 	}
 	f.Platform.SetFaults(platform.Faults{})
 	req := apply.Request{Files: files("another-key"), Operator: "o", ApplyID: "a", Base: 1}
-	if _, err := apply.Through(context.Background(), f.Instances[3].OperatorAddress(), req); err != nil {
+	if _, err := apply.ApplyThrough(context.Background(), f.Instances[3].OperatorAddress(), req); err != nil {
 		t.Fatal(err)
 	}
 	waitInForce(t, f, 2)
@@ -222,7 +222,7 @@
 	t.Parallel()
 	f := startFleet(t)
 	req := apply.Request{Files: files("another-key"), Operator: "o", ApplyID: "a", Base: 1}
-	if _, err := apply.Through(context.Background(), f.Instances[2].OperatorAddress(), req); err != nil {
+	if _, err := apply.ApplyThrough(context.Background(), f.Instances[2].OperatorAddress(), req); err != nil {
 		t.Fatal(err)
 	}
 	f.Platform.SetFaults(platform.Faults{Down: true})
--- a/internal/prooftest/config/cordon_test.go
+++ b/internal/prooftest/config/cordon_test.go
@@ -57,7 +57,7 @@
 	}
 	t.Cleanup(f.Stop)
 	operator := f.Instances[0].OperatorAddress()
-	if _, err := apply.Through(t.Context(), operator, apply.Request{Files: inTwoPlaces("kerala-south: [kochi-a]", "kerala-south: [kochi-a, split-b]"), ApplyID: "two", Base: -1}); err != nil {
+	if _, err := apply.ApplyThrough(t.Context(), operator, apply.Request{Files: inTwoPlaces("kerala-south: [kochi-a]", "kerala-south: [kochi-a, split-b]"), ApplyID: "two", Base: -1}); err != nil {
 		t.Fatal(err)
 	}
 	waitInForce(t, f, 2)
@@ -102,7 +102,7 @@
 	operator := f.Instances[0].OperatorAddress()
 	confined := inTwoPlaces("kerala-south: [kochi-a]", "kerala-south: [kochi-a]\n    dalmatia: [split-b]",
 		"    services: [assistant, order-desk]\n", "    services: [assistant]\n    allowed_regions: [dalmatia]\n")
-	if _, err := apply.Through(t.Context(), operator, apply.Request{Files: confined, ApplyID: "confined", Base: -1}); err != nil {
+	if _, err := apply.ApplyThrough(t.Context(), operator, apply.Request{Files: confined, ApplyID: "confined", Base: -1}); err != nil {
 		t.Fatal(err)
 	}
 	waitInForce(t, f, 2)
--- a/internal/prooftest/members/follow_test.go
+++ b/internal/prooftest/members/follow_test.go
@@ -151,7 +151,7 @@
 	w.accept()
 	w.run(2 * time.Second)
 	f := w.followers[0]
-	w.handle(f, core.PeerMessage{From: "b0", Msg: msg.ConfigTold{Number: old.Number, Hash: old.Hash}})
+	w.handle(f, core.PeerMessage{From: "b0", Msg: msg.ConfigVersion{Number: old.Number, Hash: old.Hash}})
 	w.handle(f, core.ObjectResult{Hash: old.Hash, OK: true, Data: w.objects[old.Hash]})
 	if w.run(time.Second); f.inst.ConfigNumber() != w.pointer.Number || w.broken != "" {
 		t.Errorf("version = %d, want %d; %s", f.inst.ConfigNumber(), w.pointer.Number, w.broken)
--- a/internal/prooftest/members/leave_test.go
+++ b/internal/prooftest/members/leave_test.go
@@ -43,16 +43,16 @@
 }
 
 // firstAsk returns the entry's first ask for a grant, if it has sent one.
-func (f *fleet) firstAsk(entry *leaveNode) (home string, ask msg.GrantAsk) {
+func (f *fleet) firstAsk(entry *leaveNode) (home string, ask msg.GrantRequest) {
 	a := f.asks[entry.name]
-	ask, _ = a.Msg.(msg.GrantAsk)
+	ask, _ = a.Msg.(msg.GrantRequest)
 	return a.To, ask
 }
 
 // grantAsk asks i0, as the home of the engines, on behalf of i1.
 func (f *fleet) grantAsk(attempt string, number int) {
-	ask := placement.Ask{Attempt: attempt, Org: "o", Prompt: 10, MaxOutput: 100, MaxWait: time.Minute}
-	f.handle(f.nodes[0], core.PeerMessage{From: "i1", Msg: msg.GrantAsk{Pool: "chat@r", Ask: ask, Number: number}})
+	ask := placement.Request{Attempt: attempt, Org: "o", Prompt: 10, MaxOutput: 100, MaxWait: time.Minute}
+	f.handle(f.nodes[0], core.PeerMessage{From: "i1", Msg: msg.GrantRequest{Pool: "chat@r", Request: ask, Number: number}})
 }
 
 // warm wakes the home up with an ask that soon ends, so that it polls.
@@ -103,7 +103,7 @@
 	f.handle(f.nodes[0], core.PeerMessage{From: "i1", Msg: msg.GrantEnd{Pool: "chat@r", Attempt: "i1:1:0/1"}})
 	for _, name := range []string{"e1", "e2"} {
 		r := placement.Report{Upstream: name, Boot: "1", Capacity: 100_000, MaxBatch: 2}
-		f.handle(f.nodes[0], core.UpstreamReport{Report: r, Asked: asked})
+		f.handle(f.nodes[0], core.UpstreamReport{Report: r, PolledAt: asked})
 	}
 	if len(f.granted) != 4 {
 		t.Errorf("granted %s by a report of five seconds ago", f.granted[4].Decision.Upstream)
@@ -154,9 +154,9 @@
 	if home == "" {
 		return 0, false
 	}
-	answer := msg.GrantAnswer{
+	answer := msg.GrantResponse{
 		Pool: ask.Pool, Address: "e1", TTL: time.Second, Number: ask.Number,
-		Decision: placement.Decision{Attempt: ask.Ask.Attempt, Kind: placement.Queued, Upstream: "e1"},
+		Decision: placement.Decision{Attempt: ask.Request.Attempt, Kind: placement.Queued, Upstream: "e1"},
 	}
 	for began := f.now; f.now.Sub(began) < heldUp; {
 		f.handle(n, core.PeerMessage{From: home, Msg: answer})
--- a/internal/prooftest/members/leavefleet.go
+++ b/internal/prooftest/members/leavefleet.go
@@ -62,7 +62,7 @@
 	sent int
 	late string
 	// granted holds the answers that granted, in the order in which they were sent.
-	granted []msg.GrantAnswer
+	granted []msg.GrantResponse
 	// asks holds the first ask of each entry and the home that it went to.
 	asks map[string]core.Send
 }
@@ -210,14 +210,14 @@
 }
 
 func (f *fleet) send(from *leaveNode, a core.Send) {
-	if m, ok := a.Msg.(msg.GrantAnswer); ok && m.Decision.Kind == placement.Granted {
+	if m, ok := a.Msg.(msg.GrantResponse); ok && m.Decision.Kind == placement.Granted {
 		f.granted = append(f.granted, m)
 	}
 	delay := linkTime
 	if f.now.Before(f.slow) { // a link that stalls and delivers later
 		delay = 4 * time.Second
 	}
-	if _, ok := a.Msg.(msg.GrantAsk); ok && f.asks[from.name].To == "" {
+	if _, ok := a.Msg.(msg.GrantRequest); ok && f.asks[from.name].To == "" {
 		f.asks[from.name] = a
 	}
 	for _, to := range f.nodes {
@@ -244,17 +244,17 @@
 func (f *fleet) poll(a core.Poll, reply func(time.Duration, core.Event)) {
 	w := f.worker(a.Upstream)
 	if f.now.Before(w.mute) {
-		reply(pollTimeout, core.UpstreamSilent{Upstream: a.Upstream})
+		reply(pollTimeout, core.PollFailed{Upstream: a.Upstream})
 		return
 	}
 	r := placement.Report{Upstream: a.Upstream, Boot: "1", Leaving: !w.left.IsZero(), Capacity: 100_000, MaxBatch: 2}
-	reply(2*linkTime, core.UpstreamReport{Report: r, Asked: f.now})
+	reply(2*linkTime, core.UpstreamReport{Report: r, PolledAt: f.now})
 }
 
 // dispatch sends as package upstream does: not after the grant has lapsed.
 func (f *fleet) dispatch(n *leaveNode, a core.Dispatch, reply func(time.Duration, core.Event)) {
-	failed := core.UpstreamFailed{Request: a.Request, Attempt: a.Attempt, Step: "request", Gone: a.Resume}
-	if f.now.After(a.Before) && !a.Before.IsZero() || a.Resume {
+	failed := core.UpstreamFailed{Request: a.Request, Attempt: a.Attempt, Step: "request", NotFound: a.Resume}
+	if f.now.After(a.SendBefore) && !a.SendBefore.IsZero() || a.Resume {
 		reply(0, failed)
 		return
 	}
@@ -271,7 +271,7 @@
 	case a.Engine:
 		reply(runsFor, core.UpstreamEnd{Request: a.Request, Attempt: a.Attempt, Reason: "stop"})
 	default:
-		reply(runsFor, core.UpstreamAnswer{Request: a.Request, Attempt: a.Attempt, Status: 200})
+		reply(runsFor, core.UpstreamResponse{Request: a.Request, Attempt: a.Attempt, Status: 200})
 	}
 }
 
--- a/internal/prooftest/orders/orders_test.go
+++ b/internal/prooftest/orders/orders_test.go
@@ -29,7 +29,7 @@
 	}
 	defer srv.Close()
 	var events []core.Event
-	caller := upstream.NewCaller(func(ev core.Event) { events = append(events, ev) })
+	caller := upstream.NewClient(func(ev core.Event) { events = append(events, ev) })
 	o.Upstream, o.Address, o.Timeout = "engine-1", srv.Address(), time.Second
 	caller.Order(context.Background(), o)
 	return events
@@ -41,7 +41,7 @@
 // fencing numbers, never sees the old order.
 func TestOrderSenderWakesLate(t *testing.T) {
 	e := engine.New(engine.Settings{Name: "engine-1"})
-	events := callOrder(t, e, core.SendOrder{Fence: 1, Version: "v1", Before: time.Now().Add(-time.Millisecond)})
+	events := callOrder(t, e, core.SendOrder{Fence: 1, Version: "v1", SendBefore: time.Now().Add(-time.Millisecond)})
 	if got := e.Orders(); len(got) != 0 {
 		t.Errorf("engine took %+v, want nothing after the lease", got)
 	}
@@ -57,8 +57,8 @@
 	if !e.TakeOrder(engine.Order{Fence: 5, Kind: "version", Value: "v5"}) {
 		t.Fatal("engine refused its first order")
 	}
-	events := callOrder(t, e, core.SendOrder{Fence: 4, Version: "v4", Before: time.Now().Add(time.Second)})
-	if len(events) != 1 || events[0] != (core.OrderAnswer{Upstream: "engine-1", Fence: 4, Refused: true}) {
+	events := callOrder(t, e, core.SendOrder{Fence: 4, Version: "v4", SendBefore: time.Now().Add(time.Second)})
+	if len(events) != 1 || events[0] != (core.OrderResult{Upstream: "engine-1", Fence: 4, Refused: true}) {
 		t.Errorf("events = %+v, want one refusal of fence 4", events)
 	}
 	if got := e.Orders(); len(got) != 1 {
--- a/internal/prooftest/streams/callers.go
+++ b/internal/prooftest/streams/callers.go
@@ -61,7 +61,7 @@
 	old, entry := c.request, c.entry
 	c.request, c.resumeAt = "", w.now.Add(200*time.Millisecond)
 	if told {
-		w.handle(entry, core.CallerGone{ID: old})
+		w.handle(entry, core.CallerDisconnected{ID: old})
 	}
 }
 
--- a/internal/prooftest/streams/engine.go
+++ b/internal/prooftest/streams/engine.go
@@ -32,11 +32,11 @@
 func (w *world) report(to, name string, asked time.Time) {
 	e := w.engines[name]
 	if w.now.Before(e.down) {
-		w.handle(to, core.UpstreamSilent{Upstream: name, Refused: true})
+		w.handle(to, core.PollFailed{Upstream: name, Refused: true})
 		return
 	}
 	if e.frozen {
-		w.handle(to, core.UpstreamSilent{Upstream: name})
+		w.handle(to, core.PollFailed{Upstream: name})
 		return
 	}
 	r := placement.Report{Upstream: name, Boot: e.run(), Capacity: 10_000, MaxBatch: 16}
@@ -45,7 +45,7 @@
 			r.Gens = append(r.Gens, placement.GenLoad{Attempt: id})
 		}
 	}
-	w.handle(to, core.UpstreamReport{Report: r, Asked: asked})
+	w.handle(to, core.UpstreamReport{Report: r, PolledAt: asked})
 }
 
 func (e *fakeEngine) run() string { return fmt.Sprintf("run-%d", e.boot) }
@@ -62,7 +62,7 @@
 	l := &link{channel: fmt.Sprintf("link %s %s %d", name, d.Attempt, d.Link), instance: name, d: d}
 	fail := func(sent, gone bool) {
 		w.later(l.channel, func() {
-			w.handle(name, core.UpstreamFailed{Request: d.Request, Attempt: d.Attempt, Link: d.Link, Sent: sent, Gone: gone, Step: "fake"})
+			w.handle(name, core.UpstreamFailed{Request: d.Request, Attempt: d.Attempt, Link: d.Link, Sent: sent, NotFound: gone, Step: "fake"})
 		})
 	}
 	if w.now.Before(e.down) {
--- a/internal/prooftest/streams/follow_test.go
+++ b/internal/prooftest/streams/follow_test.go
@@ -27,7 +27,7 @@
 func (w *world) leave(c *caller) {
 	old := c.request
 	c.request, c.ended = "", true
-	w.handle(c.entry, core.CallerGone{ID: old})
+	w.handle(c.entry, core.CallerDisconnected{ID: old})
 }
 
 func (w *world) requests() int {
@@ -110,7 +110,7 @@
 		"announcements lost": func(m msg.Message) bool { _, is := m.(msg.Announce); return is },
 		"answers lost too": func(m msg.Message) bool {
 			_, announce := m.(msg.Announce)
-			_, answer := m.(msg.FollowAnswer)
+			_, answer := m.(msg.FollowResponse)
 			return announce || answer
 		},
 	} {
@@ -180,7 +180,7 @@
 	}
 	e.down = w.now.Add(time.Hour)
 	w.settleAll()
-	if c.outcome != core.Unknown || c.reason == core.ReasonUpstreamCut {
+	if c.outcome != core.Unknown || c.reason == core.ReasonUpstreamFailed {
 		t.Errorf("outcome %s %s, want unknown after a refused placement", c.outcome, c.reason)
 	}
 }
--- a/internal/prooftest/streams/retry_test.go
+++ b/internal/prooftest/streams/retry_test.go
@@ -36,7 +36,7 @@
 				}
 			}
 			attempts := w.counts["attempts_total"] - before
-			bound := requests + 2*retry.Saved + int(retry.Earned*float64(done))
+			bound := requests + 2*retry.MaxRetries + int(retry.RetriesPerSuccess*float64(done))
 			t.Logf("requests=%d done=%d attempts=%d amplification=%.3f bound=%.3f",
 				requests, done, attempts, float64(attempts)/requests, float64(bound)/requests)
 			if attempts > bound {
--- a/internal/server/operators.go
+++ b/internal/server/operators.go
@@ -67,7 +67,7 @@
 func (s *operators) apply(w http.ResponseWriter, r *http.Request) {
 	var req apply.Request
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxConfigBody)).Decode(&req); err != nil {
-		writeJSON(w, http.StatusBadRequest, apply.Answer{Failed: "nothing was applied: decode request: " + err.Error()})
+		writeJSON(w, http.StatusBadRequest, apply.Result{Failed: "nothing was applied: decode request: " + err.Error()})
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), applyTimeout)
@@ -76,7 +76,7 @@
 	if err == nil {
 		s.applyLocally(p, req.Files)
 	}
-	status, response := apply.AnswerOf(p, err)
+	status, response := apply.ResultOf(p, err)
 	writeJSON(w, status, response)
 }
 
@@ -98,7 +98,7 @@
 func (s *operators) cordon(w http.ResponseWriter, r *http.Request) {
 	var req apply.CordonRequest
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxCordonBody)).Decode(&req); err != nil {
-		writeJSON(w, http.StatusBadRequest, apply.Answer{Failed: "nothing was changed: decode request: " + err.Error()})
+		writeJSON(w, http.StatusBadRequest, apply.Result{Failed: "nothing was changed: decode request: " + err.Error()})
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), applyTimeout)
@@ -107,7 +107,7 @@
 	if err == nil {
 		s.d.ConfigApplied(p, nil)
 	}
-	status, response := apply.AnswerOf(p, err)
+	status, response := apply.ResultOf(p, err)
 	writeJSON(w, status, response)
 }
 
--- a/internal/server/stream.go
+++ b/internal/server/stream.go
@@ -40,7 +40,7 @@
 			continue
 		}
 		tokens, finish := sink.Take()
-		if sink.Over() {
+		if sink.Overflowed() {
 			return // cut off: the caller may resume after the last event that it read
 		}
 		for _, t := range tokens {
--- a/internal/trial/cold.go
+++ b/internal/trial/cold.go
@@ -117,7 +117,7 @@
 	for k := range c.Upstreams {
 		e := roster.Entry{ID: fmt.Sprintf("upstream-%02d", k), Service: coldService, Address: fmt.Sprint(k), DataCentre: c.dataCentre(k), Slots: 6}
 		if k < c.Cold {
-			e.Cold = c.ColdFor
+			e.ColdRemaining = c.ColdFor
 		}
 		list = append(list, roster.Change{ID: e.ID, Version: int64(k + 1), Valid: true, Entry: e})
 	}
--- a/internal/trial/homes.go
+++ b/internal/trial/homes.go
@@ -34,8 +34,8 @@
 
 func (h *homes) now() time.Time { return time.Unix(0, int64(h.run.now)) }
 
-func (h *homes) ask(q *Request, id string) placement.Ask {
-	return placement.Ask{
+func (h *homes) ask(q *Request, id string) placement.Request {
+	return placement.Request{
 		Attempt: id, Org: q.Org, Fingerprint: q.Fingerprint, Prompt: q.Prompt, MaxOutput: q.MaxOutput,
 		Prefix: q.Prefix, MaxWait: h.run.work.MaxWait,
 	}
@@ -45,7 +45,7 @@
 func (h *homes) Arrive(q *Request) {
 	id := q.nextAttempt()
 	h.waiting[id] = q
-	h.run.after(hop, func() { h.act(h.home.Ask(h.now(), h.ask(q, id))) })
+	h.run.after(hop, func() { h.act(h.home.Place(h.now(), h.ask(q, id))) })
 }
 
 // Report implements Policy.
@@ -73,7 +73,7 @@
 	for _, id := range slices.Sorted(maps.Keys(h.run.live)) {
 		g := h.run.live[id]
 		if which(g.req) && !h.run.engines[g.engine].dead {
-			h.home.Running(h.now(), h.ask(g.req, id), h.run.engines[g.engine].name, placement.Sighting{Tokens: g.tokens})
+			h.home.RecordRunning(h.now(), h.ask(g.req, id), h.run.engines[g.engine].name, placement.Progress{Tokens: g.tokens})
 		}
 	}
 }
