--- a/internal/trial/poolhome.go
+++ b/internal/trial/poolhome.go
@@ -51,7 +51,7 @@
 	p.waiting = map[string]*Request{}
 	p.home = pool.NewHome(poolName, route.Engine{
 		Slots: spec.MaxBatch, MemoryToken: spec.Capacity,
-		TokenBytes: l.TokenBytes, LinkMbps: l.Mbps, Moves: true, EventTokens: 1, CopyLife: copyLife,
+		TokenBytes: l.TokenBytes, LinkMbps: l.Mbps, Moves: true, EventTokens: 1, CopyTTL: copyLife,
 	}, p.without, p.ways)
 }
 
@@ -118,13 +118,13 @@
 	id := q.nextAttempt()
 	p.waiting[id] = q
 	p.run.after(hop, func() {
-		p.home.Ask(p.now(), p.entry(q), msg.GrantAsk{Pool: poolName, Ask: p.ask(q, id)})
+		p.home.Place(p.now(), p.entry(q), msg.GrantRequest{Pool: poolName, Request: p.ask(q, id)})
 		p.act()
 	})
 }
 
-func (p *poolHome) ask(q *Request, id string) placement.Ask {
-	return placement.Ask{
+func (p *poolHome) ask(q *Request, id string) placement.Request {
+	return placement.Request{
 		Attempt: id, Org: q.Account, Prompt: q.Prompt, MaxOutput: q.MaxOutput, Expected: q.Expected, MaxWait: p.run.work.MaxWait, FirstTarget: q.FirstTarget,
 	}
 }
@@ -144,7 +144,7 @@
 // Began implements beginner.
 func (p *poolHome) Began(g *generation) {
 	p.run.after(hop, func() {
-		p.home.Begun(p.now(), msg.Begun{Pool: poolName, Attempt: g.id})
+		p.home.OnFirstToken(p.now(), msg.FirstToken{Pool: poolName, Attempt: g.id})
 		p.act()
 	})
 }
@@ -171,7 +171,7 @@
 		p.announced[entry] = p.run.now
 		m := msg.Announce{Pool: poolName}
 		for _, g := range list {
-			m.Running = append(m.Running, msg.RunningAttempt{Ask: p.ask(g.req, g.id), Upstream: p.run.engines[g.engine].name, Tokens: g.tokens, Pace: g.pace()})
+			m.Running = append(m.Running, msg.RunningAttempt{Request: p.ask(g.req, g.id), Upstream: p.run.engines[g.engine].name, Tokens: g.tokens, Pace: g.pace()})
 		}
 		from := p.entry(list[0].req)
 		p.run.after(hop, func() { p.home.Announce(p.now(), from, m) })
@@ -180,14 +180,14 @@
 
 // act carries the home's messages to the entries.
 func (p *poolHome) act() {
-	for _, o := range p.home.Take() {
+	for _, o := range p.home.TakeMessages() {
 		p.run.after(hop, func() { p.deliver(o.Msg) })
 	}
 }
 
 func (p *poolHome) deliver(m msg.Message) {
 	switch m := m.(type) {
-	case msg.GrantAnswer:
+	case msg.GrantResponse:
 		p.answer(m.Decision)
 	case msg.MoveOrder:
 		p.move(m)
@@ -211,7 +211,7 @@
 func (p *poolHome) move(m msg.MoveOrder) {
 	reply := func(o msg.MoveOutcome) {
 		p.run.after(hop, func() {
-			p.home.Moved(p.now(), msg.Moved{Pool: poolName, Attempt: m.Attempt, Number: m.Number, Outcome: o})
+			p.home.OnMoveResult(p.now(), msg.MoveResult{Pool: poolName, Attempt: m.Attempt, Number: m.Number, Outcome: o})
 			p.act()
 		})
 	}
--- a/internal/upstream/bench_test.go
+++ b/internal/upstream/bench_test.go
@@ -29,7 +29,7 @@
 			}))
 			defer srv.Close()
 			reports := 0
-			c := NewCaller(func(ev core.Event) {
+			c := NewClient(func(ev core.Event) {
 				if _, ok := ev.(core.UpstreamReport); ok {
 					reports++
 				}
--- a/internal/upstream/lapse_test.go
+++ b/internal/upstream/lapse_test.go
@@ -21,10 +21,10 @@
 	defer srv.Close()
 	for _, engine := range []bool{true, false} {
 		events := make(chan core.Event, 10)
-		c := NewCaller(func(ev core.Event) { events <- ev })
+		c := NewClient(func(ev core.Event) { events <- ev })
 		c.Run(context.Background(), core.Dispatch{
 			Attempt: "a", Address: srv.Listener.Addr().String(), Engine: engine, Method: http.MethodPost, Path: "/v1/completions",
-			Body: []byte(`{"model":"m","prompt":"p"}`), Before: time.Now().Add(-time.Millisecond), Timeout: time.Second,
+			Body: []byte(`{"model":"m","prompt":"p"}`), SendBefore: time.Now().Add(-time.Millisecond), Timeout: time.Second,
 		})
 		ev := <-events
 		testkit.Eventually(t, time.Minute, "the caller has no call in progress", func() bool { return c.Running() == 0 })
--- a/internal/upstream/order.go
+++ b/internal/upstream/order.go
@@ -24,17 +24,17 @@
 // Order sends an order and reports whether the upstream refused its fencing number. Any other
 // failure is not reported here: it shows in the upstream's load reports, which the home compares
 // with the version that it ordered.
-func (c *Caller) Order(ctx context.Context, o core.SendOrder) {
+func (c *Client) Order(ctx context.Context, o core.SendOrder) {
 	ctx, cancel := context.WithTimeout(ctx, o.Timeout)
 	defer cancel()
 	refused, err := c.sendOrder(ctx, o)
 	if err == nil {
-		c.sink(core.OrderAnswer{Upstream: o.Upstream, Fence: o.Fence, Refused: refused})
+		c.sink(core.OrderResult{Upstream: o.Upstream, Fence: o.Fence, Refused: refused})
 	}
 }
 
 // sendOrder sends an order. refused is true if the upstream refused the fencing number.
-func (c *Caller) sendOrder(ctx context.Context, o core.SendOrder) (refused bool, err error) {
+func (c *Client) sendOrder(ctx context.Context, o core.SendOrder) (refused bool, err error) {
 	body, err := json.Marshal(orderBody{Fence: o.Fence, Kind: orderKindVersion, Value: o.Version})
 	if err != nil {
 		return false, fmt.Errorf("encode order for %s: %w", o.Upstream, err)
@@ -46,7 +46,7 @@
 	req.GetBody = nil
 	// The process may have been paused since the core issued the order. An order
 	// sent after the lease's end could arrive after an order from the next holder of the lease.
-	if !time.Now().Before(o.Before) {
+	if !time.Now().Before(o.SendBefore) {
 		return false, fmt.Errorf("order for %s: lease expired before the order was sent", o.Upstream)
 	}
 	resp, err := c.unpooled.Do(req)
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -40,8 +40,8 @@
 // errGrantExpired means that the grant expired before the call could be sent.
 var errGrantExpired = errors.New("grant expired before the call was sent")
 
-// Caller calls upstreams and passes the resulting events to sink.
-type Caller struct {
+// Client calls upstreams and passes the resulting events to sink.
+type Client struct {
 	sink func(core.Event)
 	// pooled reuses connections. It is used for polls and new generations.
 	pooled *http.Client
@@ -59,10 +59,10 @@
 // trackedCall is a call in progress that can be cancelled.
 type trackedCall struct{ cancel context.CancelFunc }
 
-// NewCaller returns a caller that passes its events to sink.
-func NewCaller(sink func(core.Event)) *Caller {
+// NewClient returns a caller that passes its events to sink.
+func NewClient(sink func(core.Event)) *Client {
 	dialer := conn.Dialer()
-	return &Caller{
+	return &Client{
 		sink:   sink,
 		pooled: &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, MaxIdleConnsPerHost: 64, IdleConnTimeout: 10 * time.Second}},
 		unpooled: &http.Client{
@@ -78,7 +78,7 @@
 // Run starts the call of a dispatch in a goroutine; the result is reported as events. The call
 // is tracked before Run returns and can be closed from then on: if it were tracked later, an old
 // call could be tracked after the call that replaces it, and would stop the new call.
-func (c *Caller) Run(ctx context.Context, d core.Dispatch) {
+func (c *Client) Run(ctx context.Context, d core.Dispatch) {
 	ctx, stop := context.WithCancel(ctx)
 	t := &trackedCall{cancel: stop}
 	c.track(d.Attempt, t)
@@ -97,7 +97,7 @@
 
 // client returns the HTTP client for a generation: unpooled for a resumed one, pooled for a new
 // one.
-func (c *Caller) client(d core.Dispatch) *http.Client {
+func (c *Client) client(d core.Dispatch) *http.Client {
 	if d.Resume {
 		return c.unpooled
 	}
@@ -106,7 +106,7 @@
 
 // track records how to cancel an attempt's call. An older call of the same attempt is cancelled,
 // as only one call of an attempt may report events.
-func (c *Caller) track(attempt string, t *trackedCall) {
+func (c *Client) track(attempt string, t *trackedCall) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if old := c.running[attempt]; old != nil {
@@ -117,7 +117,7 @@
 
 // untrack cancels a call that has ended and removes it, unless a newer call of the same attempt
 // has taken its place.
-func (c *Caller) untrack(attempt string, t *trackedCall) {
+func (c *Client) untrack(attempt string, t *trackedCall) {
 	t.cancel()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -127,14 +127,14 @@
 }
 
 // Running returns the number of calls in progress.
-func (c *Caller) Running() int {
+func (c *Client) Running() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.running)
 }
 
 // Close stops reading an attempt's response without cancelling the attempt at the upstream.
-func (c *Caller) Close(attempt string) {
+func (c *Client) Close(attempt string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if t := c.running[attempt]; t != nil {
@@ -145,7 +145,7 @@
 
 // Cancel requests an engine to stop a generation. If the request is lost, the pool's home makes
 // up for it: it cancels generations that no entry announces.
-func (c *Caller) Cancel(ctx context.Context, address, attempt string) error {
+func (c *Client) Cancel(ctx context.Context, address, attempt string) error {
 	ctx, cancel := context.WithTimeout(ctx, cancelTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodDelete, "http://"+address+"/v1/generations/"+attempt, nil)
@@ -160,22 +160,22 @@
 }
 
 // Poll requests an upstream's load and reports the result.
-func (c *Caller) Poll(ctx context.Context, name, address string) {
+func (c *Client) Poll(ctx context.Context, name, address string) {
 	asked := time.Now()
 	ctx, cancel := context.WithTimeout(ctx, pollTimeout)
 	defer cancel()
 	report, refused, err := c.pollLoad(ctx, address)
 	if err != nil {
-		c.sink(core.UpstreamSilent{Upstream: name, Refused: refused})
+		c.sink(core.PollFailed{Upstream: name, Refused: refused})
 		return
 	}
 	report.Upstream = name
-	c.sink(core.UpstreamReport{Report: report, Asked: asked})
+	c.sink(core.UpstreamReport{Report: report, PolledAt: asked})
 }
 
 // pollLoad requests a load report. refused is true if the upstream's host refused the
 // connection.
-func (c *Caller) pollLoad(ctx context.Context, address string) (r placement.Report, refused bool, err error) {
+func (c *Client) pollLoad(ctx context.Context, address string) (r placement.Report, refused bool, err error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+"/load", nil)
 	if err != nil {
 		return r, false, fmt.Errorf("poll %s: %w", address, err)
@@ -206,7 +206,7 @@
 
 // request returns an HTTP request for the attempt, or errGrantExpired if the grant has expired.
 func (c *call) request(ctx context.Context, method, url string, body []byte) (*http.Request, error) {
-	if !c.d.Before.IsZero() && time.Now().After(c.d.Before) {
+	if !c.d.SendBefore.IsZero() && time.Now().After(c.d.SendBefore) {
 		return nil, errGrantExpired
 	}
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { c.sent = true }}
@@ -229,7 +229,7 @@
 	}
 	c.sink(core.UpstreamFailed{
 		Request: c.d.Request, Attempt: c.d.Attempt, Link: c.d.Link, Sent: c.sent, Step: step,
-		Gone: errors.Is(err, errGenerationUnknown) || c.d.Resume && isRefused(err), Err: err.Error(),
+		NotFound: errors.Is(err, errGenerationUnknown) || c.d.Resume && isRefused(err), Err: err.Error(),
 	})
 }
 
@@ -252,7 +252,7 @@
 		c.fail(ctx, "read", err)
 		return
 	}
-	c.sink(core.UpstreamAnswer{Request: c.d.Request, Attempt: c.d.Attempt, Status: resp.StatusCode, Body: body})
+	c.sink(core.UpstreamResponse{Request: c.d.Request, Attempt: c.d.Attempt, Status: resp.StatusCode, Body: body})
 }
 
 // generate starts or resumes a generation and reports its tokens.
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -18,12 +18,12 @@
 
 // newTestCaller starts a server with the given handler. It returns a caller, the server's
 // address and the channel that receives the caller's events.
-func newTestCaller(t *testing.T, h http.HandlerFunc) (*Caller, string, chan core.Event) {
+func newTestCaller(t *testing.T, h http.HandlerFunc) (*Client, string, chan core.Event) {
 	t.Helper()
 	srv := httptest.NewServer(h)
 	t.Cleanup(srv.Close)
 	events := make(chan core.Event, 100)
-	return NewCaller(func(e core.Event) { events <- e }), srv.Listener.Addr().String(), events
+	return NewClient(func(e core.Event) { events <- e }), srv.Listener.Addr().String(), events
 }
 
 // next returns the next event.
@@ -87,13 +87,13 @@
 		{"aborted", core.Dispatch{Address: address}, true, false},
 		{"refused", core.Dispatch{Address: refusingAddress}, false, false},
 		{"refused while resuming", core.Dispatch{Address: refusingAddress, Resume: true}, false, true},
-		{"grant expired", core.Dispatch{Address: address, Before: time.Now().Add(-time.Second)}, false, false},
+		{"grant expired", core.Dispatch{Address: address, SendBefore: time.Now().Add(-time.Second)}, false, false},
 	}
 	for _, tc := range cases {
 		tc.d.Attempt, tc.d.Engine, tc.d.Method, tc.d.Path, tc.d.Body, tc.d.Timeout = tc.name, true, http.MethodPost, "/", []byte("{}"), testTimeout
 		c.Run(context.Background(), tc.d)
 		f, ok := next(t, events).(core.UpstreamFailed)
-		if !ok || f.Sent != tc.sent || f.Gone != tc.gone {
+		if !ok || f.Sent != tc.sent || f.NotFound != tc.gone {
 			t.Errorf("%s: event = %+v, want UpstreamFailed with Sent %t and Gone %t", tc.name, f, tc.sent, tc.gone)
 		}
 	}
@@ -101,7 +101,7 @@
 		t.Errorf("%d calls arrived, want only the aborted call", n)
 	}
 	c.Poll(context.Background(), "engine-1", refusingAddress)
-	if s, ok := next(t, events).(core.UpstreamSilent); !ok || !s.Refused {
-		t.Errorf("poll of a port without a listener: %+v, want UpstreamSilent with Refused", s)
+	if s, ok := next(t, events).(core.PollFailed); !ok || !s.Refused {
+		t.Errorf("poll of a port without a listener: %+v, want PollFailed with Refused", s)
 	}
 }
