--- a/internal/prooftest/config/cordon_test.go
+++ b/internal/prooftest/config/cordon_test.go
@@ -58,7 +58,7 @@
 	}
 	t.Cleanup(f.Stop)
 	operator := f.Instances[0].OperatorAddress()
-	if _, err := apply.Through(t.Context(), operator, apply.Request{Files: twoDataCentres("kerala-south: [kochi-a]", "kerala-south: [kochi-a, split-b]"), ApplyID: "two", Base: -1}); err != nil {
+	if _, err := apply.ApplyThrough(t.Context(), operator, apply.Request{Files: twoDataCentres("kerala-south: [kochi-a]", "kerala-south: [kochi-a, split-b]"), ApplyID: "two", Base: -1}); err != nil {
 		t.Fatal(err)
 	}
 	waitInForce(t, f, 2)
@@ -104,7 +104,7 @@
 	operator := f.Instances[0].OperatorAddress()
 	restricted := twoDataCentres("kerala-south: [kochi-a]", "kerala-south: [kochi-a]\n    dalmatia: [split-b]",
 		"    services: [assistant, order-desk]\n", "    services: [assistant]\n    allowed_regions: [dalmatia]\n")
-	if _, err := apply.Through(t.Context(), operator, apply.Request{Files: restricted, ApplyID: "restricted", Base: -1}); err != nil {
+	if _, err := apply.ApplyThrough(t.Context(), operator, apply.Request{Files: restricted, ApplyID: "restricted", Base: -1}); err != nil {
 		t.Fatal(err)
 	}
 	waitInForce(t, f, 2)
--- a/internal/prooftest/members/fleet.go
+++ b/internal/prooftest/members/fleet.go
@@ -65,7 +65,7 @@
 	dispatched    int    // number of generations and calls sent to upstreams
 	violation     string // new work sent to a leaving upstream too late, "" if none
 	// grants holds the replies that granted an attempt, in the order of sending.
-	grants []msg.GrantAnswer
+	grants []msg.GrantResponse
 	// firstAsks holds each entry's first request for a grant, with the home that it
 	// was sent to, by the entry's name.
 	firstAsks map[string]core.Send
@@ -221,14 +221,14 @@
 }
 
 func (f *fleet) send(from *fleetInstance, a core.Send) {
-	if m, ok := a.Msg.(msg.GrantAnswer); ok && m.Decision.Kind == placement.Granted {
+	if m, ok := a.Msg.(msg.GrantResponse); ok && m.Decision.Kind == placement.Granted {
 		f.grants = append(f.grants, m)
 	}
 	delay := linkDelay
 	if f.now.Before(f.linksSlowUntil) { // stalled links deliver late
 		delay = 4 * time.Second
 	}
-	if _, ok := a.Msg.(msg.GrantAsk); ok && f.firstAsks[from.name].To == "" {
+	if _, ok := a.Msg.(msg.GrantRequest); ok && f.firstAsks[from.name].To == "" {
 		f.firstAsks[from.name] = a
 	}
 	for _, to := range f.instances {
@@ -255,19 +255,19 @@
 func (f *fleet) poll(a core.Poll, reply func(time.Duration, core.Event)) {
 	up := f.upstream(a.Upstream)
 	if f.now.Before(up.muteUntil) {
-		reply(pollTimeout, core.UpstreamSilent{Upstream: a.Upstream})
+		reply(pollTimeout, core.PollFailed{Upstream: a.Upstream})
 		return
 	}
 	r := placement.Report{Upstream: a.Upstream, Boot: "1", Leaving: !up.leavingSince.IsZero(), Capacity: 100_000, MaxBatch: 2}
-	reply(2*linkDelay, core.UpstreamReport{Report: r, Asked: f.now})
+	reply(2*linkDelay, core.UpstreamReport{Report: r, PolledAt: f.now})
 }
 
 // dispatch sends work to an upstream as package upstream does: not after the grant
 // has expired. It records a violation if the upstream began to leave more than
 // maxNewWorkDelay ago.
 func (f *fleet) dispatch(n *fleetInstance, a core.Dispatch, reply func(time.Duration, core.Event)) {
-	failed := core.UpstreamFailed{Request: a.Request, Attempt: a.Attempt, Step: "request", Gone: a.Resume}
-	if f.now.After(a.Before) && !a.Before.IsZero() || a.Resume {
+	failed := core.UpstreamFailed{Request: a.Request, Attempt: a.Attempt, Step: "request", NotFound: a.Resume}
+	if f.now.After(a.SendBefore) && !a.SendBefore.IsZero() || a.Resume {
 		reply(0, failed)
 		return
 	}
@@ -284,7 +284,7 @@
 	case a.Engine:
 		reply(runTime, core.UpstreamEnd{Request: a.Request, Attempt: a.Attempt, Reason: "stop"})
 	default:
-		reply(runTime, core.UpstreamAnswer{Request: a.Request, Attempt: a.Attempt, Status: 200})
+		reply(runTime, core.UpstreamResponse{Request: a.Request, Attempt: a.Attempt, Status: 200})
 	}
 }
 
--- a/internal/prooftest/members/follow_test.go
+++ b/internal/prooftest/members/follow_test.go
@@ -156,7 +156,7 @@
 	sim.accept()
 	sim.run(2 * time.Second)
 	f := sim.followers[0]
-	sim.handle(f, core.PeerMessage{From: "b0", Msg: msg.ConfigTold{Number: old.Number, Hash: old.Hash}})
+	sim.handle(f, core.PeerMessage{From: "b0", Msg: msg.ConfigVersion{Number: old.Number, Hash: old.Hash}})
 	sim.handle(f, core.ObjectResult{Hash: old.Hash, OK: true, Data: sim.objects[old.Hash]})
 	if sim.run(time.Second); f.inst.ConfigNumber() != sim.pointer.Number || sim.violation != "" {
 		t.Errorf("version = %d, want %d; violation: %s", f.inst.ConfigNumber(), sim.pointer.Number, sim.violation)
--- a/internal/prooftest/members/leave_test.go
+++ b/internal/prooftest/members/leave_test.go
@@ -45,16 +45,16 @@
 
 // firstGrantAsk returns the entry's first request for a grant and the home that it
 // was sent to. The home is "" if the entry has sent none.
-func (f *fleet) firstGrantAsk(entry *fleetInstance) (home string, ask msg.GrantAsk) {
+func (f *fleet) firstGrantAsk(entry *fleetInstance) (home string, ask msg.GrantRequest) {
 	a := f.firstAsks[entry.name]
-	ask, _ = a.Msg.(msg.GrantAsk)
+	ask, _ = a.Msg.(msg.GrantRequest)
 	return a.To, ask
 }
 
 // grantAsk sends a request for a grant from i1 to i0 as the home of the engines.
 func (f *fleet) grantAsk(attempt string, number int) {
-	ask := placement.Ask{Attempt: attempt, Org: "o", Prompt: 10, MaxOutput: 100, MaxWait: time.Minute}
-	f.handle(f.instances[0], core.PeerMessage{From: "i1", Msg: msg.GrantAsk{Pool: "chat@r", Ask: ask, Number: number}})
+	ask := placement.Request{Attempt: attempt, Org: "o", Prompt: 10, MaxOutput: 100, MaxWait: time.Minute}
+	f.handle(f.instances[0], core.PeerMessage{From: "i1", Msg: msg.GrantRequest{Pool: "chat@r", Request: ask, Number: number}})
 }
 
 // warm makes the home poll the upstreams, by a request for a grant that soon ends.
@@ -106,7 +106,7 @@
 	f.handle(f.instances[0], core.PeerMessage{From: "i1", Msg: msg.GrantEnd{Pool: "chat@r", Attempt: "i1:1:0/1"}})
 	for _, name := range []string{"e1", "e2"} {
 		r := placement.Report{Upstream: name, Boot: "1", Capacity: 100_000, MaxBatch: 2}
-		f.handle(f.instances[0], core.UpstreamReport{Report: r, Asked: asked})
+		f.handle(f.instances[0], core.UpstreamReport{Report: r, PolledAt: asked})
 	}
 	if len(f.grants) != 4 {
 		t.Errorf("granted %s by a report that was polled five seconds ago, want no grant", f.grants[4].Decision.Upstream)
@@ -158,9 +158,9 @@
 	if home == "" {
 		return 0, false
 	}
-	answer := msg.GrantAnswer{
+	answer := msg.GrantResponse{
 		Pool: ask.Pool, Address: "e1", TTL: time.Second, Number: ask.Number,
-		Decision: placement.Decision{Attempt: ask.Ask.Attempt, Kind: placement.Queued, Upstream: "e1"},
+		Decision: placement.Decision{Attempt: ask.Request.Attempt, Kind: placement.Queued, Upstream: "e1"},
 	}
 	for began := f.now; f.now.Sub(began) < delay; {
 		f.handle(n, core.PeerMessage{From: home, Msg: answer})
--- a/internal/prooftest/streams/callers.go
+++ b/internal/prooftest/streams/callers.go
@@ -62,7 +62,7 @@
 	old, entry := c.request, c.entry
 	c.request, c.reconnectAt = "", sim.now.Add(200*time.Millisecond)
 	if detected {
-		sim.handle(entry, core.CallerGone{ID: old})
+		sim.handle(entry, core.CallerDisconnected{ID: old})
 	}
 }
 
--- a/internal/prooftest/streams/engine.go
+++ b/internal/prooftest/streams/engine.go
@@ -36,11 +36,11 @@
 func (sim *simulation) sendReport(to, name string, asked time.Time) {
 	e := sim.engines[name]
 	if sim.now.Before(e.downUntil) {
-		sim.handle(to, core.UpstreamSilent{Upstream: name, Refused: true})
+		sim.handle(to, core.PollFailed{Upstream: name, Refused: true})
 		return
 	}
 	if e.frozen {
-		sim.handle(to, core.UpstreamSilent{Upstream: name})
+		sim.handle(to, core.PollFailed{Upstream: name})
 		return
 	}
 	r := placement.Report{Upstream: name, Boot: e.bootID(), Capacity: 10_000, MaxBatch: 16}
@@ -49,7 +49,7 @@
 			r.Gens = append(r.Gens, placement.GenLoad{Attempt: id})
 		}
 	}
-	sim.handle(to, core.UpstreamReport{Report: r, Asked: asked})
+	sim.handle(to, core.UpstreamReport{Report: r, PolledAt: asked})
 }
 
 func (e *fakeEngine) bootID() string { return fmt.Sprintf("run-%d", e.boot) }
@@ -67,7 +67,7 @@
 	l := &link{channel: fmt.Sprintf("link %s %s %d", name, d.Attempt, d.Link), instance: name, d: d}
 	fail := func(sent, gone bool) {
 		sim.enqueue(l.channel, func() {
-			sim.handle(name, core.UpstreamFailed{Request: d.Request, Attempt: d.Attempt, Link: d.Link, Sent: sent, Gone: gone, Step: "fake"})
+			sim.handle(name, core.UpstreamFailed{Request: d.Request, Attempt: d.Attempt, Link: d.Link, Sent: sent, NotFound: gone, Step: "fake"})
 		})
 	}
 	if sim.now.Before(e.downUntil) {
--- a/internal/prooftest/streams/follow_test.go
+++ b/internal/prooftest/streams/follow_test.go
@@ -27,7 +27,7 @@
 func (sim *simulation) abandon(c *caller) {
 	old := c.request
 	c.request, c.ended = "", true
-	sim.handle(c.entry, core.CallerGone{ID: old})
+	sim.handle(c.entry, core.CallerDisconnected{ID: old})
 }
 
 // trackedRequests returns the number of requests that all instances together track.
@@ -112,7 +112,7 @@
 		"announcements lost": func(m msg.Message) bool { _, is := m.(msg.Announce); return is },
 		"replies lost too": func(m msg.Message) bool {
 			_, announce := m.(msg.Announce)
-			_, reply := m.(msg.FollowAnswer)
+			_, reply := m.(msg.FollowResponse)
 			return announce || reply
 		},
 	} {
@@ -184,7 +184,7 @@
 	}
 	e.downUntil = sim.now.Add(time.Hour)
 	sim.runUntilEnded()
-	if c.outcome != core.Unknown || c.reason == core.ReasonUpstreamCut {
+	if c.outcome != core.Unknown || c.reason == core.ReasonUpstreamFailed {
 		t.Errorf("outcome %s, reason %q; want unknown because of a refused placement", c.outcome, c.reason)
 	}
 }
--- a/internal/prooftest/streams/retry_test.go
+++ b/internal/prooftest/streams/retry_test.go
@@ -36,7 +36,7 @@
 				}
 			}
 			attempts := sim.counts["attempts_total"] - before
-			maxAttempts := requests + 2*retry.Saved + int(retry.Earned*float64(done))
+			maxAttempts := requests + 2*retry.MaxRetries + int(retry.RetriesPerSuccess*float64(done))
 			t.Logf("requests=%d done=%d attempts=%d amplification=%.3f max_amplification=%.3f",
 				requests, done, attempts, float64(attempts)/requests, float64(maxAttempts)/requests)
 			if attempts > maxAttempts {
--- a/internal/trial/poolhome.go
+++ b/internal/trial/poolhome.go
@@ -52,7 +52,7 @@
 	p.waiting = map[string]*Request{}
 	p.home = pool.NewHome(poolName, route.Engine{
 		Slots: spec.MaxBatch, MemoryToken: spec.Capacity,
-		TokenBytes: l.TokenBytes, LinkMbps: l.Mbps, Moves: true, EventTokens: 1, CopyLife: copyTTL,
+		TokenBytes: l.TokenBytes, LinkMbps: l.Mbps, Moves: true, EventTokens: 1, CopyTTL: copyTTL,
 	}, p.without, p.ways)
 }
 
@@ -119,13 +119,13 @@
 	id := q.nextAttempt()
 	p.waiting[id] = q
 	p.run.after(hop, func() {
-		p.home.Ask(p.now(), p.entry(q), msg.GrantAsk{Pool: poolName, Ask: p.ask(q, id)})
+		p.home.Place(p.now(), p.entry(q), msg.GrantRequest{Pool: poolName, Request: p.ask(q, id)})
 		p.sendMessages()
 	})
 }
 
-func (p *poolHome) ask(q *Request, id string) placement.Ask {
-	return placement.Ask{
+func (p *poolHome) ask(q *Request, id string) placement.Request {
+	return placement.Request{
 		Attempt: id, Org: q.Account, Prompt: q.Prompt, MaxOutput: q.MaxOutput, Expected: q.Expected, MaxWait: p.run.work.MaxWait, FirstTarget: q.FirstTarget,
 	}
 }
@@ -146,7 +146,7 @@
 // Began implements firstTokenObserver.
 func (p *poolHome) Began(g *generation) {
 	p.run.after(hop, func() {
-		p.home.Begun(p.now(), msg.Begun{Pool: poolName, Attempt: g.id})
+		p.home.OnFirstToken(p.now(), msg.FirstToken{Pool: poolName, Attempt: g.id})
 		p.sendMessages()
 	})
 }
@@ -174,7 +174,7 @@
 		p.lastAnnounced[entry] = p.run.now
 		m := msg.Announce{Pool: poolName}
 		for _, g := range list {
-			m.Running = append(m.Running, msg.RunningAttempt{Ask: p.ask(g.req, g.id), Upstream: p.run.engines[g.engine].name, Tokens: g.tokens, Pace: g.pace()})
+			m.Running = append(m.Running, msg.RunningAttempt{Request: p.ask(g.req, g.id), Upstream: p.run.engines[g.engine].name, Tokens: g.tokens, Pace: g.pace()})
 		}
 		from := p.entry(list[0].req)
 		p.run.after(hop, func() { p.home.Announce(p.now(), from, m) })
@@ -183,14 +183,14 @@
 
 // sendMessages delivers the home's messages to the entries, after a delay.
 func (p *poolHome) sendMessages() {
-	for _, o := range p.home.Take() {
+	for _, o := range p.home.TakeMessages() {
 		p.run.after(hop, func() { p.deliver(o.Msg) })
 	}
 }
 
 func (p *poolHome) deliver(m msg.Message) {
 	switch m := m.(type) {
-	case msg.GrantAnswer:
+	case msg.GrantResponse:
 		p.applyDecision(m.Decision)
 	case msg.MoveOrder:
 		p.move(m)
@@ -217,7 +217,7 @@
 func (p *poolHome) move(m msg.MoveOrder) {
 	reply := func(o msg.MoveOutcome) {
 		p.run.after(hop, func() {
-			p.home.Moved(p.now(), msg.Moved{Pool: poolName, Attempt: m.Attempt, Number: m.Number, Outcome: o})
+			p.home.OnMoveResult(p.now(), msg.MoveResult{Pool: poolName, Attempt: m.Attempt, Number: m.Number, Outcome: o})
 			p.sendMessages()
 		})
 	}
