--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -199,7 +199,7 @@
 	b.ReportAllocs()
 	for b.Loop() {
 		h.number++
-		for h.inst.ConfigNumber() != h.number { // the instance reads the table row only in some rounds
+		for h.inst.ConfigNumber() != h.number { // the instance reads ConfigRow only in some of its rounds
 			h.tick(500 * time.Millisecond)
 		}
 	}
--- a/internal/core/bookings_test.go
+++ b/internal/core/bookings_test.go
@@ -55,7 +55,7 @@
 func (sim *simulation) checkPromises() string {
 	for _, key := range []string{"key-0", "key-1"} {
 		if n := sim.countRuns(key); n > 1 {
-			return fmt.Sprintf("promise 4: the call with %s ran %d times, want at most 1", key, n)
+			return fmt.Sprintf("promise 4: the call with key %s ran %d times, want at most 1", key, n)
 		}
 	}
 	for id, ends := range sim.finishes {
@@ -81,7 +81,7 @@
 		}
 	}
 	if f.Outcome == core.Done && (sim.countRuns(req.IdempotencyKey) != 1 || string(f.Body) != "ran "+string(req.Body)) {
-		return fmt.Sprintf("promise 4: request %s got the answer %q for the body %q, want the answer of the only call with its key", id, f.Body, req.Body)
+		return fmt.Sprintf("promise 4: request %s got the response %q for the body %q, want the response to the only call with its key", id, f.Body, req.Body)
 	}
 	return ""
 }
@@ -201,18 +201,18 @@
 	id := sim.book(sim.instances[0], key, body)
 	sim.settleAll()
 	if len(sim.finishes[id]) != 1 {
-		return fmt.Sprintf("repeat of %s did not end exactly once", key)
+		return fmt.Sprintf("the repeat of the call with key %s did not end exactly once", key)
 	}
 	switch f := sim.finishes[id][0]; {
 	case before == 0 && sim.awaitTimedOut(key):
 		// The entry's wait for a dispatched call timed out, and it cannot know that the call was
 		// never sent.
 	case before == 0 && (f.Outcome != core.Done || sim.countRuns(key) != 1):
-		return fmt.Sprintf("%s never ran, but its repeat ended as %s (%s), want done by a single run", key, f.Outcome, f.Reason)
+		return fmt.Sprintf("the call with key %s had never run, but its repeat ended as %s (%s), want done by a single run", key, f.Outcome, f.Reason)
 	case before == 1 && answered && f.Outcome != core.Done:
-		return fmt.Sprintf("the call with %s was answered, but its repeat ended as %s (%s), want done", key, f.Outcome, f.Reason)
+		return fmt.Sprintf("the call with key %s got a response, but its repeat ended as %s (%s), want done", key, f.Outcome, f.Reason)
 	case before == 1 && !answered && f.Outcome != core.Unknown:
-		return fmt.Sprintf("the answer of the call with %s was lost, but its repeat ended as %s (%s), want unknown", key, f.Outcome, f.Reason)
+		return fmt.Sprintf("the response to the call with key %s was lost, but its repeat ended as %s (%s), want unknown", key, f.Outcome, f.Reason)
 	}
 	return ""
 }
--- a/internal/core/cordon_test.go
+++ b/internal/core/cordon_test.go
@@ -33,7 +33,7 @@
 		sim.handle(other, core.PeerMessage{From: entry.name, Msg: update})
 		sim.advance(time.Second)
 		if f := sim.finishOf(id); f.Outcome != core.NotRun || f.Reason != "cordoned" || f.RetryAfter == 0 {
-			t.Errorf("finish = %+v, want outcome not_run, reason cordoned and a Retry-After", f)
+			t.Errorf("finish of the request for the cordoned data centre = %+v, want outcome not_run, reason cordoned and a Retry-After", f)
 		}
 	}
 	if otherWithoutCordon == 0 {
--- a/internal/core/entry.go
+++ b/internal/core/entry.go
@@ -41,7 +41,7 @@
 // admit checks a request against the configuration. It returns nil if the request is accepted.
 func (i *Instance) admit(now time.Time, r *request) *Finish {
 	if reason := i.notReadyReason(now); reason != "" {
-		r.resolve()
+		r.findOrgAndService()
 		return &Finish{Status: status.ServiceUnavailable, Reason: reason, Step: "admit", RetryAfter: retryAfterNotReady}
 	}
 	if f := r.authenticate(); f != nil {
@@ -63,10 +63,10 @@
 	return nil
 }
 
-// resolve sets the organisation and service of a call that may not be repeated, as far as they
-// are known. A repeat of a booking's key then gets the key's outcome even from an instance that
-// accepts no new requests.
-func (r *request) resolve() {
+// findOrgAndService sets the organisation and service of a call that may not be repeated, as far
+// as they are known. A repeat of a booking's key then gets the key's outcome even from an instance
+// that accepts no new requests.
+func (r *request) findOrgAndService() {
 	if r.NotRepeatable && r.authenticate() == nil {
 		r.findService()
 	}
--- a/internal/core/failure.go
+++ b/internal/core/failure.go
@@ -22,7 +22,7 @@
 		i.bookingFailed(now, r, e)
 		return
 	}
-	if r.engine() && e.Sent {
+	if r.isEngine() && e.Sent {
 		i.emit(Cancel{Address: r.run.address, Attempt: r.attempt})
 	}
 	if !i.mayRetry(now, r) {
--- a/internal/core/orders.go
+++ b/internal/core/orders.go
@@ -50,8 +50,8 @@
 func (TurnResult) event()   {}
 func (OrderResult) event()  {}
 
-// wantedVersion returns the model version that the configuration assigns to an upstream.
-func (i *Instance) wantedVersion(upstream string) (model, version string) {
+// assignedVersion returns the model version that the configuration assigns to an upstream.
+func (i *Instance) assignedVersion(upstream string) (model, version string) {
 	u := i.version.Upstream(upstream)
 	if u == nil {
 		return "", ""
@@ -80,7 +80,7 @@
 	if i.version.Upstream(r.Upstream) == nil {
 		return false
 	}
-	_, version := i.wantedVersion(r.Upstream)
+	_, version := i.assignedVersion(r.Upstream)
 	m := i.order(h, r.Upstream)
 	m.Want(version)
 	i.emitOrder(r.Upstream, m.Report(now, r.Version, r.Running+r.Waiting))
@@ -101,7 +101,7 @@
 		case o.Read:
 			i.emit(Read{Op: opOrder + upstream, Keys: []string{order.RowKey(upstream)}})
 		case o.Turn:
-			model, version := i.wantedVersion(upstream)
+			model, version := i.assignedVersion(upstream)
 			i.emit(RequestTurn{Upstream: upstream, Model: model, Version: version})
 		case o.Send != nil:
 			i.sendOrder(upstream, *o.Send)
--- a/internal/core/orghome.go
+++ b/internal/core/orghome.go
@@ -44,8 +44,8 @@
 
 // splitMoveID splits an operation id at its last slash, as names of instances contain none.
 func splitMoveID(id string) (org, move string) {
-	at := strings.LastIndex(id, "/")
-	return id[:at], id[at+1:]
+	slash := strings.LastIndex(id, "/")
+	return id[:slash], id[slash+1:]
 }
 
 // tickBudgets checks the accounts. A draining instance is no longer the home of any organisation
--- a/internal/core/outage_test.go
+++ b/internal/core/outage_test.go
@@ -146,7 +146,7 @@
 		sim.advance(3 * time.Second)
 	}
 	if f := sim.finishOf(id); f.Outcome != core.Unknown {
-		t.Errorf("finish = %+v, want outcome unknown", f)
+		t.Errorf("finish of the request whose retry was refused = %+v, want outcome unknown", f)
 	}
 }
 
@@ -239,7 +239,7 @@
 		sim.advance(3 * time.Second)
 	}
 	if f := sim.finishOf(id); f.Outcome != core.Unknown {
-		t.Errorf("finish = %+v, want outcome unknown", f)
+		t.Errorf("finish of the request after failed dials of its resume = %+v, want outcome unknown", f)
 	}
 }
 
--- a/internal/core/placement/choose.go
+++ b/internal/core/placement/choose.go
@@ -106,7 +106,7 @@
 	if p.output < longRemaining {
 		keepFree = 0 // ends before a leaving upstream's notice expires
 	}
-	confined := h.confinedTo(req.Fingerprint)
+	restrictedTo := h.restrictedTo(req.Fingerprint)
 	at := now.UnixNano()
 	best, bestScore := -1, 0.0
 	for i := range h.summaries {
@@ -117,14 +117,14 @@
 		if h.settings.Engine && s.grants > 0 && s.free <= h.tuning.reserve {
 			continue // already full, however little memory the request needs
 		}
-		if unread := s.prefillTokensAt(at); unread > 0 && unread > h.prefillLimit*s.rate {
+		if pending := s.prefillTokensAt(at); pending > 0 && pending > h.prefillLimit*s.rate {
 			continue
 		}
 		score := h.score(at, s, &p)
 		if best >= 0 && score <= bestScore {
 			continue
 		}
-		if u := h.upstreams[i]; u.allowed(req, confined) && h.hasRoom(u, &need, keepFree) {
+		if u := h.upstreams[i]; u.allowed(req, restrictedTo) && h.hasRoom(u, &need, keepFree) {
 			best, bestScore = i, score
 		}
 	}
@@ -135,12 +135,13 @@
 }
 
 // allowed reports whether a request may run on an upstream. Exclusions and data centres of the
-// request may forbid it. If confined is not empty, only the upstreams of these grants are allowed.
-func (u *upstream) allowed(req *Request, confined []*grant) bool {
+// request may forbid it. If restrictedTo is not empty, only the upstreams of these grants are
+// allowed.
+func (u *upstream) allowed(req *Request, restrictedTo []*grant) bool {
 	if slices.Contains(req.Exclude, u.name) || !req.mayRunIn(u.report.DataCentre) {
 		return false
 	}
-	return len(confined) == 0 || slices.ContainsFunc(confined, func(g *grant) bool { return g.upstream == u })
+	return len(restrictedTo) == 0 || slices.ContainsFunc(restrictedTo, func(g *grant) bool { return g.upstream == u })
 }
 
 // mayRunIn reports whether a request may run in a data centre.
@@ -148,10 +149,10 @@
 	return len(a.DataCentres) == 0 || slices.Contains(a.DataCentres, dataCentre)
 }
 
-// confinedTo returns the grants of a fingerprint if they already run on maxFingerprintSpread
+// restrictedTo returns the grants of a fingerprint if they already run on maxFingerprintSpread
 // upstreams, so that further requests must run on one of these. It returns nil if any upstream
 // may run them.
-func (h *Home) confinedTo(fingerprint uint64) []*grant {
+func (h *Home) restrictedTo(fingerprint uint64) []*grant {
 	list := h.byFingerprint[fingerprint]
 	if len(list) < maxFingerprintSpread {
 		return nil
--- a/internal/core/placement/drain.go
+++ b/internal/core/placement/drain.go
@@ -13,8 +13,8 @@
 	guessWeight = 5.0
 	// costClasses is the number of cost classes, one for each power of two.
 	costClasses = 32
-	// minShare is the minimum fraction of the drain rate that reaches a request, however much
-	// cheaper work arrives; ageing guarantees it.
+	// minShare is the minimum fraction of the drain rate that reaches a request while cheaper
+	// work continues to arrive; ageing guarantees it.
 	minShare = 0.05
 	// lateShareGuess is the fraction of the drain rate that late requests are assumed to get
 	// before it is measured.
--- a/internal/core/placement/home.go
+++ b/internal/core/placement/home.go
@@ -73,7 +73,7 @@
 }
 
 // Report records an upstream's load as of asked, the time at which the report was requested. The
-// queue is served as of now. If a home that was frozen in between used asked for both, every
+// queue is served as of now. If a home that was frozen in between used asked in place of now, every
 // report would look fresh, including those of upstreams that have left.
 func (h *Home) Report(now, asked time.Time, r Report) []Decision {
 	u := h.byName[r.Upstream]
@@ -200,7 +200,7 @@
 		if !q.late {
 			h.meter.recordMiss()
 		}
-		out = append(out, h.refuse(now, q.firstAsked, &q.req, q.cost))
+		out = append(out, h.refuse(now, q.firstSent, &q.req, q.cost))
 	}
 	h.queue.dropIdleOrgs()
 	h.ended.expire(now)
@@ -208,18 +208,18 @@
 	return out
 }
 
-// maxBypass is the number of queued requests that may be passed over in one round.
+// maxBypass is the number of queued requests that may be skipped in one round.
 const maxBypass = 4
 
-// drainQueue grants queued requests in order. One for which no upstream has room is passed over
+// drainQueue grants queued requests in order. One for which no upstream has room is skipped
 // until it has waited for bypassTimeout; from then on it blocks those behind it.
 func (h *Home) drainQueue(now time.Time) []Decision {
 	h.advanceMeter(now)
 	h.setHeadroom(now)
 	out := h.demote(now)
-	var passed map[*queuedRequest]bool
-	for len(passed) < maxBypass {
-		q := h.queue.best(passed)
+	var skipped map[*queuedRequest]bool
+	for len(skipped) < maxBypass {
+		q := h.queue.best(skipped)
 		if q == nil {
 			break
 		}
@@ -230,13 +230,13 @@
 			out = append(out, h.grant(now, q.req, u, q.cost))
 			continue
 		}
-		if now.Sub(q.firstAsked) > bypassTimeout {
+		if now.Sub(q.firstSent) > bypassTimeout {
 			break
 		}
-		if passed == nil {
-			passed = map[*queuedRequest]bool{}
+		if skipped == nil {
+			skipped = map[*queuedRequest]bool{}
 		}
-		passed[q] = true
+		skipped[q] = true
 	}
 	return out
 }
@@ -253,10 +253,10 @@
 		return nil
 	}
 	var out []Decision
-	for _, q := range h.queue.demote(func(q *queuedRequest) bool { return h.missesDeadline(now, q.firstAsked, &q.req) }) {
+	for _, q := range h.queue.demote(func(q *queuedRequest) bool { return h.missesDeadline(now, q.firstSent, &q.req) }) {
 		if h.tooLong(h.lateWait(now, q), q.req.MaxWait-now.Sub(q.arrived)) {
 			h.queue.remove(q)
-			out = append(out, h.refuse(now, q.firstAsked, &q.req, q.cost))
+			out = append(out, h.refuse(now, q.firstSent, &q.req, q.cost))
 		}
 	}
 	return out
@@ -293,9 +293,9 @@
 		return Forecast{}
 	}
 	s, p := &h.summaries[u.index], h.predictNew(req)
-	unread := s.prefillTokensAt(now.UnixNano())
+	pending := s.prefillTokensAt(now.UnixNano())
 	return Forecast{
-		Unread: int(unread), First: seconds((unread + p.prompt) / s.rate), Pace: seconds(s.pace), Output: int(p.output), Free: s.free,
+		Unread: int(pending), First: seconds((pending + p.prompt) / s.rate), Pace: seconds(s.pace), Output: int(p.output), Free: s.free,
 	}
 }
 
--- a/internal/core/placement/home_test.go
+++ b/internal/core/placement/home_test.go
@@ -35,13 +35,13 @@
 		h.RecordRunning(start, Request{Attempt: fmt.Sprint("old", i), Org: "o", Prompt: 700, MaxOutput: 500}, "u0", Progress{Tokens: 90})
 	}
 	if d := h.Place(start, testRequest("new")); d[0].Kind != Queued {
-		t.Errorf("request while the upstream is full = %+v, want queued", d)
+		t.Errorf("decision on a request while the upstream is full = %+v, want queued", d)
 	}
 	for i := range 5 {
 		h.End(start, fmt.Sprint("old", i), 100, true)
 	}
 	if d := h.Place(start, testRequest("new")); d[0].Kind != Granted {
-		t.Errorf("repeated request after the announced attempts ended = %+v, want granted", d)
+		t.Errorf("decision on the repeated request after the announced attempts ended = %+v, want granted", d)
 	}
 }
 
@@ -53,7 +53,7 @@
 	r.Used, r.Running, r.Gens = 3900, 1, []GenLoad{{Attempt: "foreign", Tokens: 900}}
 	h.Report(start, start, r)
 	if d := h.Place(start, testRequest("new")); d[0].Kind != Queued {
-		t.Errorf("request = %+v, want queued: unknown generations fill the upstream", d)
+		t.Errorf("decision on a request = %+v, want queued: unknown generations fill the upstream", d)
 	}
 }
 
@@ -68,7 +68,7 @@
 	r.Used, r.Gens = 3900, []GenLoad{{Attempt: "a", Tokens: 9}}
 	h.Report(start, start, r)
 	if d := h.Place(start, testRequest("b")); d[0].Kind != Granted {
-		t.Errorf("request = %+v, want granted: the only other attempt has ended", d)
+		t.Errorf("decision on request b = %+v, want granted: the only other attempt has ended", d)
 	}
 	if len(h.granted) != 1 {
 		t.Errorf("grants in the ledger = %d, want 1", len(h.granted))
@@ -83,20 +83,20 @@
 	for i := range 200 {
 		h.Place(start, testRequest(fmt.Sprint("queued", i)))
 	}
-	var after []time.Duration
+	var retryAfter []time.Duration
 	for i := range 2 {
 		a := testRequest(fmt.Sprint("late", i))
 		a.Fingerprint, a.MaxWait = uint64(7+i), 50*time.Millisecond
 		d := h.Place(start, a)
 		if d[0].Kind != Refused || d[0].Reason != ReasonQueueFull {
-			t.Fatalf("request that can't be granted in time = %+v, want refused with queue_wait", d)
+			t.Fatalf("decision on a request that can't be granted in time = %+v, want refused with queue_wait", d)
 		}
-		after = append(after, d[0].RetryAfter)
+		retryAfter = append(retryAfter, d[0].RetryAfter)
 	}
-	if after[1] <= after[0] {
-		t.Errorf("Retry-After of two refusals = %v, want the second to be longer", after)
+	if retryAfter[1] <= retryAfter[0] {
+		t.Errorf("Retry-After of two refusals = %v, want the second to be longer", retryAfter)
 	}
-	back := start.Add(after[0])
+	back := start.Add(retryAfter[0])
 	h.Report(back, back, testReport("u0"))
 	newcomer := testRequest("newcomer")
 	newcomer.MaxWait = time.Hour
@@ -105,7 +105,7 @@
 	a.Fingerprint, a.MaxWait = 7, time.Hour
 	h.Place(back, a)
 	if n, r := h.queue.byAttempt["newcomer"], h.queue.byAttempt["again"]; n == nil || r == nil || !r.key.Before(n.key) {
-		t.Errorf("returning caller = %+v, newcomer = %+v, want the returning caller queued first", r, n)
+		t.Errorf("queued request of the returning caller = %+v, of the newcomer = %+v, want the returning caller queued first", r, n)
 	}
 }
 
@@ -161,7 +161,7 @@
 	req := Request{Attempt: "a", Org: "o", Prompt: 10, MaxOutput: 10, MaxWait: time.Minute}
 	h := NewHome(Settings{Engine: true})
 	if ds := h.Place(start, req); len(ds) != 1 || ds[0].Kind != Queued {
-		t.Fatalf("request before the first report = %+v, want queued", ds)
+		t.Fatalf("decisions on a request before the first report = %+v, want queued", ds)
 	}
 	if ds := h.Report(start, start, testReport("u0")); len(ds) != 1 || ds[0].Kind != Granted {
 		t.Errorf("decisions after the first report = %+v, want granted", ds)
--- a/internal/core/placement/lengths.go
+++ b/internal/core/placement/lengths.go
@@ -4,7 +4,7 @@
 
 const (
 	// historyAnswers is the decay constant of the counts, in answers: the weight of an answer
-	// falls to 1/e after as many later ones.
+	// falls to 1/e after that many later answers.
 	historyAnswers = 2500
 	// priorWeight is the number of answers at which a level's own counts weigh as much as the
 	// estimate of its parent.
--- a/internal/core/placement/policy_test.go
+++ b/internal/core/placement/policy_test.go
@@ -171,12 +171,12 @@
 
 // ratios holds the bounded measures of the project's policy, each divided by that of a baseline.
 type ratios struct {
-	// stall is the stall time with Periyar's weights over that of the best baseline.
+	// stall is the stall time with Periyar's weights, divided by that of the best baseline.
 	stall float64
 	// preemptions and longest are the preemptions and the longest gap between tokens (99th
-	// percentile) with Matrica's weights over those of the best baseline other than the
-	// watermark. longestMark and stallMark are the longest gap and the stall time over those of
-	// the watermark.
+	// percentile) with Matrica's weights, divided by those of the best baseline other than the
+	// watermark. longestMark and stallMark are the longest gap and the stall time, divided by
+	// those of the watermark.
 	preemptions, longest   float64
 	longestMark, stallMark float64
 }
@@ -216,7 +216,7 @@
 		for _, load := range loads {
 			r := m.homes[name][load]
 			if r.Unanswered != 0 || r.Done < m.baselines[load][0].Done {
-				t.Errorf("%s at load %.1f: unanswered requests, or fewer complete answers than the first baseline: %s", name, load, r.Line(name, load))
+				t.Errorf("%s at load %.1f: some requests unanswered, or fewer complete answers than with the first baseline, want neither: %s", name, load, r.Line(name, load))
 			}
 			if load < overload && r.Refused != 0 {
 				t.Errorf("%s at load %.1f: refused requests = %d, want 0", name, load, r.Refused)
@@ -242,11 +242,11 @@
 	for _, load := range []float64{0.9, 1} {
 		x := m.ratios(load)
 		t.Logf("load=%.2f ratios %+v", load, x)
-		checkAtMost(t, "periyar: stall over the best baseline's", x.stall, anySeedBounds.stall)
-		checkAtMost(t, "matrica: preemptions over the best baseline's", x.preemptions, anySeedBounds.preemptions)
-		checkAtMost(t, "matrica: longest gap over the best baseline's", x.longest, anySeedBounds.longest)
-		checkAtMost(t, "matrica: longest gap over the watermark's", x.longestMark, anySeedBounds.longestMark)
-		checkAtMost(t, "matrica: stall over the watermark's", x.stallMark, anySeedBounds.stallMark)
+		checkAtMost(t, "periyar: ratio of stall to the best baseline's", x.stall, anySeedBounds.stall)
+		checkAtMost(t, "matrica: ratio of preemptions to the best baseline's", x.preemptions, anySeedBounds.preemptions)
+		checkAtMost(t, "matrica: ratio of the longest gap to the best baseline's", x.longest, anySeedBounds.longest)
+		checkAtMost(t, "matrica: ratio of the longest gap to the watermark's", x.longestMark, anySeedBounds.longestMark)
+		checkAtMost(t, "matrica: ratio of stall to the watermark's", x.stallMark, anySeedBounds.stallMark)
 		for name, w := range deployments {
 			t.Logf("load=%.2f weights=%s weighted=%.3f oracle=%.3f", load, name,
 				m.weighted(load, m.homes[name][load], w), m.weighted(load, m.oracle[load], w))
@@ -257,7 +257,7 @@
 		checkAtMost(t, name+": p95 gap in seconds at load 0.8", r.P95.Seconds(), 0.038)
 		checkAtMost(t, name+": p95 time to first token in seconds at load 0.8", r.FirstP95.Seconds(), (1800 * time.Millisecond).Seconds())
 		ratio := m.lowest(overload, anyBaseline, func(b trial.Result) float64 { return -goodput(b) }) / -goodput(m.homes[name][overload])
-		checkAtMost(t, name+": best baseline's goodput over that of homes at load 1.3", ratio, 1/1.3)
+		checkAtMost(t, name+": ratio of the best baseline's goodput to that of homes at load 1.3", ratio, 1/1.3)
 	}
 }
 
@@ -278,10 +278,10 @@
 	for load, bound := range fixedSeedBounds {
 		x := m.ratios(load)
 		t.Logf("load=%.2f ratios %+v", load, x)
-		checkAtMost(t, "periyar: stall over the best baseline's", x.stall, bound.stall)
-		checkAtMost(t, "matrica: preemptions over the best baseline's", x.preemptions, bound.preemptions)
-		checkAtMost(t, "matrica: longest gap over the best baseline's", x.longest, bound.longest)
-		checkAtMost(t, "matrica: longest gap over the watermark's", x.longestMark, bound.longestMark)
-		checkAtMost(t, "matrica: stall over the watermark's", x.stallMark, bound.stallMark)
+		checkAtMost(t, "periyar: ratio of stall to the best baseline's", x.stall, bound.stall)
+		checkAtMost(t, "matrica: ratio of preemptions to the best baseline's", x.preemptions, bound.preemptions)
+		checkAtMost(t, "matrica: ratio of the longest gap to the best baseline's", x.longest, bound.longest)
+		checkAtMost(t, "matrica: ratio of the longest gap to the watermark's", x.longestMark, bound.longestMark)
+		checkAtMost(t, "matrica: ratio of stall to the watermark's", x.stallMark, bound.stallMark)
 	}
 }
--- a/internal/core/placement/predict_test.go
+++ b/internal/core/placement/predict_test.go
@@ -22,7 +22,7 @@
 	firstTokenAt   map[string]time.Time
 	placedOn       map[string]string
 	announcedFirst map[string]bool
-	asks           map[string]Request
+	requests       map[string]Request
 	// grantedAt and refusedAt are the times of the decisions on an attempt.
 	grantedAt map[string]time.Time
 	refusedAt map[string]time.Time
@@ -37,7 +37,7 @@
 func newPredictSim(t *testing.T, paces ...time.Duration) *predictSim {
 	w := &predictSim{
 		t: t, now: start, pace: map[string]time.Duration{}, prefillUntil: map[string]time.Time{}, firstTokenAt: map[string]time.Time{},
-		placedOn: map[string]string{}, announcedFirst: map[string]bool{}, asks: map[string]Request{}, grantedAt: map[string]time.Time{}, refusedAt: map[string]time.Time{},
+		placedOn: map[string]string{}, announcedFirst: map[string]bool{}, requests: map[string]Request{}, grantedAt: map[string]time.Time{}, refusedAt: map[string]time.Time{},
 	}
 	w.home = NewHome(Settings{
 		Weights: config.Weights{Stall: 1, Preemptions: 1, Tail: 1}, Engine: true, Service: "s", Predict: true, PromptRate: simPrefillRate,
@@ -61,11 +61,11 @@
 func (w *predictSim) askShort(id string) { w.ask(id, "short", 2400, 50, 1500*time.Millisecond) }
 
 func (w *predictSim) ask(id, org string, prompt, maxOutput int, target time.Duration) {
-	w.asks[id] = Request{
-		Attempt: id, Org: org, Fingerprint: uint64(len(w.asks) + 1), Prompt: prompt, MaxOutput: maxOutput,
+	w.requests[id] = Request{
+		Attempt: id, Org: org, Fingerprint: uint64(len(w.requests) + 1), Prompt: prompt, MaxOutput: maxOutput,
 		FirstTarget: target, MaxWait: 3 * target,
 	}
-	w.record(w.home.Place(w.now, w.asks[id]))
+	w.record(w.home.Place(w.now, w.requests[id]))
 }
 
 // record applies decisions to the simulation.
@@ -78,7 +78,7 @@
 		case Refused:
 			w.refusedAt[d.Attempt] = w.now
 			if d.RetryAfter <= 0 {
-				w.t.Errorf("%s: refused without a Retry-After", d.Attempt)
+				w.t.Errorf("%s: refused without a Retry-After, want one above 0", d.Attempt)
 			}
 		}
 	}
@@ -91,7 +91,7 @@
 		begin = w.prefillUntil[upstream]
 	}
 	rate := simPrefillRate * 7 * time.Millisecond.Seconds() / w.pace[upstream].Seconds()
-	w.prefillUntil[upstream] = begin.Add(time.Duration(float64(w.asks[id].Prompt) / rate * float64(time.Second)))
+	w.prefillUntil[upstream] = begin.Add(time.Duration(float64(w.requests[id].Prompt) / rate * float64(time.Second)))
 	w.placedOn[id], w.firstTokenAt[id] = upstream, w.prefillUntil[upstream]
 }
 
@@ -100,7 +100,7 @@
 	const step = 20 * time.Millisecond
 	for end := w.now.Add(d); w.now.Before(end); {
 		w.now = w.now.Add(step)
-		for k := range len(w.asks) {
+		for k := range len(w.requests) {
 			w.progress(k)
 		}
 		if w.now.Sub(start)%(100*time.Millisecond) == 0 {
@@ -114,7 +114,7 @@
 // numbered so that the order of events is deterministic.
 func (w *predictSim) progress(k int) {
 	id := fmt.Sprintf("r%d", k)
-	upstream, req := w.placedOn[id], w.asks[id]
+	upstream, req := w.placedOn[id], w.requests[id]
 	if upstream == "" || w.dropFirstTokens {
 		return
 	}
@@ -138,13 +138,13 @@
 // announce sends the home an attempt's progress every half second.
 func (w *predictSim) announce(id string, s Progress) {
 	if w.now.Sub(start)%(500*time.Millisecond) == 0 {
-		w.home.RecordRunning(w.now, w.asks[id], w.placedOn[id], s)
+		w.home.RecordRunning(w.now, w.requests[id], w.placedOn[id], s)
 	}
 }
 
 // count returns the number of attempts on some upstreams whose number satisfies match.
 func (w *predictSim) count(match func(int) bool, upstreams ...string) (n int) {
-	for k := range len(w.asks) {
+	for k := range len(w.requests) {
 		for _, u := range upstreams {
 			if match(k) && w.placedOn[fmt.Sprintf("r%d", k)] == u {
 				n++
@@ -234,7 +234,7 @@
 }
 
 // Announcements of first tokens are lost as their entry fails. The upstream must get new work
-// once the prompts must have been computed, before the grants are dropped as orphans.
+// once the prompts have certainly been computed, before the grants are dropped as orphans.
 func TestLostFirstTokensBlockNobody(t *testing.T) {
 	w := newPredictSim(t, fastPace)
 	w.dropFirstTokens = true
@@ -303,7 +303,7 @@
 	}
 	w.advance(3 * time.Second)
 	for id, at := range arrived {
-		if w.firstTokenAt[id].IsZero() || w.firstTokenAt[id].Sub(at) > w.asks[id].FirstTarget {
+		if w.firstTokenAt[id].IsZero() || w.firstTokenAt[id].Sub(at) > w.requests[id].FirstTarget {
 			late++
 		}
 	}
@@ -357,8 +357,8 @@
 		w := newPredictSim(t, fastPace, fastPace, slowPace, fastPace)
 		for k := range 20 {
 			id := fmt.Sprintf("r%d", k)
-			w.asks[id] = Request{Attempt: id, Org: "long", Prompt: 3000, MaxOutput: 1500, Expected: hint, FirstTarget: 1800 * time.Millisecond, MaxWait: 5 * time.Second}
-			w.record(w.home.Place(w.now, w.asks[id]))
+			w.requests[id] = Request{Attempt: id, Org: "long", Prompt: 3000, MaxOutput: 1500, Expected: hint, FirstTarget: 1800 * time.Millisecond, MaxWait: 5 * time.Second}
+			w.record(w.home.Place(w.now, w.requests[id]))
 			w.advance(300 * time.Millisecond)
 		}
 		return w.placedOn
@@ -451,7 +451,7 @@
 		w.askShort(fmt.Sprintf("r%d", k))
 	}
 	w.advance(1200 * time.Millisecond)
-	req := w.asks["r0"]
+	req := w.requests["r0"]
 	d := w.home.refuse(w.now, w.now, &req, 0)
 	all := seconds((w.home.queue.cost + w.home.promises.cost) / w.home.drainRate(w.now))
 	if all < retryMin || d.RetryAfter < 2*all {
--- a/internal/core/placement/property_test.go
+++ b/internal/core/placement/property_test.go
@@ -20,10 +20,10 @@
 	home *Home
 	now  time.Time
 	rng  *rand.Rand
-	// asks holds the requests by attempt, askedAt when they were sent, state the last decision
-	// on each, placedOn the upstream granted.
-	asks     map[string]Request
-	askedAt  map[string]time.Time
+	// These maps are keyed by attempt: requests holds the request, sentAt the time at which it was
+	// sent, state the kind of the last decision on it, and placedOn the upstream that was granted.
+	requests map[string]Request
+	sentAt   map[string]time.Time
 	state    map[string]Kind
 	placedOn map[string]string
 	// leaving and lastReport hold the state of the upstreams by name.
@@ -44,7 +44,7 @@
 	return &homeSim{
 		home: NewHome(Settings{Weights: config.Weights{Stall: 1, Preemptions: 1, Tail: 1}, Engine: true}),
 		now:  time.Unix(1000, 0), rng: rand.New(rand.NewSource(seed)),
-		asks: map[string]Request{}, askedAt: map[string]time.Time{}, state: map[string]Kind{}, placedOn: map[string]string{},
+		requests: map[string]Request{}, sentAt: map[string]time.Time{}, state: map[string]Kind{}, placedOn: map[string]string{},
 		leaving: map[string]bool{}, lastReport: map[string]time.Time{},
 	}
 }
@@ -92,7 +92,7 @@
 	if w.rng.Intn(5) == 0 {
 		a.Exclude = []string{w.upstream()}
 	}
-	w.asks[id], w.askedAt[id] = a, w.now
+	w.requests[id], w.sentAt[id] = a, w.now
 	ds := w.home.Place(w.now, a)
 	w.checkDecisions(ds)
 	if w.state[id] == 0 {
@@ -126,7 +126,7 @@
 		return
 	}
 	kind, upstream := w.state[id], w.placedOn[id]
-	ds := w.home.Place(w.now, w.asks[id])
+	ds := w.home.Place(w.now, w.requests[id])
 	if kind == Granted && !w.takesWork(upstream) {
 		delete(w.state, id)
 		delete(w.placedOn, id)
@@ -137,7 +137,7 @@
 		return
 	}
 	if len(ds) != 1 || ds[0].Kind != kind || ds[0].Upstream != upstream {
-		w.fail("%s: repeated request = %+v, want %s on %q as before", id, ds, kind, upstream)
+		w.fail("%s: decisions on the repeated request = %+v, want %s on %q as before", id, ds, kind, upstream)
 	}
 }
 
@@ -147,7 +147,7 @@
 		return
 	}
 	delete(w.state, id)
-	w.checkDecisions(w.home.End(w.now, id, w.rng.Intn(w.asks[id].MaxOutput+1), w.rng.Intn(4) > 0))
+	w.checkDecisions(w.home.End(w.now, id, w.rng.Intn(w.requests[id].MaxOutput+1), w.rng.Intn(4) > 0))
 }
 
 func (w *homeSim) report(name string) {
@@ -163,11 +163,11 @@
 
 func (w *homeSim) announce() {
 	if id := w.randomAttempt(Granted); id != "" {
-		w.home.RecordRunning(w.now, w.asks[id], w.placedOn[id], Progress{Tokens: w.rng.Intn(w.asks[id].MaxOutput)})
+		w.home.RecordRunning(w.now, w.requests[id], w.placedOn[id], Progress{Tokens: w.rng.Intn(w.requests[id].MaxOutput)})
 	}
 }
 
-// toggleLeaving makes an upstream start or stop to report that it is leaving.
+// toggleLeaving makes an upstream start or stop reporting that it is leaving.
 func (w *homeSim) toggleLeaving() {
 	name := w.upstream()
 	w.leaving[name] = !w.leaving[name]
@@ -208,7 +208,7 @@
 }
 
 func (w *homeSim) checkGrant(d Decision) {
-	a := w.asks[d.Attempt]
+	a := w.requests[d.Attempt]
 	if w.state[d.Attempt] == Granted {
 		w.fail("%s: granted twice", d.Attempt)
 	}
@@ -238,7 +238,7 @@
 				suspects++
 			}
 			if g.index != i || g.upstream != u || w.home.granted[g.req.Attempt] != g {
-				w.fail("%s: the grant's index, upstream or map entry in the ledger is wrong", g.req.Attempt)
+				w.fail("%s: the grant's index or upstream differs from its place in the ledger, or the map by attempt holds another grant", g.req.Attempt)
 			}
 			p := g.req.Fingerprint
 			if byFingerprint[p] == nil {
--- a/internal/core/placement/queue.go
+++ b/internal/core/placement/queue.go
@@ -11,10 +11,10 @@
 // queuedRequest is a queued request.
 type queuedRequest struct {
 	req Request
-	// firstAsked is when the caller first sent the request, arrived when it sent it this time.
+	// firstSent is when the caller first sent the request, arrived when it sent it this time.
 	// They differ if the caller was refused and returned.
-	firstAsked time.Time
-	arrived    time.Time
+	firstSent time.Time
+	arrived   time.Time
 	// cost is the expected work: memory held times tokens produced; see Home.cost.
 	cost float64
 	// key orders the requests of an organisation. For a request with a first-token target it is
@@ -34,8 +34,8 @@
 
 // orgQueue holds the queue of one organisation.
 type orgQueue struct {
-	name string
-	asks requestHeap
+	name     string
+	requests requestHeap
 	// served is the cost granted so far, measured on the queue's virtual clock.
 	served float64
 }
@@ -109,16 +109,16 @@
 }
 
 func (q *queue) push(req Request, since time.Time, cost float64) *queuedRequest {
-	item := &queuedRequest{req: req, firstAsked: since, cost: cost}
+	item := &queuedRequest{req: req, firstSent: since, cost: cost}
 	item.key = q.keyOf(&req, since, cost)
 	q.cost += cost
 	q.byAttempt[req.Attempt] = item
 	o := q.org(req.Org)
-	if len(o.asks) == 0 {
+	if len(o.requests) == 0 {
 		q.waiting = append(q.waiting, o)
 		o.served = max(o.served, q.clock)
 	}
-	heap.Push(&o.asks, item)
+	heap.Push(&o.requests, item)
 	return item
 }
 
@@ -145,7 +145,7 @@
 func (q *queue) demote(missed func(item *queuedRequest) bool) []*queuedRequest {
 	var out []*queuedRequest
 	for _, o := range q.waiting {
-		for _, item := range slices.Clone(o.asks) {
+		for _, item := range slices.Clone(o.requests) {
 			if item.late || !missed(item) {
 				continue
 			}
@@ -153,7 +153,7 @@
 			q.lateCount++
 			q.lateCost += item.cost
 			item.key = item.key.Add(lateKeyDelay)
-			heap.Fix(&o.asks, item.index)
+			heap.Fix(&o.requests, item.index)
 			out = append(out, item)
 		}
 	}
@@ -190,7 +190,7 @@
 func (q *queue) overdue(now time.Time) []*queuedRequest {
 	var out []*queuedRequest
 	for _, o := range q.waiting {
-		for _, item := range o.asks {
+		for _, item := range o.requests {
 			if now.Sub(item.arrived) >= item.req.MaxWait {
 				out = append(out, item)
 			}
@@ -216,8 +216,8 @@
 		q.lateCost = max(q.lateCost-item.cost, 0)
 	}
 	o := q.orgs[item.req.Org]
-	heap.Remove(&o.asks, item.index)
-	if len(o.asks) > 0 {
+	heap.Remove(&o.requests, item.index)
+	if len(o.requests) > 0 {
 		return
 	}
 	for i, w := range q.waiting {
@@ -233,29 +233,30 @@
 	q.org(org).served += cost
 }
 
-// best returns the next request that is not in passed, late requests last. An organisation that
+// best returns the next request that is not in skipped, late requests last. An organisation that
 // has only late requests does not delay others.
-func (q *queue) best(passed map[*queuedRequest]bool) *queuedRequest {
+func (q *queue) best(skipped map[*queuedRequest]bool) *queuedRequest {
 	q.advanceClock()
-	if b := q.bestAmong(passed, false); b != nil {
+	if b := q.bestAmong(skipped, false); b != nil {
 		return b
 	}
-	return q.bestAmong(passed, true)
+	return q.bestAmong(skipped, true)
 }
 
-// bestAmong returns the next late request, or the next timely one, among the organisations whose
-// lead is within slack.
-func (q *queue) bestAmong(passed map[*queuedRequest]bool, late bool) *queuedRequest {
+// bestAmong returns the next late request if late is set, otherwise the next timely one. It
+// considers only organisations whose served cost exceeds the minimum by at most slack and whose
+// first request is not in skipped.
+func (q *queue) bestAmong(skipped map[*queuedRequest]bool, late bool) *queuedRequest {
 	minServed := math.Inf(1)
 	for _, o := range q.waiting {
-		if o.asks[0].late == late {
+		if o.requests[0].late == late {
 			minServed = min(minServed, o.served)
 		}
 	}
 	var best *queuedRequest
 	for _, o := range q.waiting {
-		head := o.asks[0]
-		if head.late != late || o.served > minServed+q.slack || passed[head] {
+		head := o.requests[0]
+		if head.late != late || o.served > minServed+q.slack || skipped[head] {
 			continue
 		}
 		if best == nil || head.before(best) {
@@ -277,14 +278,15 @@
 	q.clock = max(q.clock, minServed)
 }
 
-// dropIdleOrgs drops the organisations without requests whose served cost the clock has passed.
-// They start at the clock when they return, so that no state is lost.
+// dropIdleOrgs drops the organisations that have no requests and whose served cost is at most the
+// queue's clock. An organisation that returns starts at the clock in any case, so dropping its
+// served cost changes nothing.
 func (q *queue) dropIdleOrgs() {
 	if len(q.waiting) == 0 {
 		q.clock = q.maxServed()
 	}
 	for name, o := range q.orgs {
-		if len(o.asks) == 0 && o.served <= q.clock {
+		if len(o.requests) == 0 && o.served <= q.clock {
 			delete(q.orgs, name)
 		}
 	}
--- a/internal/core/placement/speed.go
+++ b/internal/core/placement/speed.go
@@ -21,7 +21,7 @@
 	// speedWeight is the weight of one measurement in an upstream's moving average. It is high,
 	// as upstreams are short-lived and may become slow.
 	speedWeight = 0.3
-	// slowerPaceWeight is that weight for a decode interval above the average. Most of these
+	// slowerPaceWeight replaces speedWeight for a decode interval above the average. Most of these
 	// were measured under continuous concurrent prefill.
 	slowerPaceWeight = 0.03
 	// poolSpeedWeight is the weight of one measurement in the moving average of the pool.
--- a/internal/core/placement/wait.go
+++ b/internal/core/placement/wait.go
@@ -39,7 +39,7 @@
 
 // predictWait returns the expected wait of a request: until the work ahead of it has drained,
 // while cheaper work continues to arrive. With Settings.Predict it is 0 for a request that can
-// still meet its deadline: that waits until the deadline at most and is then reconsidered.
+// still meet its deadline: such a request waits until the deadline at most and is then reconsidered.
 func (h *Home) predictWait(now, since time.Time, req *Request, cost float64) time.Duration {
 	if h.queue.len() == 0 {
 		return 0
@@ -95,8 +95,8 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// refuse refuses a request. Its Retry-After is the time until the queued work has drained, and
-// the work of the callers that were refused before and are expected to return.
+// refuse refuses a request. Its Retry-After is the time until both the queued work and the work of
+// the callers that were refused before and are expected to return have drained.
 func (h *Home) refuse(now, since time.Time, req *Request, cost float64) Decision {
 	rate, ahead := h.drainRate(now), h.queue.cost
 	if h.settings.Predict && req.FirstTarget > 0 {
@@ -114,10 +114,10 @@
 // is queued as if it had waited since its first request.
 type promise struct {
 	fingerprint uint64
-	// firstAsked is when the caller first sent the request, returnAt is the end of the
+	// firstSent is when the caller first sent the request, returnAt is the end of the
 	// Retry-After.
-	firstAsked, returnAt time.Time
-	cost                 float64
+	firstSent, returnAt time.Time
+	cost                float64
 }
 
 // promises holds the promises that callers have not yet redeemed.
@@ -135,40 +135,40 @@
 	if req.Fingerprint == 0 || p.byFingerprint[req.Fingerprint] != nil || len(p.byFingerprint) >= maxPromises {
 		return
 	}
-	made := &promise{fingerprint: req.Fingerprint, firstAsked: since, returnAt: now.Add(after), cost: cost}
-	p.byFingerprint[req.Fingerprint] = made
-	p.order = append(p.order, made)
+	pr := &promise{fingerprint: req.Fingerprint, firstSent: since, returnAt: now.Add(after), cost: cost}
+	p.byFingerprint[req.Fingerprint] = pr
+	p.order = append(p.order, pr)
 	p.cost += cost
 }
 
 // redeem returns the time from which a request counts as waiting: the time of the caller's first
 // request if it was refused then and has returned after the Retry-After, now otherwise.
 func (p *promises) redeem(now time.Time, req *Request) time.Time {
-	made := p.byFingerprint[req.Fingerprint]
-	if made == nil || now.Before(made.returnAt) {
+	pr := p.byFingerprint[req.Fingerprint]
+	if pr == nil || now.Before(pr.returnAt) {
 		return now
 	}
-	p.drop(made)
-	return made.firstAsked
+	p.drop(pr)
+	return pr.firstSent
 }
 
-func (p *promises) drop(made *promise) {
-	if p.byFingerprint[made.fingerprint] != made {
+func (p *promises) drop(pr *promise) {
+	if p.byFingerprint[pr.fingerprint] != pr {
 		return
 	}
-	delete(p.byFingerprint, made.fingerprint)
-	p.cost = max(p.cost-made.cost, 0)
+	delete(p.byFingerprint, pr.fingerprint)
+	p.cost = max(p.cost-pr.cost, 0)
 }
 
 // expire drops the promises whose callers did not return.
 func (p *promises) expire(now time.Time) {
 	for len(p.order) > 0 {
-		made := p.order[0]
-		live := p.byFingerprint[made.fingerprint] == made
-		if live && now.Sub(made.returnAt) < promiseTTL {
+		pr := p.order[0]
+		live := p.byFingerprint[pr.fingerprint] == pr
+		if live && now.Sub(pr.returnAt) < promiseTTL {
 			return
 		}
-		p.drop(made)
+		p.drop(pr)
 		p.order = p.order[1:]
 	}
 }
--- a/internal/core/pool/cordon_test.go
+++ b/internal/core/pool/cordon_test.go
@@ -68,7 +68,7 @@
 		s.advance(100 * time.Millisecond)
 	}
 	if n := s.countOn("u01") + s.countOn("u03"); n < 3 || n > 9 {
-		t.Errorf("generations on the two of six upstreams after the cordon = %d of 12, want 3 to 9", n)
+		t.Errorf("generations on u01 and u03, two of six upstreams, after the end of their cordon = %d of 12, want 3 to 9", n)
 	}
 }
 
@@ -79,7 +79,7 @@
 	for k := range 30 {
 		s.ask(fmt.Sprintf("a-%02d", k), 3000, 900)
 	}
-	waiting := len(s.asks) - len(s.granted) - len(s.refused)
+	waiting := len(s.requests) - len(s.granted) - len(s.refused)
 	s.cordon("u00", "u01")
 	s.now = s.now.Add(10 * time.Millisecond)
 	s.home.Tick(s.now)
@@ -153,7 +153,7 @@
 	allowed := []string{s.find("u01").DataCentre, s.find("u04").DataCentre}
 	ask := func(attempt string) {
 		a := placement.Request{Attempt: attempt, Org: "org", Prompt: 1000, MaxOutput: 900, Expected: 900, MaxWait: 3 * time.Second, DataCentres: allowed}
-		s.asks[attempt] = a
+		s.requests[attempt] = a
 		s.home.Place(s.now, entry, msg.GrantRequest{Pool: "pool", Request: a})
 		s.drain()
 	}
--- a/internal/core/pool/datacentre_test.go
+++ b/internal/core/pool/datacentre_test.go
@@ -13,7 +13,8 @@
 )
 
 // dataCentreSim simulates a pool of four upstreams in each of three data centres, and an entry in
-// each. Together the entries request 4.5 generations a second, about the load of the users.
+// each. Together the entries request 4.5 generations a second, about the load in deployments of this
+// system.
 type dataCentreSim struct {
 	*sim
 	// placed counts granted generations by the data centres of entry and upstream.
@@ -59,7 +60,7 @@
 	req := placement.Request{
 		Attempt: fmt.Sprintf("%s-%d", dc, a.halfSeconds), Org: "org", Prompt: 3000, MaxOutput: 900, Expected: 900, MaxWait: 3 * time.Second,
 	}
-	a.asks[req.Attempt] = req
+	a.requests[req.Attempt] = req
 	a.home.Place(a.now, a.entry(dc), msg.GrantRequest{Pool: "pool", Request: req})
 	a.drain()
 	if a.placed[dc] == nil {
@@ -84,7 +85,7 @@
 			delete(a.granted, attempt)
 			continue
 		}
-		m.Running = append(m.Running, msg.RunningAttempt{Request: a.asks[attempt], Upstream: up, Tokens: int(age / (10 * time.Millisecond))})
+		m.Running = append(m.Running, msg.RunningAttempt{Request: a.requests[attempt], Upstream: up, Tokens: int(age / (10 * time.Millisecond))})
 	}
 	a.home.Announce(a.now, a.entry(dc), m)
 }
--- a/internal/core/pool/evacuate.go
+++ b/internal/core/pool/evacuate.go
@@ -172,7 +172,7 @@
 	return time.Duration(p.Remaining * float64(p.TokenTime))
 }
 
-// value returns the work that is lost if a generation is, in prompt tokens.
+// value returns the work that the loss of a generation would waste, in prompt tokens.
 func value(p placement.RunningGeneration) float64 {
 	return float64(p.Request.Prompt) + outputValue*(float64(p.Tokens)+p.Remaining)
 }
--- a/internal/core/pool/failing_test.go
+++ b/internal/core/pool/failing_test.go
@@ -66,6 +66,6 @@
 		}
 	}
 	if rate := s.home.failureRate(s.now, "u01"); rate != 0 {
-		t.Errorf("failure rate = %.2f, want 0", rate)
+		t.Errorf("failure rate of u01, which is leaving and cut its streams, = %.2f, want 0", rate)
 	}
 }
--- a/internal/core/pool/pool.go
+++ b/internal/core/pool/pool.go
@@ -87,7 +87,7 @@
 	unreachable map[string]time.Time
 	// failures holds the recent outcomes of each upstream.
 	failures map[string]*health.Record
-	// ownNotices holds when each upstream reported itself that it is leaving.
+	// ownNotices holds when each upstream itself reported that it is leaving.
 	ownNotices map[string]time.Time
 	probedAt   map[string]time.Time
 	// lastOrder is the number of the last move order.
--- a/internal/core/pool/pool_test.go
+++ b/internal/core/pool/pool_test.go
@@ -16,8 +16,8 @@
 
 var start = time.Unix(1000, 0)
 
-// engine describes a pool of small engines like those of the users: each has memory for eight
-// generations, and a copy of 3,200 tokens takes 0.18 s.
+// engine describes a pool of small engines like those in deployments of this system: each has
+// memory for eight generations, and a copy of 3,200 tokens takes 0.18 s.
 var engine = route.Engine{
 	Slots: 24, MemoryToken: 34_000, TokenBytes: 18_432, LinkMbps: 2_700,
 	Moves: true, Backups: true, CopyTTL: 5 * time.Second, EventTokens: 4,
@@ -35,10 +35,10 @@
 	list []*roster.Upstream
 	// granted maps running attempts to upstreams, refused maps refused ones to their Retry-After,
 	// orders lists all move orders received.
-	granted map[string]string
-	refused map[string]time.Duration
-	orders  []msg.MoveOrder
-	asks    map[string]placement.Request
+	granted  map[string]string
+	refused  map[string]time.Duration
+	orders   []msg.MoveOrder
+	requests map[string]placement.Request
 	// prefilledAt is when the prefill of an attempt ends, announcedFirst is set once the home was
 	// notified of the first token. prefillUntil is when the last prefill of each upstream ends.
 	prefilledAt    map[string]time.Time
@@ -52,7 +52,7 @@
 }
 
 func newSim(t *testing.T, upstreams int) *sim {
-	s := &sim{t: t, now: start, home: NewHome("pool", engine, 0, 0), granted: map[string]string{}, refused: map[string]time.Duration{}, asks: map[string]placement.Request{}, prefilledAt: map[string]time.Time{}, announcedFirst: map[string]bool{}, prefillUntil: map[string]time.Time{}}
+	s := &sim{t: t, now: start, home: NewHome("pool", engine, 0, 0), granted: map[string]string{}, refused: map[string]time.Duration{}, requests: map[string]placement.Request{}, prefilledAt: map[string]time.Time{}, announcedFirst: map[string]bool{}, prefillUntil: map[string]time.Time{}}
 	for k := range upstreams {
 		s.join(fmt.Sprintf("u%02d", k))
 	}
@@ -109,7 +109,7 @@
 	if s.prefillUntil[upstream].After(begin) {
 		begin = s.prefillUntil[upstream]
 	}
-	end := begin.Add(time.Duration(float64(s.asks[attempt].Prompt) / simPrefillRate * float64(time.Second)))
+	end := begin.Add(time.Duration(float64(s.requests[attempt].Prompt) / simPrefillRate * float64(time.Second)))
 	s.prefillUntil[upstream], s.prefilledAt[attempt] = end, end
 }
 
@@ -128,7 +128,7 @@
 func (s *sim) announce() {
 	var running []msg.RunningAttempt
 	for _, attempt := range slices.Sorted(maps.Keys(s.granted)) {
-		req, tokens := s.asks[attempt], max(int(s.now.Sub(s.prefilledAt[attempt])/tokenTime), 0)
+		req, tokens := s.requests[attempt], max(int(s.now.Sub(s.prefilledAt[attempt])/tokenTime), 0)
 		if tokens >= req.MaxOutput {
 			s.home.End(s.now, msg.GrantEnd{Pool: "pool", Attempt: attempt, Tokens: req.MaxOutput})
 			delete(s.granted, attempt)
@@ -171,7 +171,7 @@
 		Attempt: attempt, Org: "org", Prompt: prompt, MaxOutput: output, Expected: output, MaxWait: 3 * time.Second,
 		FirstTarget: 1500 * time.Millisecond,
 	}
-	s.asks[attempt] = req
+	s.requests[attempt] = req
 	s.home.Place(s.now, entry, msg.GrantRequest{Pool: "pool", Request: req})
 	s.drain()
 }
@@ -349,7 +349,7 @@
 		n := len(s.orders)
 		s.advance(200 * time.Millisecond)
 		if len(s.orders) == n {
-			t.Fatalf("no further move order after %d, want a retry", n)
+			t.Fatalf("move orders = %d after the retry delay, unchanged; want one more", n)
 		}
 	}
 }
@@ -387,7 +387,7 @@
 			t.Errorf("%s: neither granted nor refused", id)
 		}
 		if refused && after <= 0 {
-			t.Errorf("%s: refused without a Retry-After", id)
+			t.Errorf("%s: refused without a Retry-After, want one above 0", id)
 		}
 	}
 }
@@ -424,7 +424,7 @@
 	s.ask("new", 3000, 900)
 	s.sync() // the listing does not show u02 as leaving
 	if s.granted["new"] == "u02" || len(s.orders) != 1 {
-		t.Error("u02 got work or was ordered again after an outdated listing, want its own notice to prevail")
+		t.Error("after an outdated listing: u02 got a new request or a second move order, want neither, as its own notice prevails")
 	}
 }
 
@@ -456,7 +456,7 @@
 	for k := range 5 {
 		id := fmt.Sprintf("d-%d", k)
 		req := placement.Request{Attempt: id, Org: "org", Prompt: 3000, MaxOutput: 900, Expected: 900}
-		s.asks[id] = req
+		s.requests[id] = req
 		s.home.Announce(s.now, entry, msg.Announce{Pool: "pool", Running: []msg.RunningAttempt{{Request: req, Upstream: "u01", Tokens: 300}}})
 	}
 	big := placement.Request{Attempt: "big", Org: "org", Prompt: 9000, MaxOutput: 2000, Expected: 2000}
@@ -527,8 +527,8 @@
 			t.Errorf("interval for %d generations = %v, want %v", running, got, want)
 		}
 	}
-	const bytes = 89 // size of one generation in an announcement
-	if rate := 175 * bytes / AnnouncePause(175).Seconds(); rate > 12_000 {
+	const generationBytes = 89 // size of one generation in an announcement
+	if rate := 175 * generationBytes / AnnouncePause(175).Seconds(); rate > 12_000 {
 		t.Errorf("traffic for 175 generations = %.0f bytes a second, want at most 12000", rate)
 	}
 }
--- a/internal/core/pool/upstreams.go
+++ b/internal/core/pool/upstreams.go
@@ -124,7 +124,7 @@
 }
 
 // dropUnlisted drops an upstream that is no longer listed once it is idle or evacuationTimeout has
-// passed. Until then the upstream may still serve, so that its generations are moved as if it were
+// passed. Until then the upstream may still serve, so its generations are moved as if it were
 // leaving.
 func (h *Home) dropUnlisted(now time.Time, id string) {
 	u := h.upstreams[id]
--- a/internal/core/poolhome.go
+++ b/internal/core/poolhome.go
@@ -30,10 +30,11 @@
 	lastPolled time.Time
 	// entries maps attempts to the entries that requested or announced them.
 	entries map[string]requester
-	// boots maps upstreams to the run of their process as of the last report.
+	// boots maps upstreams to the boot stated in their last report. A boot identifies one run of
+	// an upstream's process.
 	boots  map[string]string
 	orders map[string]*order.Machine
-	// crashedBoots maps upstreams to the run that ended in their last crash.
+	// crashedBoots maps upstreams to the boot that ended in their last crash.
 	crashedBoots map[string]string
 	// leaving records for each upstream whether its last report, or the instance list at that time,
 	// said that it is leaving.
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -134,7 +134,7 @@
 // budget must not end as NotRun, as an engine has worked on it.
 func (r *request) mayHaveRun() bool { return r.earlierSent || r.run.sent }
 
-func (r *request) engine() bool { return r.service.Kind == config.KindEngine }
+func (r *request) isEngine() bool { return r.service.Kind == config.KindEngine }
 
 func (r *request) currentPool() *config.Pool { return r.place.pools[r.place.poolIndex] }
 
--- a/internal/core/reserve.go
+++ b/internal/core/reserve.go
@@ -47,7 +47,7 @@
 
 // maxCost returns the price of a plain call, or of a generation that produces MaxTokens tokens.
 func (r *request) maxCost() config.Money {
-	if !r.engine() {
+	if !r.isEngine() {
 		return r.service.CallPrice
 	}
 	return r.cost(r.MaxTokens)
@@ -141,7 +141,7 @@
 	switch {
 	case !r.run.sent || f.Outcome == NotRun:
 		used = 0
-	case f.Outcome == Done && r.engine():
+	case f.Outcome == Done && r.isEngine():
 		used = r.cost(f.Tokens)
 	case r.run.producedKnown:
 		used = min(used, r.cost(r.run.produced))
--- a/internal/core/resume.go
+++ b/internal/core/resume.go
@@ -76,8 +76,9 @@
 	return Finish{Status: status.BadRequest, Reason: ReasonBadHandle, Step: "resume"}
 }
 
-// adoptGeneration takes over a generation that another entry or this one has started. Its events
-// get a new handle with this request's id, so that the entry of the next resume notifies this one.
+// adoptGeneration takes over a generation that this instance or another entry has started. The
+// generation's events get a new handle with the id of request r, so that the entry which handles
+// the next resume notifies this instance.
 func (i *Instance) adoptGeneration(now time.Time, r *request, h stream.Handle, next int) {
 	r.service = r.version.Service(h.Service)
 	r.attempt = h.Generation
@@ -99,7 +100,7 @@
 	i.resumeReading(now, r)
 }
 
-// notifyPreviousEntry notifies the previous entry that this one has adopted the generation. If the
+// notifyPreviousEntry notifies the previous entry that this instance has adopted the generation. If the
 // message is lost, that entry settles the reservation at its maximum after the resume window.
 func (i *Instance) notifyPreviousEntry(now time.Time, r *request, h stream.Handle) {
 	for _, old := range i.requests {
@@ -195,7 +196,7 @@
 		i.wakeAt(r, i.nextCheck(r, i.silenceTimeout(r)))
 		return
 	}
-	if r.phase == phaseRunning && r.engine() {
+	if r.phase == phaseRunning && r.isEngine() {
 		// The caller has received no event id, so that nobody can resume the generation.
 		i.emit(CloseUpstream{Attempt: r.attempt})
 		i.emit(Cancel{Address: r.run.address, Attempt: r.attempt})
--- a/internal/core/roster/group.go
+++ b/internal/core/roster/group.go
@@ -71,11 +71,11 @@
 		return Undivided(name)
 	}
 	index, err := strconv.Atoi(parts[n-2])
-	of, err2 := strconv.Atoi(parts[n-1])
-	if err != nil || err2 != nil || of < 1 || index < 0 || index >= of {
+	count, err2 := strconv.Atoi(parts[n-1])
+	if err != nil || err2 != nil || count < 1 || index < 0 || index >= count {
 		return Undivided(name)
 	}
-	return Group{Service: strings.Join(parts[:n-3], "/"), DataCentre: parts[n-3], Index: index, Count: of}
+	return Group{Service: strings.Join(parts[:n-3], "/"), DataCentre: parts[n-3], Index: index, Count: count}
 }
 
 // Layout maps a service and a data centre to a number of groups. Services that it does not
@@ -84,11 +84,11 @@
 
 // GroupOf returns the group that the upstream of an entry belongs to.
 func (l Layout) GroupOf(e Entry) Group {
-	of := l[e.Service][e.DataCentre]
-	if of == 0 {
+	count := l[e.Service][e.DataCentre]
+	if count == 0 {
 		return Undivided(e.Service)
 	}
-	return Group{Service: e.Service, DataCentre: e.DataCentre, Index: groupIndex(e.ID, of), Count: of}
+	return Group{Service: e.Service, DataCentre: e.DataCentre, Index: groupIndex(e.ID, count), Count: count}
 }
 
 // groupIndex hashes a name to an index from 0 to n-1.
@@ -98,9 +98,9 @@
 // dataCentre is "".
 func (l Layout) Groups(service, dataCentre string) []Group {
 	var out []Group
-	for dc, of := range l[service] {
-		for k := 0; k < of && (dataCentre == "" || dc == dataCentre); k++ {
-			out = append(out, Group{Service: service, DataCentre: dc, Index: k, Count: of})
+	for dc, count := range l[service] {
+		for k := 0; k < count && (dataCentre == "" || dc == dataCentre); k++ {
+			out = append(out, Group{Service: service, DataCentre: dc, Index: k, Count: count})
 		}
 	}
 	slices.SortFunc(out, compareGroups)
@@ -160,11 +160,11 @@
 			return before
 		}
 	}
-	of := 1
-	for of*maxGroupSize < n {
-		of *= 2
+	count := 1
+	for count*maxGroupSize < n {
+		count *= 2
 	}
-	return of
+	return count
 }
 
 // Has reports whether a group exists in the layout.
@@ -183,8 +183,8 @@
 		if len(byDataCentre) != len(o[service]) {
 			return false
 		}
-		for dc, of := range byDataCentre {
-			if o[service][dc] != of {
+		for dc, count := range byDataCentre {
+			if o[service][dc] != count {
 				return false
 			}
 		}
--- a/internal/core/roster/group_test.go
+++ b/internal/core/roster/group_test.go
@@ -194,7 +194,7 @@
 	}
 	follower.Keep(nil)
 	if len(follower.UpstreamsOf("large")) != 0 || len(follower.UpstreamsOf("small")) != 6 || follower.HasGroup(own[0]) {
-		t.Error("Keep(nil) must drop the groups of the divided service and keep the undivided one")
+		t.Error("Keep(nil) kept a group of the divided service or dropped an upstream of the undivided one, want 0 groups and 6 upstreams")
 	}
 }
 
--- a/internal/core/roster/roster_test.go
+++ b/internal/core/roster/roster_test.go
@@ -41,7 +41,7 @@
 	}
 	r.Update(start, []Change{listed("a", 7)}, 7)
 	if r.Find("a").TakesWork() || r.Newest() != 9 {
-		t.Errorf("after a stale entry: upstream a accepts work although it is leaving, or the newest version is %d instead of 9", r.Newest())
+		t.Errorf("after a stale entry: upstream a accepts work although it is leaving, or the newest version = %d, want 9", r.Newest())
 	}
 	r.Update(start, []Change{{ID: "a", Version: 12, Removed: true}}, 12)
 	r.Update(start, []Change{listed("a", 10)}, 10)
@@ -74,7 +74,7 @@
 		t.Fatalf("left = %v after expiryGrace, want b, whose entry was not renewed", names(left))
 	}
 	if !r.Find("a").TakesWork() || r.Find("b") != nil {
-		t.Error("want upstream a, whose entry was renewed, to accept work and upstream b to be dropped")
+		t.Error("after expiryGrace: upstream a accepts no work although its entry was renewed, or upstream b is still known, want a to accept work and b dropped")
 	}
 }
 
@@ -111,7 +111,7 @@
 	restarted.Entry.Born = 2
 	left := r.Update(start, []Change{restarted}, 2)
 	if r.Find("a") == old || !old.Removed || len(left) != 1 || !r.Find("a").TakesWork() {
-		t.Error("want a new upstream for the new run and the upstream of the old run removed")
+		t.Error("after a restart: the upstream of the old run is still in use or not removed, or that of the new run accepts no work, want the old one replaced by a new one")
 	}
 }
 
--- a/internal/core/run.go
+++ b/internal/core/run.go
@@ -22,7 +22,7 @@
 	i.wakeAt(r, now.Add(i.silenceTimeout(r)))
 	i.emit(Dispatch{
 		Request: r.ID, Attempt: r.attempt, Upstream: r.run.upstream, Address: r.run.address, Link: r.run.link,
-		Engine: r.engine(), Method: r.Method, Path: r.Path, Body: r.Body, MaxToken: r.MaxTokens, Key: r.IdempotencyKey,
+		Engine: r.isEngine(), Method: r.Method, Path: r.Path, Body: r.Body, MaxToken: r.MaxTokens, Key: r.IdempotencyKey,
 		Priority: r.run.priority, SendBefore: r.run.sendBefore, Timeout: r.service.Timeout.D(),
 	})
 }
@@ -30,7 +30,7 @@
 // silenceTimeout returns how long the upstream may be silent. Plain services send their complete
 // answer at once, within the service's timeout.
 func (i *Instance) silenceTimeout(r *request) time.Duration {
-	if r.engine() {
+	if r.isEngine() {
 		return progressTimeout
 	}
 	return r.service.Timeout.D()
@@ -118,7 +118,7 @@
 func (i *Instance) failForeign(now time.Time, r *request) {
 	i.count("tokens_dropped_total", "foreign")
 	i.emit(CloseUpstream{Attempt: r.attempt})
-	i.attemptFailed(now, r, UpstreamFailed{Sent: true, NotFound: true, Step: "stream", Err: "another generation"})
+	i.attemptFailed(now, r, UpstreamFailed{Sent: true, NotFound: true, Step: "stream", Err: "the engine restarted and sent tokens of another generation under the attempt's id"})
 }
 
 func (i *Instance) onAlive(now time.Time, e UpstreamAlive) {
@@ -183,8 +183,8 @@
 	i.finish(now, r, f)
 }
 
-// onRunTimeout resumes after a backoff, resumes or fails an attempt that has been silent for too
-// long, and abandons a generation without a caller.
+// onRunTimeout starts a resume whose backoff has ended, resumes or fails an attempt that has been
+// silent for too long, and abandons a generation without a caller.
 func (i *Instance) onRunTimeout(now time.Time, r *request) {
 	if r.disconnected && now.Sub(r.disconnectedAt) >= i.abandonTimeout(r) {
 		i.abandon(now, r)
@@ -200,7 +200,7 @@
 		return
 	}
 	i.emit(CloseUpstream{Attempt: r.attempt})
-	if !r.engine() {
+	if !r.isEngine() {
 		i.attemptFailed(now, r, UpstreamFailed{Sent: true, Step: "await", Err: "timeout"})
 		return
 	}
@@ -226,7 +226,7 @@
 	i.recordDecision(now, r.ID, "failed", "upstream", r.run.upstream, "step", e.Step, "error", e.Err, "sent", e.Sent)
 	// A resumed generation was sent over its first connection.
 	e.Sent = e.Sent || r.run.link > 1
-	if r.engine() && e.Sent && !e.NotFound {
+	if r.isEngine() && e.Sent && !e.NotFound {
 		i.resumeOrFail(now, r, "broken")
 		return
 	}
--- a/internal/core/simulation_test.go
+++ b/internal/core/simulation_test.go
@@ -66,7 +66,7 @@
 	// left unfinished.
 	exitCount int
 	cutOff    []string
-	// resets counts connections that were reset because the peer did not answer.
+	// resets counts connections that were reset because the peer did not reply.
 	resets int
 	reads  int
 	// heldCalls are the calls that wait for resolveCall.
@@ -301,7 +301,7 @@
 	callSucceeds = iota
 	callReplyLost
 	callLost
-	callLandsLate
+	callAppliedLate
 	// callResults is the number of results.
 	callResults
 )
@@ -321,7 +321,7 @@
 		res = sim.table.Apply(h.commit.Tx)
 	case callReplyLost:
 		sim.table.Apply(h.commit.Tx)
-	case callLandsLate:
+	case callAppliedLate:
 		sim.lateTxs = append(sim.lateTxs, h.commit.Tx)
 	}
 	sim.handle(h.owner, core.CommitResult{Op: h.commit.Op, Result: res})
--- a/internal/core/verdict.go
+++ b/internal/core/verdict.go
@@ -33,7 +33,7 @@
 	// running on the upstream.
 	heldRequests []heldRequest
 	heldEnds     []msg.GrantEnd
-	// fingerprints maps the fingerprints of the failed attempts to the run (boot) of the upstream.
+	// fingerprints maps the fingerprints of the failed attempts to the boot on which they failed.
 	fingerprints map[uint64]string
 	timedOut     bool
 }
@@ -61,8 +61,8 @@
 }
 
 // awaitVerdict holds a retry until the verdict on the upstream of its previous attempt is known, and
-// reports whether it does so. Without the wait, a request that crashes upstreams would reach the next upstream before
-// its first strike.
+// reports whether the retry is held. Without the wait, a request that crashes upstreams would reach
+// the next upstream before its first strike.
 func (i *Instance) awaitVerdict(now time.Time, h *poolHome, from string, m msg.GrantRequest) bool {
 	if m.FailedUpstream == "" {
 		return false
@@ -100,7 +100,7 @@
 }
 
 // holdFailedGrant keeps the grant of a failed attempt until the verdict on the upstream is known, and
-// reports whether it does so.
+// reports whether the grant is kept.
 func (i *Instance) holdFailedGrant(now time.Time, h *poolHome, m msg.GrantEnd) bool {
 	if !m.Failed || m.Boot == "" || i.version.PoolOf(m.Upstream) != h.pool {
 		return false
