--- a/client/client.go
+++ b/client/client.go
@@ -67,7 +67,7 @@
 type Options struct {
 	// Seeds are caller addresses (host:port) of any instances. The client
 	// requests the list of entries from them at first and when none of the
-	// entries that it knows answers.
+	// entries that it knows responds.
 	Seeds []string
 	// APIKey authenticates the organisation.
 	APIKey string
@@ -173,7 +173,7 @@
 // refresh fetches the list of entries once the cached list has expired or all
 // cached entries have failed recently. Only one request at a time fetches; the
 // others continue with the cached list, so that an instance that does not
-// answer delays only the fetching request.
+// respond delays only the fetching request.
 func (c *Client) refresh(ctx context.Context) {
 	c.mu.Lock()
 	now := time.Now()
--- a/internal/apply/apply.go
+++ b/internal/apply/apply.go
@@ -43,10 +43,10 @@
 		c.Number, c.Operator, c.ApplyID, c.Number)
 }
 
-// Undecided is the error for an apply of which it is unknown whether it took
-// effect: its write was sent, and either neither a reply to it nor the version
-// row could be read, or the write may still be in transit. Repeating the same
-// apply with its id and base resolves the outcome.
+// Undecided is the error for an apply that may or may not have taken effect: its
+// write was sent, and either neither a reply nor the version row could be read,
+// or the write may still be in transit. Repeating the same apply with its id and
+// base resolves the outcome.
 type Undecided struct {
 	ApplyID string
 	Base    int64
@@ -56,7 +56,7 @@
 
 // Error implements error.
 func (u *Undecided) Error() string {
-	return fmt.Sprintf("the outcome is not known: repeat it with -id %s -base %d: %v", u.ApplyID, u.Base, u.Err)
+	return fmt.Sprintf("the outcome is not known: repeat the command with -id %s -base %d: %v", u.ApplyID, u.Base, u.Err)
 }
 
 // Unwrap returns the reason why the outcome is unknown.
--- a/internal/apply/apply_test.go
+++ b/internal/apply/apply_test.go
@@ -21,9 +21,9 @@
 // as unknown.
 const (
 	commits      = iota // the transaction is executed and its result returned
-	losesReply          // the transaction is executed
+	losesReply          // the transaction is executed, but its result is lost
 	losesWrite          // the transaction is not executed
-	appliesLater        // the transaction is executed by applyLateWrites
+	appliesLater        // the transaction is executed later, by applyLateWrites
 	outage              // the transaction is executed, and reads fail until down is reset
 	behaviourCount
 )
--- a/internal/apply/remote.go
+++ b/internal/apply/remote.go
@@ -50,7 +50,7 @@
 	}
 }
 
-// result returns the result of Apply or Cordon that the answer was made from.
+// result returns the result of Apply or Cordon that the response was made from.
 func (a Result) result() (core.ConfigPointer, error) {
 	switch {
 	case a.Applied != nil:
--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -19,7 +19,7 @@
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
 		// Linux has had this clock since 2.6.39. Without it the age of a confirmation
 		// is unknown, and continuing to serve would break the limit on revocation time.
-		panic("boottime: " + err.Error())
+		panic("boottime: read CLOCK_BOOTTIME: " + err.Error())
 	}
 	return time.Unix(ts.Unix())
 }
--- a/internal/cli/apply_test.go
+++ b/internal/cli/apply_test.go
@@ -35,7 +35,7 @@
 	}
 	defer srv.Close()
 	platformFlag := "-platform=http://" + srv.Address()
-	periyar, matrica := filepath.Join(examples, "periyar"), filepath.Join(examples, "matrica")
+	firstDir, otherDir := filepath.Join(examples, "periyar"), filepath.Join(examples, "matrica")
 	for _, c := range []struct {
 		name string
 		cmd  subcommands.Command
@@ -43,14 +43,14 @@
 		want subcommands.ExitStatus
 		down bool
 	}{
-		{"first", &applyCmd{}, []string{platformFlag, "-f", periyar, "-id", "a", "-base", "0"}, exitOK, false},
-		{"diff", &diffCmd{}, []string{platformFlag, matrica}, exitOK, false},
-		{"conflict", &applyCmd{}, []string{platformFlag, "-f", matrica, "-id", "b", "-base", "0"}, exitConflict, false},
-		{"repeat", &applyCmd{}, []string{platformFlag, "-f", periyar, "-id", "a", "-base", "0"}, exitOK, false},
-		{"on the version in force", &applyCmd{}, []string{platformFlag, "-f", matrica}, exitOK, false},
-		{"neither platform nor operator address", &applyCmd{}, []string{"-f", matrica}, exitUsage, false},
+		{"first", &applyCmd{}, []string{platformFlag, "-f", firstDir, "-id", "a", "-base", "0"}, exitOK, false},
+		{"diff", &diffCmd{}, []string{platformFlag, otherDir}, exitOK, false},
+		{"conflict", &applyCmd{}, []string{platformFlag, "-f", otherDir, "-id", "b", "-base", "0"}, exitConflict, false},
+		{"repeat", &applyCmd{}, []string{platformFlag, "-f", firstDir, "-id", "a", "-base", "0"}, exitOK, false},
+		{"on the version in force", &applyCmd{}, []string{platformFlag, "-f", otherDir}, exitOK, false},
+		{"neither platform nor operator address", &applyCmd{}, []string{"-f", otherDir}, exitUsage, false},
 		{"empty directory", &applyCmd{}, []string{platformFlag, "-f", t.TempDir()}, exitUsage, false},
-		{"store down", &applyCmd{}, []string{platformFlag, "-f", matrica}, exitFailed, true},
+		{"store down", &applyCmd{}, []string{platformFlag, "-f", otherDir}, exitFailed, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p.SetFaults(platform.Faults{Down: c.down})
--- a/internal/cli/experiment.go
+++ b/internal/cli/experiment.go
@@ -63,7 +63,7 @@
 	}
 	switch {
 	case c.ablate && c.ways:
-		return fail(exitUsage, errors.New("experiment: set one of -ablate and -ways"))
+		return fail(exitUsage, errors.New("experiment: set only one of -ablate and -ways"))
 	case c.ablate:
 		e.Ablate()
 	case c.ways:
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -96,14 +96,14 @@
 }
 
 // The platform is unreachable before an instance starts. The loop must continue, so that
-// operators and callers get a response (callers: not ready yet), and the instance must stop when
-// asked to. Nothing may block on a call to the platform.
+// operators and callers get a response (callers a refusal: not ready), and the instance must stop
+// when asked to. Nothing may block on a call to the platform.
 func TestUnresponsivePlatformDoesNotBlockInstance(t *testing.T) {
 	d, stop := startDaemon(t, http.NotFoundHandler())
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	if _, err := d.Entries(ctx, ""); err != nil {
-		t.Errorf("Entries with an unresponsive platform: %v", err)
+		t.Errorf("Entries with an unresponsive platform: error %v, want none", err)
 	}
 	id, sink := d.Request(core.CallerRequest{Model: "any"})
 	testkit.Eventually(t, testTimeout, "the request is refused", func() bool {
@@ -112,7 +112,7 @@
 	})
 	d.Leave(id, sink)
 	if err := stop(); err != nil {
-		t.Errorf("stop with an unresponsive platform: %v", err)
+		t.Errorf("stop with an unresponsive platform: error %v, want none", err)
 	}
 }
 
@@ -137,7 +137,7 @@
 	select {
 	case <-done:
 	case <-time.After(testTimeout):
-		t.Error("submit blocks on a stopped loop")
+		t.Error("submit or Entries did not return on a stopped instance within the timeout, want both to return")
 	}
 }
 
@@ -147,7 +147,7 @@
 	firstWritten, stopping := make(chan struct{}), make(chan struct{})
 	d, stop := startDaemon(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		fmt.Fprint(w, "first ")
-		_ = http.NewResponseController(w).Flush() // an error shows as a wrong body at the reader below
+		_ = http.NewResponseController(w).Flush() // after an error the body received below differs
 		close(firstWritten)
 		<-stopping
 		time.Sleep(50 * time.Millisecond) // gives the shutdown time to begin
@@ -177,7 +177,7 @@
 			t.Errorf("the caller received %q, want the complete response", body)
 		}
 	case <-time.After(testTimeout):
-		t.Error("the caller did not receive the end of the response")
+		t.Error("the caller did not receive the end of the response within the timeout")
 	}
 }
 
@@ -213,7 +213,7 @@
 	d.loop.pause.Lock()
 	id, sink := d.Request(core.CallerRequest{Model: "any"})
 	if _, f := sink.Take(); f != nil {
-		t.Errorf("request to a frozen instance ended with %+v, want no outcome yet", f)
+		t.Errorf("request to a paused instance ended with %+v, want no outcome yet", f)
 	}
 	d.loop.pause.Unlock()
 	testkit.Eventually(t, testTimeout, "the request ends after the instance continues", func() bool {
--- a/internal/daemon/sink_test.go
+++ b/internal/daemon/sink_test.go
@@ -15,7 +15,7 @@
 		s.deliver(core.Deliver{Index: n})
 	}
 	if tokens, _ := s.Take(); len(tokens) != maxBacklogTokens || s.Overflowed() {
-		t.Fatalf("backlog at its limit: %d tokens, cut off = %t; want %d and false", len(tokens), s.Overflowed(), maxBacklogTokens)
+		t.Fatalf("backlog at its limit: %d tokens, overflowed = %t; want %d and false", len(tokens), s.Overflowed(), maxBacklogTokens)
 	}
 	for n := range 3 * maxBacklogTokens {
 		s.deliver(core.Deliver{Index: n})
@@ -24,6 +24,6 @@
 		}
 	}
 	if tokens, _ := s.Take(); len(tokens) != 0 || !s.Overflowed() {
-		t.Errorf("backlog beyond its limit: %d tokens returned after a gap, cut off = %t; want none and true", len(tokens), s.Overflowed())
+		t.Errorf("backlog beyond its limit: %d tokens returned after a gap, overflowed = %t; want none and true", len(tokens), s.Overflowed())
 	}
 }
--- a/internal/hosted/exchange.go
+++ b/internal/hosted/exchange.go
@@ -154,8 +154,8 @@
 	})
 }
 
-// roundTrip sends the request and forwards the response on a connection, which it then returns
-// to the pool or closes.
+// roundTrip sends the request on a connection, forwards the response, and then returns the
+// connection to the pool or closes it.
 func (x *exchange) roundTrip(c *conn.Conn, a *forward.Attempt) (forward.Outcome, error) {
 	pooled := false
 	defer func() {
--- a/internal/hosted/fleet.go
+++ b/internal/hosted/fleet.go
@@ -87,7 +87,7 @@
 // fleet relays forward it to other data centres.
 func (f *peers) sendHeartbeats() {
 	f.sendHeartbeatsTo(func(string) bool { return true })
-	f.sendDueAnnouncements()
+	f.sendDuePresences()
 }
 
 // sendHeartbeatsTo sends a heartbeat to the instances of the selected data centres.
--- a/internal/hosted/follow.go
+++ b/internal/hosted/follow.go
@@ -49,7 +49,7 @@
 	// those about upstreams that left, per response.
 	maxChangeLogLines = 16
 	// sourceCheckInterval is the interval at which a task that reads the store, or one that polls
-	// instances, checks whether it has become the one for the current update source.
+	// instances, checks whether the current update source has become one that it handles.
 	sourceCheckInterval = 100 * time.Millisecond
 )
 
@@ -71,7 +71,7 @@
 	relay   *relay
 	// readInterval is the interval between reads of the configuration.
 	readInterval time.Duration
-	// divideServices is unset if large services are not divided into groups.
+	// divideServices is set if large services are divided into groups.
 	divideServices bool
 
 	// mu guards the fields up to lastSource.
@@ -85,8 +85,8 @@
 	// lastSource is the source that was chosen last.
 	lastSource string
 
-	// configVersion and listVersion are the latest versions of the store in responses with the
-	// configuration and the list. If listVersion is 0, the full list is read next.
+	// configVersion and listVersion are the store's versions in the latest responses with the
+	// configuration and with the list. If listVersion is 0, the full list is read next.
 	configVersion int64
 	listVersion   int64
 	// lastCordonErrors is the text last logged about cordons that cannot be decoded.
@@ -221,9 +221,9 @@
 
 // listIsComplete reports whether every upstream is known. An instance that has polled other
 // instances may know only the upstreams that it uses.
-func (f *follower) listIsComplete() (all bool) {
-	f.server.decide(func(_ time.Time, g *forward.Gate) { all = g.Roster().Complete() })
-	return all
+func (f *follower) listIsComplete() (complete bool) {
+	f.server.decide(func(_ time.Time, g *forward.Gate) { complete = g.Roster().Complete() })
+	return complete
 }
 
 // listInterval returns the minimum interval between polls of the list.
@@ -279,7 +279,7 @@
 		return left
 	})
 	if divided {
-		f.server.announce() // the homes of the new pools do not know the running generations
+		f.server.announceRunning() // the homes of the new pools do not know the running generations
 	}
 	if f.setStoreUp(true) {
 		f.log.Info("dependency_regained", "dependency", "store", "version", read.Version)
--- a/internal/hosted/home.go
+++ b/internal/hosted/home.go
@@ -57,23 +57,23 @@
 // withHome runs a function on a pool's home, which it creates if needed.
 func (h *homes) withHome(name string, f func(now time.Time, p *pool.Home)) {
 	now := boottime.Now()
-	l := h.viewOf(name)
-	if l.service == nil || l.service.Engine == nil {
+	view := h.viewOf(name)
+	if view.service == nil || view.service.Engine == nil {
 		return // the service is not known here yet; the entry chooses an upstream itself
 	}
 	began := false
 	h.mu.Lock()
 	p := h.pools[name]
-	if p == nil && !l.inLayout {
+	if p == nil && !view.inLayout {
 		h.mu.Unlock()
 		return // the service now has another layout, which the entry will receive soon
 	}
 	if p == nil {
-		p = pool.NewHome(name, *l.service.Engine, h.without, h.ways)
+		p = pool.NewHome(name, *view.service.Engine, h.without, h.ways)
 		h.pools[name] = p
 		began = true
-		p.Sync(now, l.Listing)
-		h.log.Info("home_began", "pool", name, "upstreams", len(l.Upstreams))
+		p.Sync(now, view.Listing)
+		h.log.Info("home_began", "pool", name, "upstreams", len(view.Upstreams))
 	}
 	h.usedAt[name] = now
 	f(now, p)
@@ -120,28 +120,28 @@
 }
 
 // viewOf returns the state of a pool as known to this instance.
-func (h *homes) viewOf(name string) (l poolView) {
+func (h *homes) viewOf(name string) (view poolView) {
 	group := roster.ParseGroup(name)
 	h.server.decide(func(_ time.Time, g *forward.Gate) {
 		if g.Table() == nil {
 			return
 		}
 		layout, _ := g.Roster().Layout()
-		l.inLayout = layout.Has(group)
-		l.service, l.Answered, l.Cordons = g.Table().Service(group.Service), g.Roster().Confirmed(), g.Cordons()
-		if g.Confirmed().After(l.Answered) {
-			l.Answered = g.Confirmed()
+		view.inLayout = layout.Has(group)
+		view.service, view.Answered, view.Cordons = g.Table().Service(group.Service), g.Roster().Confirmed(), g.Cordons()
+		if g.Confirmed().After(view.Answered) {
+			view.Answered = g.Confirmed()
 		}
-		if l.service != nil {
-			l.ColdRate = l.service.ColdRate
+		if view.service != nil {
+			view.ColdRate = view.service.ColdRate
 		}
 		for _, u := range g.Roster().UpstreamsIn(group) {
 			c := *u
 			c.ColdUntil = g.ColdUntil(u)
-			l.Upstreams = append(l.Upstreams, &c)
+			view.Upstreams = append(view.Upstreams, &c)
 		}
 	})
-	return l
+	return view
 }
 
 // deliver sends the messages of a home, logs its notes and starts its probes.
@@ -164,27 +164,27 @@
 
 // probe requests an upstream's state and notifies the home if the upstream is leaving or cannot
 // be reached.
-func (h *homes) probe(name string, l pool.Probe) {
+func (h *homes) probe(name string, target pool.Probe) {
 	h.metrics.Count("upstream_questions_total", name)
-	r, err := h.server.probeLeaving(context.Background(), l.Address)
+	r, err := h.server.probeLeaving(context.Background(), target.Address)
 	switch {
 	case errors.Is(err, errUnreadable):
-		h.log.Warn("upstream_report_unreadable", "upstream", l.ID, "pool", name, "error", err)
+		h.log.Warn("upstream_report_unreadable", "upstream", target.ID, "pool", name, "error", err)
 		return
 	case err != nil:
-		h.log.Info("upstream_silent", "upstream", l.ID, "pool", name, "error", err)
-		h.withHome(name, func(now time.Time, p *pool.Home) { p.Unreachable(now, l.ID) })
+		h.log.Info("upstream_silent", "upstream", target.ID, "pool", name, "error", err)
+		h.withHome(name, func(now time.Time, p *pool.Home) { p.Unreachable(now, target.ID) })
 		return
 	}
 	if r.Leaving || r.Known {
-		h.withHome(name, func(now time.Time, p *pool.Home) { p.NoticeLeaving(now, l.ID, r.LeavesIn, r.Known) })
+		h.withHome(name, func(now time.Time, p *pool.Home) { p.NoticeLeaving(now, target.ID, r.LeavesIn, r.Known) })
 	}
 }
 
 // sync passes the current list to every home.
 func (h *homes) sync() {
 	for _, name := range h.poolNames() {
-		l := h.viewOf(name)
+		view := h.viewOf(name)
 		h.mu.Lock()
 		p := h.pools[name]
 		if p == nil {
@@ -192,8 +192,8 @@
 			continue
 		}
 		now := boottime.Now()
-		if l.inLayout { // otherwise its upstreams are not removed but belong to other pools
-			p.Sync(now, l.Listing)
+		if view.inLayout { // otherwise its upstreams are not removed but belong to other pools
+			p.Sync(now, view.Listing)
 		}
 		p.Tick(now)
 		done := h.takeOutput(name, p)
--- a/internal/hosted/instance.go
+++ b/internal/hosted/instance.go
@@ -95,7 +95,7 @@
 		drained: make(chan struct{}),
 	}
 	i.peers = &peers{
-		store: store, metrics: m, log: log, state: i.state, onPeerLost: srv.announce, heartbeatsSentAt: map[string]time.Time{},
+		store: store, metrics: m, log: log, state: i.state, onPeerLost: srv.announceRunning, heartbeatsSentAt: map[string]time.Time{},
 		seeds: s.Seeds, seedAddress: s.SeedAddress, joinReplies: make(chan msg.JoinResponse, 16), joinDone: make(chan struct{}),
 		fleet: fleet.New(boottime.Now(), i.ownHeartbeat(), s.Regions, s.Without),
 	}
@@ -169,7 +169,7 @@
 	return i.ready(), i.server.isLeaving(), i.follower.readsStore()
 }
 
-// onAdopted passes on an update that is now in force, to the instances that poll this one and to
+// onAdopted forwards an update that is now in force to the instances that poll this one and to
 // the homes.
 func (i *Instance) onAdopted(u update) {
 	if u.config != nil {
@@ -309,7 +309,7 @@
 		{Name: "list", Run: i.follower.followList},
 		task.Every("heartbeats", tickInterval, func(context.Context) {
 			i.peers.sendDueHeartbeats()
-			i.peers.sendDueAnnouncements()
+			i.peers.sendDuePresences()
 		}),
 		task.Every("homes", syncInterval, func(context.Context) { i.homes.sync() }),
 		task.Every("announcements", announceCheckInterval, func(context.Context) { i.server.sendDueAnnouncements() }),
--- a/internal/hosted/join.go
+++ b/internal/hosted/join.go
@@ -19,9 +19,9 @@
 	// maxIntroducers is the maximum number of instances from the store's rows that are asked for
 	// members. It is more than one because rows of dead instances remain for a while.
 	maxIntroducers = 6
-	// seedName is the prefix of the names of seeds whose real names are unknown; the address
+	// seedNamePrefix is the prefix of the names of seeds whose real names are unknown; the address
 	// follows.
-	seedName = "seed "
+	seedNamePrefix = "seed "
 )
 
 // join makes this instance a member of the fleet and maintains its membership until the context
@@ -69,7 +69,7 @@
 	})
 }
 
-// hasJoined reports whether markJoined was called.
+// hasJoined reports whether the members are known, as far as a source could return them.
 func (f *peers) hasJoined() bool {
 	select {
 	case <-f.joinDone:
@@ -92,22 +92,22 @@
 	return slices.DeleteFunc(slices.Clone(f.seeds), func(a string) bool { return a == f.seedAddress })
 }
 
-// querySeeds asks all other seeds for their members over new connections: an earlier dial to a
-// machine without power would hang for longer than the machine takes to start.
+// querySeeds asks all other seeds for the members that they know. It uses new connections, because
+// an earlier dial to a machine without power would hang for longer than the machine takes to start.
 func (f *peers) querySeeds() {
 	for _, address := range f.otherSeeds() {
-		f.transport.Reset(seedName + address)
+		f.transport.Reset(seedNamePrefix + address)
 		f.querySeed(address)
 	}
 }
 
-// querySeed asks one seed for its members.
+// querySeed asks one seed for the members that it knows.
 func (f *peers) querySeed(address string) {
 	req := f.joinRequest()
-	f.send(msg.Heartbeat{Name: seedName + address, PeerAddress: address}, req)
+	f.send(msg.Heartbeat{Name: seedNamePrefix + address, PeerAddress: address}, req)
 }
 
-// joinRequest returns the request for another instance's members.
+// joinRequest returns the request for the members that another instance knows.
 func (f *peers) joinRequest() (req msg.JoinRequest) {
 	ready, leaving, reads := f.state()
 	f.with(func(now time.Time, v *fleet.Fleet) {
@@ -117,14 +117,14 @@
 	return req
 }
 
-// onJoinRequest answers a request for members.
+// onJoinRequest answers a request for the members that this instance knows.
 func (f *peers) onJoinRequest(m msg.JoinRequest) {
 	m.Sender.ReceivesYours = true // a join request does not state whether our heartbeats arrive
 	f.onHeartbeat(m.Sender)
 	ready := f.hasJoined()
-	var answer msg.JoinResponse
-	f.with(func(_ time.Time, v *fleet.Fleet) { answer = v.JoinResponse(m, ready) })
-	f.send(m.Sender, answer)
+	var response msg.JoinResponse
+	f.with(func(_ time.Time, v *fleet.Fleet) { response = v.JoinResponse(m, ready) })
+	f.send(m.Sender, response)
 }
 
 // onJoinResponse handles a list of members.
@@ -189,9 +189,9 @@
 	return ctx.Err()
 }
 
-// syncMembers asks another instance for its members: one with which heartbeats are exchanged, or
-// a seed. Relays ask only seeds, to find the relays of data centres with which their own data
-// centre has lost contact.
+// syncMembers asks another instance for the members that it knows: one with which heartbeats are
+// exchanged, or a seed. Relays ask only seeds, to find the relays of data centres with which their
+// own data centre has lost contact.
 func (f *peers) syncMembers() {
 	var live []string
 	f.with(func(now time.Time, v *fleet.Fleet) {
--- a/internal/hosted/place.go
+++ b/internal/hosted/place.go
@@ -135,12 +135,12 @@
 		due = due || s.homes.homeOf(name) != home
 	}
 	if due {
-		s.announce()
+		s.announceRunning()
 	}
 }
 
-// announce announces the running generations to the homes of their pools.
-func (s *server) announce() {
+// announceRunning announces the running generations to the homes of their pools.
+func (s *server) announceRunning() {
 	running := map[string][]msg.RunningAttempt{}
 	s.decide(func(now time.Time, g *forward.Gate) {
 		s.announcedAt = now
--- a/internal/hosted/ports.go
+++ b/internal/hosted/ports.go
@@ -113,7 +113,7 @@
 	// DecodeResponse decodes the head of a response.
 	DecodeResponse(resp *http.Response, requestID string) Response
 	// CopyHeaders copies the headers of a response that are meant for the caller. The signature is
-	// copied only if signed is set, which it never is for a status that is not the upstream's.
+	// copied only if signed is set; it must be unset if the status is not the upstream's.
 	CopyHeaders(to, from http.Header, signed bool)
 	// CopyCall returns the call that copies a generation's memory to another upstream; with final,
 	// the generation is stopped first. DecodeCopy decodes the response, DropCopy returns the call
--- a/internal/hosted/presence.go
+++ b/internal/hosted/presence.go
@@ -7,9 +7,9 @@
 	"mulberrylug.example/mulberrylug/internal/core/msg"
 )
 
-// sendDueAnnouncements sends the presences of data centres to other instances, if this instance
-// is a relay and announcements are due.
-func (f *peers) sendDueAnnouncements() {
+// sendDuePresences sends the presences of data centres to other instances, if this instance
+// is a relay and presences are due.
+func (f *peers) sendDuePresences() {
 	var due []fleet.Announcement
 	f.with(func(now time.Time, v *fleet.Fleet) { due = v.Announcements(now) })
 	for _, a := range due {
--- a/internal/hosted/relay.go
+++ b/internal/hosted/relay.go
@@ -34,17 +34,18 @@
 	config *sharedConfig
 }
 
-// sharedConfig is a configuration with its transfer form, which all requesters share.
+// sharedConfig is a configuration with the form in which it is sent between instances. All
+// requesters get the same packed form.
 type sharedConfig struct {
 	config *route.Config
-	// packed is the transfer form: as received, or packed for the first requester if the
-	// configuration was read from the store.
+	// packed is config in the form sent between instances: as received, or packed for the first
+	// requester if the configuration was read from the store.
 	packed msg.PackedConfig
 	once   sync.Once
 	err    error
 }
 
-// packOnce returns the transfer form, which the first call creates if needed.
+// packOnce returns the packed form, which the first call creates if needed.
 func (s *sharedConfig) packOnce() (msg.PackedConfig, error) {
 	s.once.Do(func() {
 		if s.packed == nil {
@@ -63,8 +64,8 @@
 // handlePoll answers a poll immediately if there is an update, or if it must not be held.
 // Otherwise it holds the poll.
 func (r *relay) handlePoll(from string, m msg.SyncRequest) {
-	if answer, updated := r.reply(m); updated {
-		r.send(from, answer)
+	if reply, updated := r.reply(m); updated {
+		r.send(from, reply)
 		return
 	}
 	if !r.mayHold() {
@@ -96,7 +97,7 @@
 	}
 	r.mu.Unlock()
 	for name, w := range waiting {
-		answer, updated := r.reply(w.message)
+		reply, updated := r.reply(w.message)
 		if !updated && time.Now().Before(w.until) {
 			continue
 		}
@@ -105,7 +106,7 @@
 			delete(r.held, name)
 		}
 		r.mu.Unlock()
-		r.send(name, answer)
+		r.send(name, reply)
 	}
 }
 
@@ -191,13 +192,13 @@
 // the poll was sent.
 func (a *syncPoller) poll(ctx context.Context, source string) {
 	a.lastNumber++
-	all := a.follower.isSource()
+	full := a.follower.isSource()
 	q := msg.SyncRequest{Number: a.lastNumber}
 	if a.follower.isHome() {
 		q.Hold = homeHold
 	}
 	a.follower.server.decide(func(_ time.Time, g *forward.Gate) {
-		q.List = g.Roster().Request(a.neededGroups(g), all)
+		q.List = g.Roster().Request(a.neededGroups(g), full)
 		q.Cordons = g.Cordons().Version
 		if g.Table() != nil {
 			q.Config = g.Table().Version
@@ -220,15 +221,15 @@
 			if got.from != source || got.Number != q.Number {
 				continue // late reply to an earlier poll
 			}
-			a.apply(ctx, source, sentAt, got.SyncResponse, all)
+			a.apply(ctx, source, sentAt, got.SyncResponse, full)
 			return
 		}
 	}
 }
 
-// apply applies a source's reply; sentAt is the time at which the poll was sent, and all is set if
+// apply applies a source's reply; sentAt is the time at which the poll was sent, and full is set if
 // the poll requested the full list.
-func (a *syncPoller) apply(ctx context.Context, source string, sentAt time.Time, m msg.SyncResponse, all bool) {
+func (a *syncPoller) apply(ctx context.Context, source string, sentAt time.Time, m msg.SyncResponse, full bool) {
 	f := a.follower
 	if !f.sourceAnswered(source, m.ConfigAge) {
 		// During an outage the state of every instance is old. Other instances may be polled,
@@ -253,13 +254,13 @@
 	}
 	f.server.decide(func(_ time.Time, g *forward.Gate) { g.Roster().Confirm(sentAt.Add(-m.ListAge)) })
 	if m.List != nil {
-		a.applyList(source, *m.List, all)
+		a.applyList(source, *m.List, full)
 	}
 }
 
 // applyList applies a list received from another instance, and drops the groups that are not
-// needed here unless all are needed.
-func (a *syncPoller) applyList(source string, share roster.ListUpdate, all bool) {
+// needed here unless full is set.
+func (a *syncPoller) applyList(source string, share roster.ListUpdate, full bool) {
 	f := a.follower
 	var before, after int64
 	f.changeRoster(source, func(now time.Time, g *forward.Gate) []*roster.Upstream {
@@ -267,7 +268,7 @@
 		_, before = r.Layout()
 		left := r.Adopt(now, share)
 		_, after = r.Layout()
-		if all {
+		if full {
 			return left
 		}
 		known := r.Len()
@@ -277,6 +278,6 @@
 		return left
 	})
 	if before != after {
-		f.server.announce() // the homes of the new pools do not know the running generations
+		f.server.announceRunning() // the homes of the new pools do not know the running generations
 	}
 }
--- a/internal/hosted/relay_test.go
+++ b/internal/hosted/relay_test.go
@@ -31,10 +31,10 @@
 // that time must not confirm the older version that the requester has.
 func TestAReplyBeforeANewConfigurationCanBeSentConfirmsNothing(t *testing.T) {
 	r := newTestRelay(4)
-	for name, c := range map[string]*sharedConfig{"none": nil, "older": {config: &route.Config{Version: 3}}} {
+	for name, c := range map[string]*sharedConfig{"missing": nil, "older than the one in force": {config: &route.Config{Version: 3}}} {
 		r.config = c
 		if a, _ := r.reply(msg.SyncRequest{Number: 1, Config: 3}); a.ConfigAge >= 0 || a.Config != nil {
-			t.Errorf("configuration to send: %s: reply = %+v, want neither a confirmation nor a configuration", name, a)
+			t.Errorf("reply with the configuration to send %s = %+v, want neither a confirmation nor a configuration", name, a)
 		}
 	}
 	r.config = &sharedConfig{config: &route.Config{Version: 4}}
--- a/internal/hosted/settings.go
+++ b/internal/hosted/settings.go
@@ -34,8 +34,8 @@
 	// MetricsPort serves metrics; 0 disables it.
 	MetricsPort int
 	MemoryBytes int64
-	// Class is the number of bits of the bandwidth of the machine's link in Mbit/s, that is, how
-	// often it can be halved; 0 if unknown.
+	// Class is the bit length of the bandwidth of the machine's link in Mbit/s: it grows by 1 when
+	// the bandwidth doubles. 0 means unknown.
 	Class uint8
 	// MaxDescriptors is the limit on open descriptors.
 	MaxDescriptors int
--- a/internal/peer/size_test.go
+++ b/internal/peer/size_test.go
@@ -33,7 +33,8 @@
 	}
 }
 
-// packConfig returns the transfer form of a small configuration, for which packing never fails.
+// packConfig returns the form in which a configuration is sent between instances. Packing never
+// fails for a small configuration.
 func packConfig(c *route.Config) msg.PackedConfig {
 	p, err := msg.PackConfig(c)
 	if err != nil {
@@ -115,7 +116,7 @@
 	}
 }
 
-// At the target size each daemon may use 20 KB a second for control messages. Frames that grow
+// At the target size each instance may use 20 KB a second for control messages. Frames that grow
 // unnoticed would exceed that budget.
 func TestFrameSizes(t *testing.T) {
 	for _, s := range samples() {
--- a/internal/platform/list.go
+++ b/internal/platform/list.go
@@ -28,7 +28,7 @@
 	defer c.list.mu.Unlock()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.base+path, nil)
 	if err != nil {
-		return nil, fmt.Errorf("platform %s: %w", path, err)
+		return nil, fmt.Errorf("platform %s: make request: %w", path, err)
 	}
 	if c.list.etag != "" {
 		req.Header.Set("If-None-Match", c.list.etag)
@@ -41,7 +41,7 @@
 	raw, err := io.ReadAll(resp.Body)
 	switch {
 	case err != nil:
-		return nil, fmt.Errorf("platform %s at %s: read: %w", path, c.base, err)
+		return nil, fmt.Errorf("platform %s at %s: read response: %w", path, c.base, err)
 	case resp.StatusCode == http.StatusNotModified && c.list.etag != "":
 		return c.list.list, nil
 	case resp.StatusCode != http.StatusOK:
@@ -49,7 +49,7 @@
 	}
 	var list []membership.Member
 	if err := json.Unmarshal(raw, &list); err != nil {
-		return nil, fmt.Errorf("platform %s: decode: %w", path, err)
+		return nil, fmt.Errorf("platform %s: decode response: %w", path, err)
 	}
 	c.list.etag, c.list.list = resp.Header.Get("ETag"), list
 	return list, nil
--- a/internal/platform/list_test.go
+++ b/internal/platform/list_test.go
@@ -67,7 +67,7 @@
 	}
 	first, firstBytes := read()
 	second, secondBytes := read()
-	t.Logf("members=%d whole_bytes=%d unchanged_bytes=%d", len(first), firstBytes, secondBytes)
+	t.Logf("members=%d full_bytes=%d unchanged_bytes=%d", len(first), firstBytes, secondBytes)
 	if len(first) != 1260 || !slices.Equal(first, second) || secondBytes > 512 {
 		t.Errorf("unchanged list: first read %d members, second read %d members in %d bytes; want 1260 and the same list in at most 512 bytes", len(first), len(second), secondBytes)
 	}
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -133,7 +133,7 @@
 	if in != nil {
 		var err error
 		if body, err = json.Marshal(in); err != nil {
-			return fmt.Errorf("platform %s: encode: %w", path, err)
+			return fmt.Errorf("platform %s: encode request: %w", path, err)
 		}
 	}
 	raw, err := c.bytes(ctx, method, path, body)
@@ -141,7 +141,7 @@
 		return err
 	}
 	if err := json.Unmarshal(raw, out); err != nil {
-		return fmt.Errorf("platform %s: decode: %w", path, err)
+		return fmt.Errorf("platform %s: decode response: %w", path, err)
 	}
 	return nil
 }
@@ -149,7 +149,7 @@
 func (c *Client) bytes(ctx context.Context, method, path string, body []byte) ([]byte, error) {
 	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
 	if err != nil {
-		return nil, fmt.Errorf("platform %s: %w", path, err)
+		return nil, fmt.Errorf("platform %s: make request: %w", path, err)
 	}
 	// Without GetBody the HTTP library can't send a call twice. A write sent twice
 	// could conflict with itself. Nothing is retried here: the core handles unknown outcomes.
@@ -161,7 +161,7 @@
 	defer resp.Body.Close()
 	raw, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return nil, fmt.Errorf("platform %s at %s: read: %w", path, c.base, err)
+		return nil, fmt.Errorf("platform %s at %s: read response: %w", path, c.base, err)
 	}
 	if resp.StatusCode != http.StatusOK {
 		return nil, fmt.Errorf("platform %s at %s: status %d", path, c.base, resp.StatusCode)
--- a/internal/upstream/bench_test.go
+++ b/internal/upstream/bench_test.go
@@ -25,7 +25,7 @@
 				r.Gens = append(r.Gens, placement.GenLoad{Attempt: fmt.Sprintf("entry-%d:0123abcd:100000/1", n), Tokens: n})
 			}
 			srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-				_ = json.NewEncoder(w).Encode(r) // an error means that the caller has disconnected
+				_ = json.NewEncoder(w).Encode(r) // an error means that the client has disconnected
 			}))
 			defer srv.Close()
 			reports := 0
--- a/internal/upstream/lapse_test.go
+++ b/internal/upstream/lapse_test.go
@@ -27,7 +27,7 @@
 			Body: []byte(`{"model":"m","prompt":"p"}`), SendBefore: time.Now().Add(-time.Millisecond), Timeout: time.Second,
 		})
 		ev := <-events
-		testkit.Eventually(t, time.Minute, "the caller has no call in progress", func() bool { return c.Running() == 0 })
+		testkit.Eventually(t, time.Minute, "the client has no call in progress", func() bool { return c.Running() == 0 })
 		if f, ok := ev.(core.UpstreamFailed); !ok || f.Sent || calls.Load() != 0 || len(events) != 0 {
 			t.Errorf("engine=%v: %d calls arrived, first event %+v, %d further events; want no call and one UpstreamFailed with Sent false", engine, calls.Load(), ev, len(events))
 		}
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -150,7 +150,7 @@
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodDelete, "http://"+address+"/v1/generations/"+attempt, nil)
 	if err != nil {
-		return fmt.Errorf("cancel at %s: %w", address, err)
+		return fmt.Errorf("cancel at %s: make request: %w", address, err)
 	}
 	resp, err := c.unpooled.Do(req)
 	if err != nil {
@@ -188,7 +188,7 @@
 	}
 	defer resp.Body.Close()
 	if err := json.NewDecoder(resp.Body).Decode(&r); err != nil {
-		return r, false, fmt.Errorf("poll %s: decode: %w", address, err)
+		return r, false, fmt.Errorf("poll %s: decode report: %w", address, err)
 	}
 	return r, false, nil
 }
--- a/internal/upstream/upstream_test.go
+++ b/internal/upstream/upstream_test.go
@@ -16,9 +16,9 @@
 // testTimeout limits every wait in these tests.
 const testTimeout = 10 * time.Second
 
-// newTestCaller starts a server with the given handler. It returns a caller, the server's
-// address and the channel that receives the caller's events.
-func newTestCaller(t *testing.T, h http.HandlerFunc) (*Client, string, chan core.Event) {
+// newTestClient starts a server with the given handler. It returns a client, the server's
+// address and the channel that receives the client's events.
+func newTestClient(t *testing.T, h http.HandlerFunc) (*Client, string, chan core.Event) {
 	t.Helper()
 	srv := httptest.NewServer(h)
 	t.Cleanup(srv.Close)
@@ -43,7 +43,7 @@
 // must be removed, or the map of calls would grow without limit.
 func TestPromise1ClosedCallReportsNothing(t *testing.T) {
 	var calls atomic.Int64
-	c, address, events := newTestCaller(t, func(w http.ResponseWriter, r *http.Request) {
+	c, address, events := newTestClient(t, func(w http.ResponseWriter, r *http.Request) {
 		calls.Add(1)
 		w.Header().Set(headerBoot, "run-1")
 		fmt.Fprint(w, "data: {\"index\":0,\"choices\":[{\"text\":\"a\"}]}\n\n")
@@ -61,14 +61,14 @@
 		t.Fatalf("first event after the second Run = %+v, want a token on link 2", tok)
 	}
 	c.Close("a")
-	testkit.Eventually(t, testTimeout, "the caller has no call in progress", func() bool { return c.Running() == 0 })
+	testkit.Eventually(t, testTimeout, "the client has no call in progress", func() bool { return c.Running() == 0 })
 	select {
 	case e := <-events:
 		t.Errorf("event after Close: %+v, want none", e)
 	case <-time.After(50 * time.Millisecond):
 	}
 	if n := calls.Load(); n != 2 {
-		t.Errorf("%d calls arrived, want 2", n)
+		t.Errorf("%d calls arrived at the upstream, want 2", n)
 	}
 }
 
@@ -77,12 +77,12 @@
 // unreachable network. A call whose grant has expired must not be sent.
 func TestPromise3SentOnlyIfConnected(t *testing.T) {
 	var calls atomic.Int64
-	c, address, events := newTestCaller(t, func(http.ResponseWriter, *http.Request) { calls.Add(1); panic(http.ErrAbortHandler) })
+	c, address, events := newTestClient(t, func(http.ResponseWriter, *http.Request) { calls.Add(1); panic(http.ErrAbortHandler) })
 	const refusingAddress = "127.0.0.1:1" // a port that no test server ever listens on
 	cases := []struct {
-		name       string
-		d          core.Dispatch
-		sent, gone bool
+		name           string
+		d              core.Dispatch
+		sent, notFound bool
 	}{
 		{"aborted", core.Dispatch{Address: address}, true, false},
 		{"refused", core.Dispatch{Address: refusingAddress}, false, false},
@@ -93,12 +93,12 @@
 		tc.d.Attempt, tc.d.Engine, tc.d.Method, tc.d.Path, tc.d.Body, tc.d.Timeout = tc.name, true, http.MethodPost, "/", []byte("{}"), testTimeout
 		c.Run(context.Background(), tc.d)
 		f, ok := next(t, events).(core.UpstreamFailed)
-		if !ok || f.Sent != tc.sent || f.NotFound != tc.gone {
-			t.Errorf("%s: event = %+v, want UpstreamFailed with Sent %t and Gone %t", tc.name, f, tc.sent, tc.gone)
+		if !ok || f.Sent != tc.sent || f.NotFound != tc.notFound {
+			t.Errorf("%s: event = %+v, want UpstreamFailed with Sent %t and NotFound %t", tc.name, f, tc.sent, tc.notFound)
 		}
 	}
 	if n := calls.Load(); n != 1 {
-		t.Errorf("%d calls arrived, want only the aborted call", n)
+		t.Errorf("%d calls arrived at the upstream, want only the aborted call", n)
 	}
 	c.Poll(context.Background(), "engine-1", refusingAddress)
 	if s, ok := next(t, events).(core.PollFailed); !ok || !s.Refused {
