--- a/internal/demo/cost_test.go
+++ b/internal/demo/cost_test.go
@@ -58,7 +58,7 @@
 		each := float64(after.Commits-before.Commits) / float64(count)
 		t.Logf("work=%s writes=%d count=%d writes_each=%.3f reads=%d", kind, after.Commits-before.Commits, count, each, after.Reads-before.Reads)
 		if each > maxEach {
-			t.Errorf("%s: table writes each = %.3f, want at most %.3f", kind, each, maxEach)
+			t.Errorf("%s: table writes for each unit of work = %.3f, want at most %.3f", kind, each, maxEach)
 		}
 	}
 	const requests = 100
--- a/internal/demo/run.go
+++ b/internal/demo/run.go
@@ -70,8 +70,8 @@
 
 // Run starts a fleet, executes the workload and returns the report.
 func Run(ctx context.Context, o Options) (Report, error) {
-	fo := FleetOptions{Instances: 3, Engines: 3, Services: 2, Relays: o.Faults, Log: o.Log}
-	f, err := StartFleet(ctx, fo)
+	fleetOptions := FleetOptions{Instances: 3, Engines: 3, Services: 2, Relays: o.Faults, Log: o.Log}
+	f, err := StartFleet(ctx, fleetOptions)
 	if err != nil {
 		return Report{}, err
 	}
@@ -86,7 +86,7 @@
 	time.Sleep(settleDelay)
 	r := verify(f, results)
 	r.Faults = injected
-	r.Overspend, err = overspend(collectRecords(f), Configuration(fo), start, time.Now())
+	r.Overspend, err = overspend(collectRecords(f), Configuration(fleetOptions), start, time.Now())
 	return r, err
 }
 
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -25,8 +25,9 @@
 type Paired struct {
 	// Mean is the mean of the second variant's figures.
 	Mean float64
-	// Diff is the mean of second minus first, Margin half the width of the confidence interval
-	// of Diff. Margin is infinite for a single pair.
+	// Diff is the mean of the differences, the second variant's figure minus the first's for
+	// each seed. Margin is half the width of the confidence interval of Diff, infinite for a
+	// single pair.
 	Diff    float64
 	Margin  float64
 	Verdict Verdict
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -28,9 +28,9 @@
 	// Entries is the number of instances that callers are connected to.
 	Entries int `yaml:"entries" validate:"gt=0"`
 	// Organisations is the number of organisations that send requests of all kinds; a few of
-	// them send most. With 0 each kind of request is an organisation.
+	// them send most. If it is 0, each kind of request is an organisation.
 	Organisations int `yaml:"organisations" validate:"gte=0"`
-	// MaxWait is the longest time that a request may queue. MaxOutput limits each answer in
+	// MaxWait is the longest time that a request may queue. MaxOutput limits each response in
 	// tokens. HintSigma is the sigma of the log-normal error of the callers' estimates of
 	// their outputs; 0 means that they give none.
 	MaxWait   time.Duration `yaml:"max_wait" validate:"gt=0"`
@@ -122,8 +122,8 @@
 	// and max_output.
 	PromptMost int `yaml:"prompt_most"`
 	OutputMost int `yaml:"output_most"`
-	// Worth is the value of an answer of mean size, 1 by default. A late answer keeps the
-	// fraction LateShare of its value. An answer is late if its first token takes longer than
+	// Worth is the value of a response of mean size, 1 by default. A late response keeps the
+	// fraction LateShare of its value. A response is late if its first token takes longer than
 	// FirstTarget, 1.8 s by default, or a gap is longer than trial.SteadyGap.
 	Worth       float64       `yaml:"worth"`
 	LateShare   float64       `yaml:"late_share" validate:"gte=0,lte=1"`
@@ -210,7 +210,7 @@
 	}
 }
 
-// homePolicy is the name of the policy that is the project's own home of a pool.
+// homePolicy is the name of the policy that runs the production home of a pool.
 const homePolicy = "home"
 
 // maker returns the policy of a variant.
@@ -276,8 +276,8 @@
 	mechanism.Hints, mechanism.DueOrder, mechanism.LateBehind, mechanism.Fairness, mechanism.EarlyRefusal,
 }
 
-// Ablate replaces the variants by the project's own home and, for each of its mechanisms, the
-// home without that mechanism.
+// Ablate replaces the variants by the home policy and, for each mechanism in poolMechanisms,
+// the home policy without that mechanism.
 func (f *File) Ablate() {
 	f.Variants = []Variant{{Policy: homePolicy}}
 	for _, m := range poolMechanisms {
@@ -291,8 +291,8 @@
 	mechanism.ChoiceMemory,
 }
 
-// OtherWays replaces the variants by the project's own home and, for each way in poolWays, the
-// home with that way.
+// OtherWays replaces the variants by the home policy with the default ways of deciding and, for
+// each way in poolWays, the home policy with that way.
 func (f *File) OtherWays() {
 	f.Variants = []Variant{{Policy: homePolicy}}
 	for _, w := range poolWays {
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -26,9 +26,9 @@
 }
 
 // Two of twelve engines leave every 3.3 s with 1.7 s of notice, under eleven requests per
-// second. Without moves one answer in nine breaks off. Moves that all entries make at the same
+// second. Without moves one response in nine breaks off. Moves that all entries make at the same
 // time queue on the links, and streams pause for seconds. One home that orders the moves must
-// save nearly all answers, with gaps that no reader notices. The limits leave room for the
+// save nearly all responses, with gaps that no reader notices. The limits leave room for the
 // variation between seeds.
 func TestOrderedMovesSaveGenerationsOfLeavingEngines(t *testing.T) {
 	rows, err := loadExample(t).Run(3, func(int, int) {})
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -26,11 +26,11 @@
 		file, title string
 		value       func(Row) float64
 	}{
-		{"in-time", "complete answers on time, %", func(r Row) float64 { return 100 * r.InTime }},
+		{"in-time", "complete responses on time, %", func(r Row) float64 { return 100 * r.InTime }},
 		{"worth", "value received by callers, %", func(r Row) float64 { return 100 * r.Earned }},
 		{"in-flight", "time in flight, weighted by value, s", func(r Row) float64 { return r.Exposure.Mean }},
-		{"lost", "answers that broke off, %", func(r Row) float64 { return 100 * r.Lost }},
-		{"longest-gap", "p99 of the longest gap in each answer, ms", func(r Row) float64 { return float64(r.Result.LongestP99.Milliseconds()) }},
+		{"lost", "responses that broke off, %", func(r Row) float64 { return 100 * r.Lost }},
+		{"longest-gap", "p99 of the longest gap in each response, ms", func(r Row) float64 { return float64(r.Result.LongestP99.Milliseconds()) }},
 	} {
 		file := filepath.Join(dir, name+"-"+p.file+".png")
 		if err := writeBarChart(file, name+": "+p.title, rows, p.value); err != nil {
--- a/internal/proctest/hosted_cordon_test.go
+++ b/internal/proctest/hosted_cordon_test.go
@@ -25,7 +25,7 @@
 	stop chan struct{}
 	wg   sync.WaitGroup
 	mu   sync.Mutex
-	// slowestRefusal is the longest wait for a refusal, statuses counts responses by status.
+	// slowestRefusal is the longest wait for a refusal; statuses counts responses by status.
 	slowestRefusal time.Duration
 	statuses       map[int]int
 }
@@ -72,8 +72,8 @@
 	l.wg.Wait()
 }
 
-// arrivalsAfter returns the arrivals in a data centre later than within after since, and the time from
-// since to the last arrival there.
+// arrivalsAfter returns the requests that arrived in a data centre more than within after since, and the
+// time from since to the last arrival there.
 func (f *fixture) arrivalsAfter(dc string, since time.Time, within time.Duration) (late []hosting.Arrival, last time.Duration) {
 	for _, k := range append(append([]*hosting.Worker{}, f.pool...), f.desk...) {
 		if k.Zone != dc {
@@ -176,7 +176,7 @@
 	for dc := range threeDataCentres {
 		f.Cordon(dc)
 	}
-	testkit.Eventually(t, cordonTimeout, "all instances have applied the change", func() bool {
+	testkit.Eventually(t, cordonTimeout, "all instances have applied the cordons of zone-a, zone-b, zone-c", func() bool {
 		return len(logLines(f.procs, "cordoned=zone-a,zone-b,zone-c")) == len(f.machines)
 	})
 	for k, m := range f.machines {
@@ -210,7 +210,7 @@
 	f := newFixtureWithDataCentres(t, threeDataCentres, 1, nil)
 	f.Table.Put("op", "evacuate/zone-a", []byte(`{"torn`))
 	f.Table.Put("op", "evacuate/nowhere", map[string]any{"since": 7})
-	testkit.Eventually(t, cordonTimeout, "all instances have applied the change", func() bool {
+	testkit.Eventually(t, cordonTimeout, "all instances have applied the cordons of nowhere, zone-a", func() bool {
 		return len(logLines(f.procs, "cordoned=nowhere,zone-a")) == len(f.machines)
 	})
 	time.Sleep(time.Second)
@@ -239,7 +239,7 @@
 	const coldPerSecond = 4
 	f := newFixtureWithDataCentres(t, threeDataCentres, 2, func(b *hosting.World) { b.ColdFor, b.ColdPerS = time.Second, coldPerSecond })
 	f.Cordon("zone-b")
-	testkit.Eventually(t, cordonTimeout, "all instances have applied the change", func() bool {
+	testkit.Eventually(t, cordonTimeout, "all instances have applied the cordons of zone-b", func() bool {
 		return len(logLines(f.procs, "cordoned=zone-b")) == len(f.machines)
 	})
 	for _, k := range f.pool {
@@ -273,7 +273,7 @@
 	}
 	for _, k := range f.pool {
 		if k.Overrun() {
-			t.Errorf("%s crashed under more requests than it accepts while cold", k.ID)
+			t.Errorf("%s crashed under more requests than it accepts while cold, want no crash", k.ID)
 		}
 	}
 	if cold == 0 {
@@ -281,7 +281,7 @@
 	}
 }
 
-// Two regions with three data centres each. Requests confined to one region must reach upstreams
+// Two regions with three data centres each. Requests restricted to one region must reach upstreams
 // there only, and callers elsewhere must be directed to instances in that region or in their own.
 // When the region is lost, such requests must be refused at once.
 func TestHostedRegions(t *testing.T) {
@@ -293,7 +293,7 @@
 			r["allowed_regions"] = []string{"south"}
 		}
 	})
-	testkit.Eventually(t, cordonTimeout, "all instances have applied the change", func() bool {
+	testkit.Eventually(t, cordonTimeout, "all instances have adopted configuration version 6", func() bool {
 		return len(logLines(f.procs, "event=configuration_adopted version=6")) == len(f.machines)
 	})
 	for k, m := range f.machines {
--- a/internal/proctest/hosted_move_test.go
+++ b/internal/proctest/hosted_move_test.go
@@ -80,7 +80,7 @@
 		case r.status == http.StatusOK && !r.truncated && r.body == streamBody(id):
 			complete++
 		case r.status == http.StatusOK && !r.truncated:
-			t.Errorf("%s: the response looks complete, but events are missing", id)
+			t.Errorf("%s: the response ended without an error before the last event, want all events or a truncated response", id)
 		}
 	}
 	return complete
@@ -91,8 +91,8 @@
 const maxRepeatedEvents = 2
 
 // An engine announces that it leaves, and the home is paused for longer than the notice while it
-// orders moves. Another instance becomes home, learns from the entries which generations run there
-// and moves them. When the first home resumes, both give orders. No generation may run twice, and
+// orders moves. Another instance becomes home, receives from the entries the generations that run on
+// that engine, and moves them. When the first home resumes, both give orders. No generation may run twice, and
 // most must be complete.
 func TestHostedHomePausedDuringMove(t *testing.T) {
 	t.Parallel()
@@ -204,8 +204,8 @@
 }
 
 // An engine leaves, and one of the destinations drops the copies that it receives and crashes before
-// they are used. The source has stopped the generations and kept their memory, so they must continue
-// there or be moved again.
+// they are used. The source has stopped the generations and kept their memory, so each generation
+// must continue at the source or be moved again.
 func TestHostedDestinationCrashesDuringMove(t *testing.T) {
 	t.Parallel()
 	m := startGenerations(t, 8)
@@ -233,8 +233,8 @@
 }
 
 // The leaving engine stops and copies generations as ordered, but its responses to the orders are
-// lost. The entries have the destinations from the first copy, which was made while the generation
-// ran, and must continue from there.
+// lost. Each generation was also copied earlier, while it ran, and its entry received that copy's
+// destination. The entry must continue the generation at that destination.
 func TestHostedMoveResponsesLost(t *testing.T) {
 	t.Parallel()
 	m := startGenerations(t, 12)
--- a/internal/proctest/hosted_raw_test.go
+++ b/internal/proctest/hosted_raw_test.go
@@ -27,7 +27,7 @@
 	if err := c.SetReadDeadline(time.Now().Add(time.Second)); err != nil {
 		t.Fatal(err)
 	}
-	got, _ := io.ReadAll(c) // an error is the deadline or the end of the connection
+	got, _ := io.ReadAll(c) // the read ends with an error at the deadline or if the connection breaks
 	return string(got)
 }
 
--- a/internal/proctest/hosted_silence_test.go
+++ b/internal/proctest/hosted_silence_test.go
@@ -56,7 +56,7 @@
 }
 
 // An engine accepts requests but neither responds to them nor reports them as running: its response
-// was lost inside. A repeatable request is retried on another engine. A generation may not run
+// is lost inside the engine. A repeatable request is retried on another engine. A generation may not run
 // twice, and its caller must get an error promptly instead of waiting for its timeout.
 func TestHostedGenerationNotReportedByEngine(t *testing.T) {
 	t.Parallel()
--- a/internal/proctest/hosted_test.go
+++ b/internal/proctest/hosted_test.go
@@ -69,8 +69,8 @@
 	}
 }
 
-// Headers that only the system may set must not pass from a caller to an upstream. The caller also
-// lists headers in Connection, which would remove its own ones.
+// Headers that only the system may set must not pass from a caller to an upstream. Headers
+// that a caller lists in Connection are removed, except the request id.
 func TestHostedReservedHeaders(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t)
@@ -152,9 +152,9 @@
 	}
 }
 
-// Each fault of an upstream's response to a booking. Callers retry after the outcome not run, so
+// The upstreams' responses to bookings have one kind of fault after another. Callers retry after the outcome not run, so
 // that outcome is allowed only if nothing ran. A success without the upstream's complete signature
-// must not be passed on.
+// must not reach the caller.
 func TestHostedInvalidUpstreamResponses(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t)
@@ -212,8 +212,8 @@
 	}
 }
 
-// A key is revoked while one instance is isolated from the store. Within the bound on revocation the
-// key must stop working everywhere, as the instance learns of it from a peer. Then the store fails
+// A key is revoked while one instance is isolated from the store. Within the time limit for revocations
+// the key must stop working everywhere, as the instance receives the change from a peer. Then the store fails
 // for all instances: every key must be refused once the last confirmation is too old, and accepted
 // again after the store recovers.
 func TestHostedRevocation(t *testing.T) {
@@ -227,7 +227,7 @@
 	})
 	time.Sleep(hosting.RevokeWithin)
 	if r := f.do(isolated, booking("revoked")); r.status == http.StatusOK {
-		t.Errorf("a revoked key was accepted: %+v", r)
+		t.Errorf("a revoked key was accepted: %+v, want a refusal", r)
 	}
 	renewed := booking("renewed")
 	renewed.key = "key-two"
@@ -243,7 +243,7 @@
 			t.Errorf("%s: %+v, want status 503 with Retry-After", m.Name, r)
 		}
 		if f.ready(m) {
-			t.Errorf("%s reports ready, but accepts no key", m.Name)
+			t.Errorf("%s reports ready, want not ready while it accepts no key", m.Name)
 		}
 	}
 	f.Table.Set(hosting.Well)
@@ -252,7 +252,7 @@
 	})
 }
 
-// An instance is suspended for longer than the bound on revocation, and a key is revoked meanwhile.
+// An instance is suspended for longer than the time limit for revocations, and a key is revoked meanwhile.
 // A clock that stops during the suspension would make the last confirmation look recent.
 func TestHostedSuspendedInstanceRefusesRevokedKey(t *testing.T) {
 	t.Parallel()
@@ -271,7 +271,7 @@
 		t.Fatal(err)
 	}
 	if r := <-done; r.status == http.StatusOK {
-		t.Errorf("a revoked key was accepted after the suspension: %+v", r)
+		t.Errorf("a revoked key was accepted after the suspension: %+v, want a refusal", r)
 	}
 }
 
@@ -292,22 +292,22 @@
 	}()
 	time.Sleep(200 * time.Millisecond)
 	if f.ready(f.machines[0]) {
-		t.Error("a draining instance reports ready")
+		t.Error("a draining instance reports ready, want not ready")
 	}
 	for _, a := range f.resolve(f.machines[1]) {
 		if a == f.machines[0].Callers {
-			t.Error("a draining instance is still in the directory")
+			t.Error("a draining instance is still in the directory, want it removed")
 		}
 	}
 	if r := f.do(f.machines[0], booking("late")); r.status != http.StatusOK {
 		t.Errorf("a booking by a caller with a cached address: %+v, want a success", r)
 	}
 	if r := f.do(f.machines[0], generation("late-draft")); !refusedNotRun(r.status) {
-		t.Errorf("a generation that could not end within the drain: %+v, want a refusal as not run", r)
+		t.Errorf("a generation that could not end within the drain: %+v, want a refusal without a run", r)
 	}
 	for range 3 {
 		if r := <-done; r.truncated || r.status != http.StatusOK {
-			t.Errorf("a generation was cut by the drain: %+v", r)
+			t.Errorf("a generation during the drain: %+v, want a complete stream", r)
 		}
 	}
 	<-exited
@@ -336,10 +336,10 @@
 		t.Errorf("ready %v after the store's recovery, want at most 6 s", took)
 	}
 	if r := f.do(f.machines[0], booking("back")); r.status != http.StatusOK {
-		t.Errorf("%+v, want a success", r)
+		t.Errorf("a booking after the restart: %+v, want a success", r)
 	}
 	if n := countRuns(f.Arrivals()["early"]); n != 0 {
-		t.Error("a request that was refused as not run has run")
+		t.Error("a booking that was refused with status 503 has run, want no run")
 	}
 }
 
@@ -356,7 +356,7 @@
 	f.procs[last] = f.startInstance(t, f.machines[last])
 	testkit.Eventually(t, hosting.RevokeWithin/2, "the instance is ready", func() bool { return f.ready(f.machines[last]) })
 	if r := f.do(f.machines[last], booking("meanwhile")); r.status != http.StatusOK {
-		t.Errorf("%+v, want a success", r)
+		t.Errorf("a booking during the outage: %+v, want a success", r)
 	}
 }
 
@@ -420,7 +420,7 @@
 	}
 	testkit.Eventually(t, waitTimeout, "the upstream has read the body", func() bool { return len(f.Arrivals()["long"]) == 1 })
 	if got := f.Arrivals()["long"][0].Body; !strings.HasPrefix(c.body, got) {
-		t.Errorf("the upstream read %d bytes that are not the beginning of the body", len(got))
+		t.Errorf("the upstream read %d bytes that differ from the beginning of the body, want the same bytes", len(got))
 	}
 }
 
@@ -500,7 +500,7 @@
 		r := <-done
 		time.Sleep(200 * time.Millisecond)
 		if k >= 2 && !refusedNotRun(r.status) {
-			t.Errorf("%s: %+v, want a refusal as not run", id, r)
+			t.Errorf("%s: %+v, want a refusal without a run", id, r)
 		}
 	}
 	if crashed != 2 {
@@ -521,7 +521,7 @@
 			c := booking(fmt.Sprintf("large-%d", k))
 			c.body = body
 			if r := f.do(f.machines[0], c); r.status != http.StatusOK && !refusedNotRun(r.status) {
-				t.Errorf("%s: status %d, error %v; want a success or a refusal as not run", c.id, r.status, r.err)
+				t.Errorf("%s: status %d, error %v; want status 200, or a refusal without a run", c.id, r.status, r.err)
 			}
 		})
 	}
--- a/internal/proctest/hosted_world_test.go
+++ b/internal/proctest/hosted_world_test.go
@@ -59,13 +59,13 @@
 	f := &fixture{World: base, builds: builds{fixed: build}}
 	base.Configure(nil)
 	for k := range poolUpstreams {
-		f.pool = append(f.pool, f.addUpstream(t, fmt.Sprintf("engine-%d", k), hosting.Pool, func(k *hosting.Worker) {
-			k.EventEvery, k.EventCount, k.CopyTime = 25*time.Millisecond, streamEvents, 30*time.Millisecond
+		f.pool = append(f.pool, f.addUpstream(t, fmt.Sprintf("engine-%d", k), hosting.Pool, func(w *hosting.Worker) {
+			w.EventEvery, w.EventCount, w.CopyTime = 25*time.Millisecond, streamEvents, 30*time.Millisecond
 		}))
 	}
 	for k := range deskUpstreams {
-		f.desk = append(f.desk, f.addUpstream(t, fmt.Sprintf("desk-%d", k), hosting.Desk, func(k *hosting.Worker) {
-			k.Work = 10 * time.Millisecond
+		f.desk = append(f.desk, f.addUpstream(t, fmt.Sprintf("desk-%d", k), hosting.Desk, func(w *hosting.Worker) {
+			w.Work = 10 * time.Millisecond
 		}))
 	}
 	for k := range hostedInstanceCount {
@@ -75,9 +75,9 @@
 	return f
 }
 
-func (f *fixture) addUpstream(t *testing.T, id, service string, shape func(*hosting.Worker)) *hosting.Worker {
+func (f *fixture) addUpstream(t *testing.T, id, service string, configure func(*hosting.Worker)) *hosting.Worker {
 	t.Helper()
-	k, err := f.Add(id, service, shape)
+	k, err := f.Add(id, service, configure)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -103,11 +103,11 @@
 	base.Configure(nil)
 	for _, dc := range slices.Sorted(maps.Keys(dataCentres)) {
 		for k := range perDataCentre {
-			f.pool = append(f.pool, f.addUpstream(t, fmt.Sprintf("engine-%s-%d", dc, k), hosting.Pool, func(k *hosting.Worker) {
-				k.Zone, k.EventEvery, k.EventCount, k.CopyTime = dc, 25*time.Millisecond, streamEvents, 30*time.Millisecond
+			f.pool = append(f.pool, f.addUpstream(t, fmt.Sprintf("engine-%s-%d", dc, k), hosting.Pool, func(w *hosting.Worker) {
+				w.Zone, w.EventEvery, w.EventCount, w.CopyTime = dc, 25*time.Millisecond, streamEvents, 30*time.Millisecond
 			}))
-			f.desk = append(f.desk, f.addUpstream(t, fmt.Sprintf("desk-%s-%d", dc, k), hosting.Desk, func(k *hosting.Worker) {
-				k.Zone, k.Work = dc, 10*time.Millisecond
+			f.desk = append(f.desk, f.addUpstream(t, fmt.Sprintf("desk-%s-%d", dc, k), hosting.Desk, func(w *hosting.Worker) {
+				w.Zone, w.Work = dc, 10*time.Millisecond
 			}))
 			f.addInstanceIn(t, fmt.Sprintf("entry-%s-%d", dc, k), dc)
 		}
--- a/internal/proctest/load_test.go
+++ b/internal/proctest/load_test.go
@@ -15,8 +15,8 @@
 	"mulberrylug.example/mulberrylug/internal/testkit"
 )
 
-// answer is the result of one caller's request.
-type answer struct {
+// callResult is the outcome of one caller's request.
+type callResult struct {
 	name    string
 	key     string // of a booking, "" for a stream
 	result  client.Result
@@ -33,7 +33,7 @@
 	firstTokens atomic.Int64 // number of streams that have received a token
 
 	mu      sync.Mutex
-	answers []answer
+	results []callResult
 }
 
 func newLoad(t *testing.T, d *deployment) *load { return &load{t: t, cl: d.client(t)} }
@@ -51,7 +51,7 @@
 			first.Do(func() { l.firstTokens.Add(1) })
 			l.tokens.Add(1)
 		})
-		l.add(answer{name: fmt.Sprintf("stream %d", n), result: res, outcome: outcomeOf(err), err: err})
+		l.add(callResult{name: fmt.Sprintf("stream %d", n), result: res, outcome: outcomeOf(err), err: err})
 	})
 }
 
@@ -63,7 +63,7 @@
 		_, err := l.cl.Do(ctx, client.Call{
 			Service: "order-desk", Path: "/refills", Body: []byte(`{"cylinders":1}`), Key: key, NotRepeatable: true,
 		})
-		l.add(answer{name: "booking " + key, key: key, outcome: outcomeOf(err), err: err})
+		l.add(callResult{name: "booking " + key, key: key, outcome: outcomeOf(err), err: err})
 	})
 }
 
@@ -79,10 +79,10 @@
 	}
 }
 
-func (l *load) add(a answer) {
+func (l *load) add(a callResult) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.answers = append(l.answers, a)
+	l.results = append(l.results, a)
 }
 
 // waitForFirstTokens waits until n streams have received their first token.
@@ -91,20 +91,20 @@
 	testkit.Eventually(l.t, waitTimeout, fmt.Sprintf("%d streams have received a token", n), func() bool { return l.firstTokens.Load() >= n })
 }
 
-// wait waits for all callers and returns their answers.
-func (l *load) wait() []answer {
+// wait waits for all callers and returns their results.
+func (l *load) wait() []callResult {
 	l.wg.Wait()
-	return l.answers
+	return l.results
 }
 
-// checkAnswers compares the answers with the records of engines and service. The tokens of a stream
+// checkResults compares the results with the records of engines and service. The tokens of a stream
 // must come from one generation, in order and without duplicates, and be complete if the outcome
 // is done. A booking must run at most once, and not at all if the outcome is not run. It returns how
 // often streams were resumed.
-func checkAnswers(t *testing.T, d *deployment, answers []answer) (resumes int) {
+func checkResults(t *testing.T, d *deployment, results []callResult) (resumes int) {
 	t.Helper()
 	generations, calls := d.generations(t), d.callCounts(t)
-	for _, a := range answers {
+	for _, a := range results {
 		resumes += a.result.Resumes
 		if a.key != "" {
 			checkBooking(t, a, calls[a.key])
@@ -115,7 +115,7 @@
 	return resumes
 }
 
-func checkBooking(t *testing.T, a answer, runs int) {
+func checkBooking(t *testing.T, a callResult, runs int) {
 	t.Helper()
 	switch {
 	case runs > 1:
@@ -127,11 +127,11 @@
 	}
 }
 
-func checkTokens(t *testing.T, a answer, generations map[string]engine.Record) {
+func checkTokens(t *testing.T, a callResult, generations map[string]engine.Record) {
 	t.Helper()
 	if a.result.Text == "" {
 		if a.outcome == client.Done {
-			t.Errorf("%s: outcome done without a token", a.name)
+			t.Errorf("%s: outcome done without a token, want all tokens", a.name)
 		}
 		return
 	}
@@ -144,17 +144,17 @@
 			continue
 		}
 		if a.outcome == client.Done && a.result.Text != full.String() {
-			t.Errorf("%s: outcome done with %d of %d tokens", a.name, a.result.Tokens, rec.Tokens)
+			t.Errorf("%s: outcome done with %d of %d tokens, want all", a.name, a.result.Tokens, rec.Tokens)
 		}
 		return
 	}
 	t.Errorf("%s (%s, %v) received %d tokens that are not the beginning of one generation", a.name, a.outcome, a.err, a.result.Tokens)
 }
 
-// requireDone fails the test for every answer whose outcome is not done.
-func requireDone(t *testing.T, answers []answer) {
+// requireDone fails the test for every result whose outcome is not done.
+func requireDone(t *testing.T, results []callResult) {
 	t.Helper()
-	for _, a := range answers {
+	for _, a := range results {
 		if a.outcome != client.Done {
 			t.Errorf("%s: outcome %s, error %v, want done", a.name, a.outcome, a.err)
 		}
--- a/internal/proctest/process_test.go
+++ b/internal/proctest/process_test.go
@@ -178,11 +178,11 @@
 	if err := p.signal(syscall.SIGTERM); err != nil {
 		t.Error(err)
 	}
-	p.awaitExit(t)
+	p.waitExit(t)
 }
 
-// awaitExit waits for exit code 0 of a process that has received SIGTERM.
-func (p *process) awaitExit(t *testing.T) {
+// waitExit waits for exit code 0 of a process that has received SIGTERM.
+func (p *process) waitExit(t *testing.T) {
 	t.Helper()
 	select {
 	case <-p.ended:
--- a/internal/proctest/promise_test.go
+++ b/internal/proctest/promise_test.go
@@ -27,10 +27,10 @@
 	}
 	close(stop)
 	<-busy
-	answers := l.wait()
-	resumes := checkAnswers(t, d, answers)
-	requireDone(t, answers)
-	t.Logf("answers=%d resumes=%d", len(answers), resumes)
+	results := l.wait()
+	resumes := checkResults(t, d, results)
+	requireDone(t, results)
+	t.Logf("answers=%d resumes=%d", len(results), resumes)
 	if resumes != 0 {
 		t.Errorf("%d streams were cut by the restarts, want 0", resumes)
 	}
@@ -47,9 +47,9 @@
 		l.stream(n)
 		l.book(fmt.Sprintf("refill-%d", n))
 	}
-	answers := l.wait()
-	checkAnswers(t, d, answers)
-	requireDone(t, answers)
+	results := l.wait()
+	checkResults(t, d, results)
+	requireDone(t, results)
 	if got := len(d.callCounts(t)); got != each {
 		t.Errorf("the service ran %d different keys, want %d", got, each)
 	}
@@ -68,9 +68,9 @@
 	}
 	l.waitForFirstTokens(streams)
 	d.instances[0].kill()
-	answers := l.wait()
-	resumes := checkAnswers(t, d, answers)
-	requireDone(t, answers)
+	results := l.wait()
+	resumes := checkResults(t, d, results)
+	requireDone(t, results)
 	t.Logf("streams=%d resumes=%d", streams, resumes)
 	if resumes == 0 {
 		t.Error("no stream was resumed: the killed instance served none, so the test checks nothing")
@@ -95,9 +95,9 @@
 	}
 	l.waitForFirstTokens(2 * streams)
 	d.engines[0].freeze(t, 2*time.Second)
-	answers := l.wait()
-	resumes := checkAnswers(t, d, answers)
-	requireDone(t, answers)
+	results := l.wait()
+	resumes := checkResults(t, d, results)
+	requireDone(t, results)
 	t.Logf("streams=%d resumes=%d", 2*streams, resumes)
 }
 
@@ -118,10 +118,10 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	answers := l.wait()
-	checkAnswers(t, d, answers)
+	results := l.wait()
+	checkResults(t, d, results)
 	counts := map[client.Outcome]int{}
-	for _, a := range answers {
+	for _, a := range results {
 		counts[a.outcome]++
 	}
 	t.Logf("bookings=%d outcomes=%v", bookings, counts)
@@ -162,9 +162,9 @@
 	d.instances[0].drain(t)
 	close(stop)
 	<-busy
-	answers := l.wait()
-	resumes := checkAnswers(t, d, answers)
-	requireDone(t, answers)
+	results := l.wait()
+	resumes := checkResults(t, d, results)
+	requireDone(t, results)
 	if resumes != 0 {
 		t.Errorf("%d streams were cut by the drain, want 0", resumes)
 	}
@@ -186,7 +186,7 @@
 	withoutRetries.book("during")
 	withoutRetries.wait()
 	var p *client.Problem
-	if got := withoutRetries.answers[0]; !errors.As(got.err, &p) || p.Outcome != client.NotRun || p.RetryAfter == 0 {
+	if got := withoutRetries.results[0]; !errors.As(got.err, &p) || p.Outcome != client.NotRun || p.RetryAfter == 0 {
 		t.Errorf("booking during the outage: %v, want not run and a time to retry", got.err)
 	}
 	for n := range 6 {
@@ -199,8 +199,8 @@
 	d.platform.kill()
 	l.stream(10)
 	l.wait()
-	checkAnswers(t, d, append(l.answers, withoutRetries.answers...))
-	requireDone(t, l.answers)
+	checkResults(t, d, append(l.results, withoutRetries.results...))
+	requireDone(t, l.results)
 	d.instances[2].drain(t)
 }
 
@@ -211,9 +211,9 @@
 	d := deploy(t)
 	l := newLoad(t, d)
 	l.stream(0)
-	answers := l.wait()
-	requireDone(t, answers)
-	id := answers[0].result.RequestID
+	results := l.wait()
+	requireDone(t, results)
+	id := results[0].result.RequestID
 	for _, p := range d.instances {
 		var lines []string
 		if err := getJSON("http://"+p.value(t, "operator_address")+"/v1/explain/"+id, &lines); err != nil || len(lines) < 3 {
--- a/internal/proctest/upgrade_test.go
+++ b/internal/proctest/upgrade_test.go
@@ -115,9 +115,9 @@
 	}
 }
 
-// awaitServed waits until each instance has logged the event that ends a request: callers use
+// waitServed waits until each instance has logged the event that ends a request: callers use
 // a new instance only once their list of instances has expired.
-func awaitServed(t *testing.T, procs []*process, event string) {
+func waitServed(t *testing.T, procs []*process, event string) {
 	t.Helper()
 	for _, p := range procs {
 		testkit.Eventually(t, waitTimeout, p.name+" has served a request", func() bool { return strings.Contains(p.output(), event) })
@@ -201,8 +201,8 @@
 	return st
 }
 
-// bookAgain books under keys that have been used before, and waits for the answers.
-func (u *upgrade) bookAgain(t *testing.T, keys ...string) []answer {
+// bookAgain books under keys that have been used before, and waits for the results.
+func (u *upgrade) bookAgain(t *testing.T, keys ...string) []callResult {
 	t.Helper()
 	l := newLoad(t, u.deployment)
 	for _, key := range keys {
@@ -229,9 +229,9 @@
 	defer end()
 	busy := l.startTraffic(stop)
 	l.waitForFirstTokens(10)
-	awaitServed(t, u.instances, " event=request ")
+	waitServed(t, u.instances, " event=request ")
 
-	// A drain takes the lifetime of entry answers plus 5 s.
+	// A drain takes entry_ttl, the time for which callers keep the list of entries, plus 5 s.
 	first := strings.Replace(u.configuration(), "entry_ttl: 2s", "entry_ttl: 500ms", 1)
 	added := fmt.Sprintf("  - {name: ice-works, key_sha256: [%s], services: [order-desk], limits: {spend: 1.00, concurrent: 4}}\nmodels:\n", config.HashKey("key-of-the-ice-works"))
 	u.replaceAll(t, binary, "new", strings.Replace(first, "models:\n", added, 1))
@@ -239,21 +239,21 @@
 	u.replaceAll(t, secondBuild(), "back", first)
 	kept = append(kept, u.bookAgain(t, keys...)...)
 
-	awaitServed(t, u.instances, " event=request ")
+	waitServed(t, u.instances, " event=request ")
 	end()
 	<-busy
-	answers := l.wait()
+	results := l.wait()
 	for _, p := range u.all[:2*instanceCount] {
-		p.awaitExit(t)
+		p.waitExit(t)
 	}
 	u.waitVersion(t)
 	requireDone(t, kept)
-	resumes := checkAnswers(t, u.deployment, append(kept, answers...))
+	resumes := checkResults(t, u.deployment, append(kept, results...))
 	if resumes != 0 {
 		t.Errorf("%d streams were cut by the replacements, want 0", resumes)
 	}
 	done := 0
-	for _, a := range answers {
+	for _, a := range results {
 		var refused *client.Problem
 		switch {
 		case a.outcome == client.Done:
@@ -262,7 +262,7 @@
 			t.Errorf("%s: outcome %s, error %v; want done, or not run and a time to retry", a.name, a.outcome, a.err)
 		}
 	}
-	t.Logf("answers=%d done=%d version=%d", len(answers), done, u.version)
+	t.Logf("answers=%d done=%d version=%d", len(results), done, u.version)
 	for _, p := range u.all {
 		checkMessages(t, p.process)
 		checkVersions(t, p.process, "config_in_force", "number", p.version)
@@ -394,7 +394,7 @@
 	for k := range callers {
 		u.callers.Go(func() { u.call(k) })
 	}
-	awaitServed(t, u.procs, " event=request_ended ")
+	waitServed(t, u.procs, " event=request_ended ")
 	replaced := slices.Clone(u.procs)
 
 	u.builds.fixed = binary
@@ -415,7 +415,7 @@
 	u.builds.fixed = secondBuild()
 	for n, m := range first {
 		u.replace(t, n, func() (hosting.Machine, *process) {
-			replaced[n].awaitExit(t)
+			replaced[n].waitExit(t)
 			return m, u.startInstance(t, m)
 		})
 		if n == 0 {
@@ -424,11 +424,11 @@
 		u.waitVersion(t)
 	}
 
-	awaitServed(t, u.procs, " event=request_ended ")
+	waitServed(t, u.procs, " event=request_ended ")
 	end()
 	u.callers.Wait()
 	for _, p := range replaced {
-		p.awaitExit(t)
+		p.waitExit(t)
 	}
 	u.check(t)
 	for _, p := range u.all {
--- a/internal/prooftest/bookings/bookings_test.go
+++ b/internal/prooftest/bookings/bookings_test.go
@@ -41,7 +41,7 @@
 // result, for longer than any timeout. Meanwhile a second entry receives the key.
 // It must not take the claim over, as the first entry may be about to dispatch.
 // When the first entry resumes, its grant has expired: it releases the key and
-// responds "not run"; then the retries of the second caller's client get the call run.
+// responds "not run"; then a retry by the second caller's client runs the call.
 func TestPromise4HolderFrozenBetweenClaimAndDispatch(t *testing.T) {
 	f := startFleet(t, 2, "")
 	frozen := f.Instances[0]
--- a/internal/prooftest/config/config_test.go
+++ b/internal/prooftest/config/config_test.go
@@ -151,7 +151,7 @@
 	waitInForce(t, f, 2)
 	for _, i := range f.Instances {
 		if got := refusalReason(t, i.CallerAddress(), conflicts[0].Operator); got == core.ReasonBadKey {
-			t.Errorf("%s rejects the API key of the version that was accepted", i.Name)
+			t.Errorf("%s rejects the API key of the version that was accepted, want the key to be known", i.Name)
 		}
 	}
 }
@@ -206,7 +206,7 @@
 		t.Fatal(err)
 	}
 	waitInForce(t, f, 1)
-	testkit.Eventually(t, waitTimeout, "the outage lasts longer than a confirmation is valid", func() bool {
+	testkit.Eventually(t, waitTimeout, "the outage has lasted longer than the TTL of a confirmation", func() bool {
 		return time.Since(began) > 5*time.Second
 	})
 	waitInForce(t, f, 1)
--- a/internal/prooftest/config/leave_test.go
+++ b/internal/prooftest/config/leave_test.go
@@ -41,7 +41,7 @@
 		})
 	}
 	leaving, other := f.Engines[0], f.Engines[1]
-	testkit.Eventually(t, waitTimeout, "the engine runs generations", func() bool { return len(leaving.Records()) > 5 })
+	testkit.Eventually(t, waitTimeout, "the engine that is to leave runs generations", func() bool { return len(leaving.Records()) > 5 })
 	const lag = 3 * time.Second
 	time.Sleep(lag + time.Second) // the list as it was 3 s ago must already contain every instance and engine
 	f.Platform.SetFaults(platform.Faults{ListLag: lag})
--- a/internal/prooftest/members/fleet.go
+++ b/internal/prooftest/members/fleet.go
@@ -66,9 +66,9 @@
 	violation     string // new work sent to a leaving upstream too late, "" if none
 	// grants holds the replies that granted an attempt, in the order of sending.
 	grants []msg.GrantResponse
-	// firstAsks holds each entry's first request for a grant, with the home that it
+	// firstRequests holds each entry's first request for a grant, with the home that it
 	// was sent to, by the entry's name.
-	firstAsks map[string]core.Send
+	firstRequests map[string]core.Send
 }
 
 const fleetConfig = `
@@ -89,7 +89,7 @@
 // newFleet starts three instances and the upstreams of fleetConfig and runs them for
 // 3 s of virtual time.
 func newFleet() *fleet {
-	f := &fleet{now: time.Unix(1000, 0), table: memtable.New(), objects: map[string][]byte{}, firstAsks: map[string]core.Send{}}
+	f := &fleet{now: time.Unix(1000, 0), table: memtable.New(), objects: map[string][]byte{}, firstRequests: map[string]core.Send{}}
 	cfg, err := config.Parse([]config.File{{Name: "f.yaml", Data: fmt.Appendf(nil, fleetConfig, config.HashKey("k"))}})
 	if err != nil {
 		panic(err)
@@ -228,8 +228,8 @@
 	if f.now.Before(f.linksSlowUntil) { // stalled links deliver late
 		delay = 4 * time.Second
 	}
-	if _, ok := a.Msg.(msg.GrantRequest); ok && f.firstAsks[from.name].To == "" {
-		f.firstAsks[from.name] = a
+	if _, ok := a.Msg.(msg.GrantRequest); ok && f.firstRequests[from.name].To == "" {
+		f.firstRequests[from.name] = a
 	}
 	for _, to := range f.instances {
 		if to.name == a.To {
@@ -309,7 +309,7 @@
 // Kinds of steps in a generated sequence.
 const (
 	stepLeave = iota
-	stepAsk
+	stepRequest
 	stepFreezeInstance
 	stepRestartInstance
 	stepMuteReports
@@ -329,7 +329,7 @@
 	case stepLeave:
 		up.leavingSince = f.now
 		f.after(8*time.Second, func() { up.leavingSince = time.Time{} })
-	case stepAsk:
+	case stepRequest:
 		f.submit(n, 1+code/100%20)
 	case stepFreezeInstance:
 		n.frozenUntil = until
--- a/internal/prooftest/members/follow_test.go
+++ b/internal/prooftest/members/follow_test.go
@@ -85,7 +85,7 @@
 	sim.accept()
 	sim.run(maxPropagation)
 	if late := sim.outdated(); late != "" {
-		t.Errorf("%s after the first change since the outage: outdated instances: %s", maxPropagation, late)
+		t.Errorf("%s after the first change since the outage: outdated instances: %s; want none", maxPropagation, late)
 	}
 }
 
@@ -117,7 +117,7 @@
 		for now := time.Unix(1000, 0); now.Before(time.Unix(1020, 0)); now = now.Add(tickInterval) {
 			for _, a := range inst.Handle(now, core.Tick{}) {
 				if r, ok := a.(core.Read); ok && seen[r.Op] != "" && seen[r.Op] != boot {
-					t.Fatalf("boots %s and %s both use read id %s", seen[r.Op], boot, r.Op)
+					t.Fatalf("boots %s and %s both use read id %s, want different ids", seen[r.Op], boot, r.Op)
 				} else if ok {
 					seen[r.Op] = boot
 				}
--- a/internal/prooftest/members/leave_test.go
+++ b/internal/prooftest/members/leave_test.go
@@ -43,24 +43,24 @@
 	t.Logf("dispatched=%d", dispatched)
 }
 
-// firstGrantAsk returns the entry's first request for a grant and the home that it
+// firstGrantRequest returns the entry's first request for a grant and the home that it
 // was sent to. The home is "" if the entry has sent none.
-func (f *fleet) firstGrantAsk(entry *fleetInstance) (home string, ask msg.GrantRequest) {
-	a := f.firstAsks[entry.name]
-	ask, _ = a.Msg.(msg.GrantRequest)
-	return a.To, ask
+func (f *fleet) firstGrantRequest(entry *fleetInstance) (home string, request msg.GrantRequest) {
+	a := f.firstRequests[entry.name]
+	request, _ = a.Msg.(msg.GrantRequest)
+	return a.To, request
 }
 
-// grantAsk sends a request for a grant from i1 to i0 as the home of the engines.
-func (f *fleet) grantAsk(attempt string, number int) {
-	ask := placement.Request{Attempt: attempt, Org: "o", Prompt: 10, MaxOutput: 100, MaxWait: time.Minute}
-	f.handle(f.instances[0], core.PeerMessage{From: "i1", Msg: msg.GrantRequest{Pool: "chat@r", Request: ask, Number: number}})
+// requestGrant sends a request for a grant from i1 to i0 as the home of the engines.
+func (f *fleet) requestGrant(attempt string, number int) {
+	request := placement.Request{Attempt: attempt, Org: "o", Prompt: 10, MaxOutput: 100, MaxWait: time.Minute}
+	f.handle(f.instances[0], core.PeerMessage{From: "i1", Msg: msg.GrantRequest{Pool: "chat@r", Request: request, Number: number}})
 }
 
 // warm makes the home poll the upstreams, by a request for a grant that soon ends.
 func (f *fleet) warm() {
 	const attempt = "i1:1:0/0"
-	f.grantAsk(attempt, 1)
+	f.requestGrant(attempt, 1)
 	f.run(time.Second)
 	f.handle(f.instances[0], core.PeerMessage{From: "i1", Msg: msg.GrantEnd{Pool: "chat@r", Attempt: attempt}})
 	f.grants = nil
@@ -74,14 +74,14 @@
 	f := newFleet()
 	f.instances[1].frozenUntil = f.now.Add(time.Minute) // the entry gets no reply
 	f.warm()
-	f.grantAsk("i1:1:1/1", 1)
+	f.requestGrant("i1:1:1/1", 1)
 	if len(f.grants) != 1 {
 		t.Fatalf("%d grants, want 1", len(f.grants))
 	}
 	up := f.upstream(f.grants[0].Decision.Upstream)
 	up.leavingSince = f.now
 	f.run(3 * time.Second)
-	f.grantAsk("i1:1:1/1", 2)
+	f.requestGrant("i1:1:1/1", 2)
 	for _, m := range f.grants[1:] {
 		if m.Decision.Upstream == up.member.Name {
 			t.Errorf("grant for %s was repeated after the upstream began to leave, want none", up.member.Name)
@@ -96,7 +96,7 @@
 	f := newFleet()
 	f.warm()
 	for n := range 5 {
-		f.grantAsk(fmt.Sprintf("i1:1:%d/1", n), 1) // four fill both engines, one is queued
+		f.requestGrant(fmt.Sprintf("i1:1:%d/1", n), 1) // four fill both engines, one is queued
 	}
 	if len(f.grants) != 4 {
 		t.Fatalf("%d grants, want 4", len(f.grants))
@@ -146,7 +146,7 @@
 	n := f.instances[entry]
 	n.requests = 1 // so that the next request is a generation
 	f.submit(n, 1)
-	for try := 0; try < 200 && f.firstAsks[n.name].To == ""; try++ {
+	for try := 0; try < 200 && f.firstRequests[n.name].To == ""; try++ {
 		f.run(time.Millisecond)
 	}
 	for _, other := range f.instances {
@@ -154,20 +154,20 @@
 			other.frozenUntil = f.now.Add(time.Minute)
 		}
 	}
-	home, ask := f.firstGrantAsk(n)
+	home, request := f.firstGrantRequest(n)
 	if home == "" {
 		return 0, false
 	}
-	answer := msg.GrantResponse{
-		Pool: ask.Pool, Address: "e1", TTL: time.Second, Number: ask.Number,
-		Decision: placement.Decision{Attempt: ask.Request.Attempt, Kind: placement.Queued, Upstream: "e1"},
+	reply := msg.GrantResponse{
+		Pool: request.Pool, Address: "e1", TTL: time.Second, Number: request.Number,
+		Decision: placement.Decision{Attempt: request.Request.Attempt, Kind: placement.Queued, Upstream: "e1"},
 	}
 	for began := f.now; f.now.Sub(began) < delay; {
-		f.handle(n, core.PeerMessage{From: home, Msg: answer})
+		f.handle(n, core.PeerMessage{From: home, Msg: reply})
 		f.run(50 * time.Millisecond)
 	}
 	before := f.dispatched
-	answer.Decision.Kind = placement.Granted
-	f.handle(n, core.PeerMessage{From: home, Msg: answer})
+	reply.Decision.Kind = placement.Granted
+	f.handle(n, core.PeerMessage{From: home, Msg: reply})
 	return f.dispatched - before, true
 }
--- a/internal/prooftest/members/simulation.go
+++ b/internal/prooftest/members/simulation.go
@@ -194,7 +194,7 @@
 	}
 	f.lastNumber = n
 	if c := f.inst.Cordons(); n > 0 && (c.Version != n || !slices.Equal(c.DataCentres, sim.cordoned[n])) {
-		sim.violation = fmt.Sprintf("%s has version %d with cordons %v of version %d, want cordons %v", f.name, n, c.DataCentres, c.Version, sim.cordoned[n])
+		sim.violation = fmt.Sprintf("%s has version %d, but cordons %v of version %d; want cordons %v of its own version", f.name, n, c.DataCentres, c.Version, sim.cordoned[n])
 	}
 	at, replaced := sim.accepted[n+1]
 	if late := sim.now.Sub(at); replaced && late > maxStaleness && f.inst.Ready(sim.now) {
--- a/internal/prooftest/streams/engine.go
+++ b/internal/prooftest/streams/engine.go
@@ -65,9 +65,9 @@
 func (sim *simulation) dispatch(name string, d core.Dispatch) {
 	e := sim.engines[d.Address]
 	l := &link{channel: fmt.Sprintf("link %s %s %d", name, d.Attempt, d.Link), instance: name, d: d}
-	fail := func(sent, gone bool) {
+	fail := func(sent, notFound bool) {
 		sim.enqueue(l.channel, func() {
-			sim.handle(name, core.UpstreamFailed{Request: d.Request, Attempt: d.Attempt, Link: d.Link, Sent: sent, NotFound: gone, Step: "fake"})
+			sim.handle(name, core.UpstreamFailed{Request: d.Request, Attempt: d.Attempt, Link: d.Link, Sent: sent, NotFound: notFound, Step: "fake"})
 		})
 	}
 	if sim.now.Before(e.downUntil) {
@@ -80,7 +80,7 @@
 		fail(true, true)
 		return
 	}
-	g := e.generation(d)
+	g := e.startOrResume(d)
 	if g == nil {
 		fail(true, true)
 		return
@@ -93,11 +93,11 @@
 	}
 	if strings.Contains(g.body, "endless") {
 		l.endless = true
-		sim.enqueue(l.channel, func() { sim.token(l, g, d.From) }) // keepAlive sends the rest with each tick
+		sim.enqueue(l.channel, func() { sim.sendToken(l, g, d.From) }) // keepAlive sends the rest with each tick
 		return
 	}
 	for n := d.From; n < g.tokenCount; n++ {
-		sim.enqueue(l.channel, func() { sim.token(l, g, n) })
+		sim.enqueue(l.channel, func() { sim.sendToken(l, g, n) })
 	}
 	sim.enqueue(l.channel, func() {
 		end := core.UpstreamEnd{Request: d.Request, Attempt: d.Attempt, Link: d.Link, Boot: g.boot, Tokens: g.tokenCount, Reason: "stop"}
@@ -108,9 +108,9 @@
 	})
 }
 
-// generation returns the generation of an attempt and starts it unless the dispatch
-// is a resume. It returns nil for a resume of an unknown generation.
-func (e *fakeEngine) generation(d core.Dispatch) *generation {
+// startOrResume returns the generation of an attempt. If there is none, it starts one,
+// or returns nil if the dispatch is a resume.
+func (e *fakeEngine) startOrResume(d core.Dispatch) *generation {
 	if g := e.gens[d.Attempt]; g != nil {
 		return g
 	}
@@ -149,7 +149,8 @@
 	}
 }
 
-func (sim *simulation) token(l *link, g *generation, n int) {
+// sendToken passes a generation's token n to the instance at the other end of a connection.
+func (sim *simulation) sendToken(l *link, g *generation, n int) {
 	sim.handle(l.instance, core.UpstreamToken{
 		Request: l.d.Request, Attempt: l.d.Attempt, Link: l.d.Link, Boot: g.boot, Index: n,
 		Text: fmt.Sprintf("%s|%s|%s|%d|%d ", l.d.Attempt, g.boot, g.body, n, g.tokenCount),
--- a/internal/prooftest/streams/follow_test.go
+++ b/internal/prooftest/streams/follow_test.go
@@ -76,8 +76,8 @@
 }
 
 // A caller loses its connection and resumes at another entry. The first entry must
-// stop tracking the request. The generation must not be cancelled, also not when the
-// caller resumes a second time and when the home is killed.
+// stop tracking the request. The generation must not be cancelled, not even after
+// the caller resumes a second time and the home is killed.
 func TestPromise1AdoptedGenerationIsNotCancelled(t *testing.T) {
 	sim := newSimulation(4, 2, "1000.00")
 	c := sim.submit("entry-0", "depot-key", "endless", true)
@@ -99,14 +99,14 @@
 		}
 	}
 	if got := len(c.tokens); got < 2 || strings.Join(sim.check(), "") != "caller 0 (, ): no end" {
-		t.Errorf("tokens = %d, violations %v; want at least 2 and only a stream without end", got, sim.check())
+		t.Errorf("tokens = %d, violations %v; want at least 2 tokens, and as the only violation that the stream has no end", got, sim.check())
 	}
 }
 
 // The home receives no announcement from the entry for longer than the resume
 // window, as could happen with two active homes. It must ask the instances before it
-// cancels the generation, so that the stream continues. It must not cancel either
-// while an instance that is in the list has not replied.
+// cancels the generation, so that the stream continues. Nor may it cancel the
+// generation while an instance in the list has not replied.
 func TestPromise1HomeAsksBeforeItCancels(t *testing.T) {
 	for name, loses := range map[string]func(msg.Message) bool{
 		"announcements lost": func(m msg.Message) bool { _, is := m.(msg.Announce); return is },
@@ -125,7 +125,7 @@
 				sim.submit(sim.home(), "press-key", "other", false) // so that the home stays active
 			}
 			if sim.generation(t, "endless").cancelled || c.ended {
-				t.Errorf("cancelled a stream that its entry tracks, want it kept; caller ended = %t, reason %q", c.ended, c.reason)
+				t.Errorf("the generation was cancelled, or the caller ended (%t, reason %q); want neither, as the entry tracks the stream", c.ended, c.reason)
 			}
 		})
 	}
--- a/internal/prooftest/streams/poison_sockets_test.go
+++ b/internal/prooftest/streams/poison_sockets_test.go
@@ -63,7 +63,7 @@
 		e.onCrash = func() {
 			crashes.Add(1)
 			e.crash()
-			time.AfterFunc(3*time.Second, func() { _ = e.server.Reopen() }) // fails only once the test has ended
+			time.AfterFunc(3*time.Second, func() { _ = e.server.Reopen() }) // Reopen fails only once the test has ended
 		}
 	}
 }
--- a/internal/prooftest/streams/retry_test.go
+++ b/internal/prooftest/streams/retry_test.go
@@ -11,8 +11,8 @@
 
 // In a partial outage some or all engines fail every new generation. Callers send
 // one request after another and don't retry. The number of attempts must not exceed
-// the requests + retry.Saved for each entry + retry.Earned for each success, and a
-// request whose retry is refused must end within 5 s with a time to retry. Failing
+// the requests + retry.MaxRetries for each entry + retry.RetriesPerSuccess for each
+// success, and a request whose retry is refused must end within 5 s with a time to retry. Failing
 // engines must not attract work away from healthy ones.
 func TestRetryBudgetBoundsAmplification(t *testing.T) {
 	const requests = 600
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -37,7 +37,8 @@
 	list []CacheEvent
 }
 
-// add numbers the events and appends them, except for the dropped ones.
+// add numbers the events and appends them, without every n-th one; see
+// eventDropInterval.
 func (l *eventLog) add(events []CacheEvent) {
 	for _, ev := range events {
 		l.seq++
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -30,7 +30,7 @@
 	// generations. Default 512.
 	Prefill int
 	// Median, in tokens, and Sigma are the parameters of the log-normal
-	// distribution of answer lengths. If Median is zero, they are 60 and 0.8.
+	// distribution of output lengths. If Median is zero, they are 60 and 0.8.
 	Median float64
 	Sigma  float64
 	// ReportLag is the age of the load that the engine reports. Default 200ms.
@@ -76,15 +76,15 @@
 	lost // ended by a crash of the engine
 )
 
-// generation is one answer that the engine produces, with its prompt.
+// generation is one generation with its prompt and the tokens produced so far.
 type generation struct {
 	id         string
 	prompt     int // tokens in the prompt
-	length     int // tokens in the complete answer
+	length     int // tokens in the complete output
 	priority   int // a lower number is served first
 	arrival    int // sequence number of the generation at this engine
 	prefill    int // tokens still to be computed before decoding continues
-	tokens     int // answer tokens produced so far
+	tokens     int // output tokens produced so far
 	state      state
 	blocks     []uint64 // hashes of the prompt's blocks in the prompt cache
 	promptText string
--- a/internal/standin/engine/step.go
+++ b/internal/standin/engine/step.go
@@ -29,7 +29,7 @@
 	return g
 }
 
-// length draws the length of an answer, in tokens. The prompt text is the seed, so that
+// length draws the length of a generation's output, in tokens. The prompt text is the seed, so that
 // the same prompt always gets the same length.
 func (e *Engine) length(promptText string, maxTokens int) int {
 	h := fnv.New64a()
--- a/internal/standin/hosting/world.go
+++ b/internal/standin/hosting/world.go
@@ -81,10 +81,10 @@
 	}
 }
 
-// Add starts an upstream; shape sets its fields before the start. An upstream with an
+// Add starts an upstream; configure sets its fields before the start. An upstream with an
 // EventCount is an engine, any other is a plain service.
-func (w *World) Add(id, service string, shape func(*Worker)) (*Worker, error) {
-	k := w.newWorker(id, service, shape)
+func (w *World) Add(id, service string, configure func(*Worker)) (*Worker, error) {
+	k := w.newWorker(id, service, configure)
 	var err error
 	if k.server, err = standin.Start("127.0.0.1:0", k); err != nil {
 		return nil, err
@@ -95,12 +95,12 @@
 }
 
 // newWorker returns an upstream that is not started yet.
-func (w *World) newWorker(id, service string, shape func(*Worker)) *Worker {
+func (w *World) newWorker(id, service string, configure func(*Worker)) *Worker {
 	k := &Worker{
 		ID: id, Service: service, Born: time.Now().UnixMilli(), Zone: DefaultZone, coldPerS: w.ColdPerS, state: "ready", table: w.Table,
 		generations: map[string]*generation{}, copies: map[string]*generation{}, copiesSent: map[string]*Worker{}, workerAt: w.workerAt, stop: make(chan struct{}),
 	}
-	shape(k)
+	configure(k)
 	return k
 }
 
@@ -114,8 +114,8 @@
 
 // AddBehindRelay starts an upstream that instances reach only through a relay, which can
 // delay, close or silence its connections.
-func (w *World) AddBehindRelay(id, service string, shape func(*Worker)) (*Worker, *relay.Relay, error) {
-	k := w.newWorker(id, service, shape)
+func (w *World) AddBehindRelay(id, service string, configure func(*Worker)) (*Worker, *relay.Relay, error) {
+	k := w.newWorker(id, service, configure)
 	var err error
 	if k.server, err = standin.Start("127.0.0.1:0", k); err != nil {
 		return nil, nil, err
@@ -218,19 +218,21 @@
 	Entries string
 }
 
-// cordonRow is the prefix of the key of the row that cordons a data centre.
-const cordonRow = "evacuate/"
+// cordonKeyPrefix is the prefix of the keys of rows that cordon a data centre. The rest of such a
+// key is the data centre's name.
+const cordonKeyPrefix = "evacuate/"
 
 // Cordon requests that instances send no more requests to the upstreams of a data centre.
-func (w *World) Cordon(zone string) { w.Table.Put("op", cordonRow+zone, map[string]any{}) }
+func (w *World) Cordon(zone string) { w.Table.Put("op", cordonKeyPrefix+zone, map[string]any{}) }
 
 // Uncordon removes the cordon of a data centre.
-func (w *World) Uncordon(zone string) { w.Table.Remove("op", cordonRow+zone) }
+func (w *World) Uncordon(zone string) { w.Table.Remove("op", cordonKeyPrefix+zone) }
 
-// Machine writes the settings of another instance, in the default data centre.
+// Machine writes the settings file of another instance in the default data centre, and
+// returns the instance's addresses.
 func (w *World) Machine(name string) (Machine, error) { return w.MachineIn(name, DefaultZone) }
 
-// MachineIn writes the settings of another instance, in the given data centre.
+// MachineIn is Machine for the given data centre.
 func (w *World) MachineIn(name, zone string) (Machine, error) {
 	ip, ports, err := allocateAddress()
 	if err != nil {
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -33,9 +33,9 @@
 	Down bool `json:"down"`
 	// Delay is added to each table and object call.
 	Delay time.Duration `json:"delay"`
-	// LoseAnswers is the number of next commits that take effect without a response.
+	// LoseAnswers is the number of the next commits that take effect without a response.
 	LoseAnswers int `json:"lose_answers"`
-	// LandLate is the number of next commits that get no response and take effect
+	// LandLate is the number of the next commits that get no response and take effect
 	// only LandAfter after they arrived, long after the timeouts of their callers.
 	LandLate  int           `json:"land_late"`
 	LandAfter time.Duration `json:"land_after"`
@@ -195,12 +195,12 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.counts.Commits++
-	return p.table.Apply(tx), p.takeLostAnswer(tx)
+	return p.table.Apply(tx), p.takeLostResponse(tx)
 }
 
-// takeLostAnswer reports whether the fault LoseAnswers applies to a transaction, and
+// takeLostResponse reports whether the fault LoseAnswers applies to a transaction, and
 // counts it if so. The caller holds the lock.
-func (p *Platform) takeLostAnswer(tx table.Tx) bool {
+func (p *Platform) takeLostResponse(tx table.Tx) bool {
 	if p.faults.LoseAnswers == 0 || !writesPrefix(tx, p.faults.LoseMatching) {
 		return false
 	}
--- a/internal/standin/relay/relay.go
+++ b/internal/standin/relay/relay.go
@@ -34,7 +34,7 @@
 func Start(target string) (*Relay, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return nil, fmt.Errorf("relay to %s: %w", target, err)
+		return nil, fmt.Errorf("listen for the relay to %s: %w", target, err)
 	}
 	r := &Relay{listener: ln, target: target, links: map[*link]bool{}}
 	go r.accept()
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -23,12 +23,12 @@
 type Faults struct {
 	// Delay is added before a call is executed.
 	Delay time.Duration `json:"delay"`
-	// LoseAnswers is the number of next calls that are executed but whose connection
+	// LoseAnswers is the number of the next calls that are executed but whose connection
 	// is closed without a response.
 	LoseAnswers int `json:"lose_answers"`
-	// Hang is the number of next calls that are executed but never answered.
+	// Hang is the number of the next calls that are executed but get no response.
 	Hang int `json:"hang"`
-	// Redirect is the number of next calls that are executed and answered with a
+	// Redirect is the number of the next calls that are executed and get a
 	// redirect to the same path, which HTTP libraries follow by repeating the call.
 	Redirect int `json:"redirect"`
 }
--- a/internal/trial/central.go
+++ b/internal/trial/central.go
@@ -94,7 +94,7 @@
 	return centralMaker("watermark", fits, func(c *centralQueue, i int) float64 { return memoryCost(&c.views[i]) })
 }
 
-// Thin is the first version of the project's own policy: first come first served, on the
+// Thin is the first version of the home's policy: first come first served, on the
 // engine with the fewest attempts in flight that has room for the prompt and half of the
 // maximum output of each attempt.
 func Thin() Maker {
--- a/internal/trial/cold.go
+++ b/internal/trial/cold.go
@@ -14,11 +14,11 @@
 	"mulberrylug.example/mulberrylug/internal/core/route"
 )
 
-// ColdStart describes a service under load, some of whose upstreams come back cold.
+// ColdStart describes a service under load, some of whose upstreams return to service cold.
 // Each instance chooses an upstream by itself.
 type ColdStart struct {
 	Instances, Upstreams, DataCentres int
-	// Cold is the number of upstreams that come back at the same time. They stay cold for
+	// Cold is the number of upstreams that return at the same time. They stay cold for
 	// ColdFor; until then each sustains Rate requests per second.
 	Cold    int
 	ColdFor time.Duration
@@ -106,7 +106,7 @@
 	return out
 }
 
-// gates returns one gate per instance, in the state at which the upstreams come back.
+// gates returns one gate per instance, in the state at which the upstreams return.
 func (c ColdStart) gates(now time.Time, rng *rand.Rand) []*forward.Gate {
 	table := route.NewTable(route.Config{
 		Version:  1,
--- a/internal/trial/cordon.go
+++ b/internal/trial/cordon.go
@@ -8,8 +8,8 @@
 
 // Cordoning cordons a data centre once and lifts the cordon later.
 type Cordoning struct {
-	// First is the time of the cordon from the start of the run, For its duration; with
-	// For 0 there is none.
+	// First is the time from the start of the run to the cordon, For the cordon's duration.
+	// If For is 0, there is no cordon.
 	First time.Duration
 	For   time.Duration
 	// Restart replaces the data centre's engines when the cordon is lifted; generations
--- a/internal/trial/engine.go
+++ b/internal/trial/engine.go
@@ -152,8 +152,7 @@
 
 // compute distributes the step's prompt tokens over the generations in prefill and preempts
 // until there is memory for one token of each generation that decodes, or only one generation
-// is left in the batch. It returns the
-// number of decodes and prompt tokens in the step.
+// is left in the batch. It returns the number of decodes and prompt tokens in the step.
 func (e *engine) compute() (decodes, prompt int) {
 	budget := e.spec.Chunk
 	for _, g := range e.running {
--- a/internal/trial/faults.go
+++ b/internal/trial/faults.go
@@ -5,7 +5,7 @@
 // Failing makes engines fail a fraction of their requests while their health checks pass.
 type Failing struct {
 	// First is when the first engines begin to fail, Every the interval at which others
-	// begin; with Every 0 none fails. For is how long each engine keeps failing.
+	// begin; if Every is 0, none fails. For is how long each engine keeps failing.
 	First time.Duration
 	Every time.Duration
 	For   time.Duration
@@ -18,8 +18,8 @@
 
 // Crashes makes engines end without notice, and other engines join.
 type Crashes struct {
-	// First is when the first engines crash, Every the interval at which others do; with
-	// Every 0 none crashes. Count is how many crash at the same time.
+	// First is when the first engines crash, Every the interval at which others do; if
+	// Every is 0, none crashes. Count is how many crash at the same time.
 	First time.Duration
 	Every time.Duration
 	Count int
--- a/internal/trial/homes.go
+++ b/internal/trial/homes.go
@@ -23,7 +23,7 @@
 	lastAnnounced time.Duration
 }
 
-// Homes returns the project's own placement policy with a deployment's weights.
+// Homes returns the production placement.Home as a policy, with a deployment's weights.
 func Homes(name string, weights config.Weights) Maker {
 	return Maker{Name: name, Make: func(r *Run) Policy {
 		return newSimHome(r, placement.Settings{Weights: weights, Engine: true})
--- a/internal/trial/instances.go
+++ b/internal/trial/instances.go
@@ -9,7 +9,7 @@
 // Slowing makes engines slow for a while; nothing but their pace shows it.
 type Slowing struct {
 	// First is when the first engines become slow, Every the interval at which others do;
-	// with Every 0 none does. For is how long each engine stays slow.
+	// if Every is 0, none does. For is how long each engine stays slow.
 	First time.Duration
 	Every time.Duration
 	For   time.Duration
@@ -21,18 +21,17 @@
 
 // Shutdown ends all instances at the same time; the requests that run then are lost.
 type Shutdown struct {
-	// At is the time from the start of the run; with At 0 there is no shutdown.
+	// At is the time from the start of the run; if At is 0, there is no shutdown.
 	At time.Duration
 	// Down is how long no instance serves. Requests that arrive meanwhile wait until then.
 	Down time.Duration
 }
 
 // EntryLoss makes some instances lose power at the same time. Their generations continue on
-// the engines, without a caller, until the instances are back. Their
-// callers switch to other instances; lost requests that may be repeated are sent again all at
-// the same time.
+// the engines, without a caller, until the instances are back. Their callers switch to other
+// instances; lost requests that may be repeated are sent again all at the same time.
 type EntryLoss struct {
-	// At is the time from the start of the run; with At 0 there is no loss. Share is the
+	// At is the time from the start of the run; if At is 0, there is no loss. Share is the
 	// fraction of the instances that are lost.
 	At    time.Duration
 	Share float64
--- a/internal/trial/instances_test.go
+++ b/internal/trial/instances_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// lightLoad returns a workload with a low rate of long answers and without faults.
+// lightLoad returns a workload with a low rate of long responses and without faults.
 func lightLoad() Workload {
 	w := smallWorkload()
 	w.Orgs = []Org{{Name: "long", Share: 1, PromptMedian: 300, PromptSigma: 0.3, Median: 300, Sigma: 0.5}}
@@ -41,7 +41,7 @@
 		t.Errorf("fraction of the value lost = %.3f, want within a factor of 3 of %.3f (from the time in flight)", shutdownLost, want)
 	}
 	if others := lostShare(r) - shutdownLost; others > 0.02 {
-		t.Errorf("fraction of the value lost by other causes = %.3f, want at most 0.02", others)
+		t.Errorf("fraction of the value lost by causes other than the shutdown = %.3f, want at most 0.02", others)
 	}
 }
 
@@ -75,10 +75,10 @@
 func TestWorthIsProportionalToSize(t *testing.T) {
 	o := Org{PromptMedian: 1000, Median: 100, Worth: 10}
 	if got := o.valueOf(1000, 100); math.Abs(got-10) > 1e-9 {
-		t.Errorf("value of an answer of mean size = %g, want 10", got)
+		t.Errorf("value of a response of mean size = %g, want 10", got)
 	}
 	if got := o.valueOf(1000, 300); math.Abs(got-20) > 1e-9 {
-		t.Errorf("value of an answer of twice the mean size = %g, want 20", got)
+		t.Errorf("value of a response of twice the mean size = %g, want 20", got)
 	}
 	w := Worth{Lost: map[Fate]float64{}}
 	q := &Request{Worth: 10, LateShare: 0.2, At: time.Second}
--- a/internal/trial/leave.go
+++ b/internal/trial/leave.go
@@ -10,7 +10,7 @@
 // Leaving makes engines leave repeatedly, at short notice, and other engines join.
 type Leaving struct {
 	// First is when the first engines get notice, Every the interval at which others do;
-	// with Every 0 none leaves.
+	// if Every is 0, none leaves.
 	First time.Duration
 	Every time.Duration
 	// Count is how many engines leave at the same time.
--- a/internal/trial/measure.go
+++ b/internal/trial/measure.go
@@ -13,10 +13,10 @@
 	// stall.
 	FirstTokenTarget = 1800 * time.Millisecond
 	// GapThreshold is the longest gap between tokens that does not count as a stall: a
-	// reader does not notice it, and a preempted answer's gap is many times as long.
+	// reader does not notice it, and a preempted response's gap is many times as long.
 	GapThreshold = 200 * time.Millisecond
 
-	// SteadyGap is the longest gap in an answer that counts as on time: the users'
+	// SteadyGap is the longest gap in a response that counts as on time: the users'
 	// requirements allow that much time between two events.
 	SteadyGap = 180 * time.Millisecond
 
@@ -38,21 +38,21 @@
 	// Preemptions counts the preemptions on all engines.
 	Preemptions int64
 	// P95, P99 and P999 are percentiles of all gaps between tokens. LongestP99 is the 99th
-	// percentile of the longest gap in each answer.
+	// percentile of the longest gap in each response.
 	P95, P99, P999 time.Duration
 	LongestP99     time.Duration
 	// FirstP95 is the 95th percentile of the waits for the first token.
 	FirstP95 time.Duration
-	// Done counts complete answers, Partial requests that were lost by a fault, Refused
+	// Done counts complete responses, Partial requests that were lost by a fault, Refused
 	// refusals (a caller that comes back may be refused again).
 	Done, Partial, Refused int
-	// InTime counts complete answers whose first token and gaps were all on time, Moved the
+	// InTime counts complete responses whose first token and gaps were all on time, Moved the
 	// moves of generations to another engine.
 	InTime, Moved int
 	// Late counts refusals that came more than four hops after the request was sent.
 	Late int
 	// Returned counts callers that came back after a refusal, Served those of them that got
-	// a complete answer.
+	// a complete response.
 	Returned, Served int
 	// Unanswered counts requests that had no outcome when the run ended.
 	Unanswered int
@@ -69,16 +69,16 @@
 	Worth Worth
 	// FirstP50 and FirstP99 are percentiles of the waits for the first token.
 	FirstP50, FirstP99 time.Duration
-	// TokenTime is the mean interval between the tokens of answers with at least
-	// longAnswerTokens tokens.
+	// TokenTime is the mean interval between the tokens of responses with at least
+	// longResponseTokens tokens.
 	TokenTime time.Duration
 	// NoRun counts move orders for generations that were still in prefill or no longer ran
 	// on the source engine.
 	NoRun int
 }
 
-// longAnswerTokens is the minimum number of tokens of an answer that counts in TokenTime.
-const longAnswerTokens = 100
+// longResponseTokens is the minimum number of tokens of a response that counts in TokenTime.
+const longResponseTokens = 100
 
 // measure collects a run's figures.
 type measure struct {
@@ -90,7 +90,7 @@
 	firstOnTime int
 	// lastFirstToken is when the latest first token was produced.
 	lastFirstToken time.Duration
-	// decodeTime sums the time between the first and last tokens of long answers,
+	// decodeTime sums the time between the first and last tokens of long responses,
 	// decodedTokens their tokens after the first.
 	decodeTime    time.Duration
 	decodedTokens int
@@ -150,7 +150,7 @@
 func (m *measure) done(now time.Duration, g *generation) {
 	m.result.Done++
 	m.result.Worth.add(now, g.req, g.fate())
-	if g.tokens >= longAnswerTokens {
+	if g.tokens >= longResponseTokens {
 		m.decodeTime += g.lastTokenAt - g.firstTokenAt
 		m.decodedTokens += g.tokens - 1
 	}
--- a/internal/trial/oracle.go
+++ b/internal/trial/oracle.go
@@ -6,7 +6,7 @@
 	"mulberrylug.example/mulberrylug/internal/core/placement"
 )
 
-// oracle is a policy that knows the length of every answer in advance. It has one queue,
+// oracle is a policy that knows the length of every response in advance. It has one queue,
 // serves the request with the least work first, and sends a request only to an engine whose
 // memory will never overflow. No real policy can do as well: the oracle is the upper bound
 // for the gain from estimates of output length.
@@ -18,7 +18,7 @@
 	inFlight []map[string]*Request
 }
 
-// Oracle returns the policy that knows every answer's length in advance.
+// Oracle returns the policy that knows every response's length in advance.
 func Oracle() Maker {
 	return Maker{Name: "oracle", Make: func(r *Run) Policy {
 		o := &oracle{run: r}
@@ -74,7 +74,7 @@
 		if e.leaving || e.dead || len(o.inFlight[i]) >= e.spec.MaxBatch {
 			continue
 		}
-		peak := o.peak(i, q)
+		peak := o.peakMemory(i, q)
 		if peak > e.spec.Capacity && len(o.inFlight[i]) > 0 {
 			continue
 		}
@@ -89,9 +89,9 @@
 // at present in tokens.
 type remaining struct{ tokens, memory int }
 
-// peak returns the maximum memory that an engine will need if it also takes q. All
+// peakMemory returns the maximum memory that an engine will need if it also takes q. All
 // generations grow by one token per step, so each local maximum is where one of them ends.
-func (o *oracle) peak(engine int, q *Request) int {
+func (o *oracle) peakMemory(engine int, q *Request) int {
 	gens := []remaining{{q.Output, q.Prompt}}
 	for id, r := range o.inFlight[engine] {
 		tokens := 0
--- a/internal/trial/poolhome.go
+++ b/internal/trial/poolhome.go
@@ -33,7 +33,7 @@
 // poolName is the name of the only pool, and of its service.
 const poolName = "pool"
 
-// PoolHome returns the project's own home of a pool as a policy, without the given mechanisms
+// PoolHome returns the production pool.Home as a policy, without the given mechanisms
 // and with the given ways of deciding.
 func PoolHome(name string, without mechanism.Set, ways mechanism.Ways) Maker {
 	return Maker{Name: name, Make: func(r *Run) Policy {
--- a/internal/trial/run.go
+++ b/internal/trial/run.go
@@ -253,7 +253,7 @@
 }
 
 // endLost ends an attempt whose engine died. If no token was produced or the request may be
-// repeated, the request is placed again; otherwise its answer stays partial.
+// repeated, the request is placed again; otherwise its response stays partial.
 func (r *Run) endLost(g *generation, f Fate) {
 	if g.abandoned {
 		return
--- a/internal/trial/shared.go
+++ b/internal/trial/shared.go
@@ -14,7 +14,7 @@
 	run   *Run
 	homes []*simHome
 	// interval is the interval at which entries announce their running attempts to all
-	// others; with 0 they never do.
+	// others; if it is 0, they never do.
 	interval   time.Duration
 	lastGossip time.Duration
 }
--- a/internal/trial/workload.go
+++ b/internal/trial/workload.go
@@ -24,8 +24,8 @@
 	Entry int
 	// At is when the caller first sent the request, from the start of the run.
 	At time.Duration
-	// Prompt, Output and MaxOutput are the lengths of the prompt and the answer and the limit
-	// of the answer, in tokens.
+	// Prompt, Output and MaxOutput are the lengths of the prompt and the response and the limit
+	// of the response, in tokens.
 	Prompt    int
 	Output    int
 	MaxOutput int
@@ -35,9 +35,9 @@
 	Prefix []uint64
 	// Fingerprint identifies the body; it is the same when the caller sends it again.
 	Fingerprint uint64
-	// Worth is the value for the caller of a complete answer that is on time, LateShare the
-	// fraction of it that a late answer keeps, FirstTarget the longest time from At to the
-	// first token of an answer that is on time.
+	// Worth is the value for the caller of a complete response that is on time, LateShare the
+	// fraction of it that a late response keeps, FirstTarget the longest time from At to the
+	// first token of a response that is on time.
 	Worth       float64
 	LateShare   float64
 	FirstTarget time.Duration
@@ -59,20 +59,20 @@
 	Share        float64
 	PromptMedian float64
 	PromptSigma  float64
-	// Median and Sigma describe the lengths of answers.
+	// Median and Sigma describe the output lengths.
 	Median float64
 	Sigma  float64
 	// Shared is the number of prompt tokens that all its requests have in common.
 	Shared int
-	// MaxPrompt and MaxOutput limit its prompts and answers in tokens; the defaults are
+	// MaxPrompt and MaxOutput limit its prompts and responses in tokens; the defaults are
 	// defaultMaxPrompt and Workload.MaxOutput.
 	MaxPrompt int
 	MaxOutput int
-	// Worth is the value of an answer of mean size; the value of others is proportional to
+	// Worth is the value of a response of mean size; the value of others is proportional to
 	// their size. Values below 1 count as 1.
 	Worth float64
-	// LateShare is the fraction of its value that a late answer keeps, FirstTarget the
-	// longest wait for the first token of an answer on time; FirstTokenTarget by default.
+	// LateShare is the fraction of its value that a late response keeps, FirstTarget the
+	// longest wait for the first token of a response on time; FirstTokenTarget by default.
 	LateShare   float64
 	FirstTarget time.Duration
 	// Repeatable makes requests be sent again, once, when their attempt is lost.
@@ -83,7 +83,7 @@
 // engine about ten times as long as computing a prompt token.
 const outputTokenValue = 10
 
-// valueOf returns the value of an answer with the given numbers of tokens.
+// valueOf returns the value of a response with the given numbers of tokens.
 func (o Org) valueOf(prompt, output int) float64 {
 	mean := logNormalMean(o.PromptMedian, o.PromptSigma) + outputTokenValue*logNormalMean(o.Median, o.Sigma)
 	return max(o.Worth, 1) * float64(prompt+outputTokenValue*output) / mean
@@ -100,17 +100,17 @@
 	Entries int
 	Orgs    []Org
 	// Accounts is the number of organisations that send the requests of all Orgs; the first
-	// ones send more. With 0 each of Orgs is an organisation.
+	// ones send more. If it is 0, each of Orgs is an organisation.
 	Accounts int
 	// Rate is in requests per second, Length how long requests arrive.
 	Rate   float64
 	Length time.Duration
-	// MaxOutput limits each answer, in tokens.
+	// MaxOutput limits each response, in tokens.
 	MaxOutput int
 	// BurstFactor multiplies the rate during burstOn of each burstEvery; the rate is lower
 	// otherwise, so that the mean is kept. 0 or 1 means no bursts.
 	BurstFactor float64
-	// ShiftAt is the time from which on the medians of the answers are multiplied by
+	// ShiftAt is the time from which on the median output lengths are multiplied by
 	// ShiftFactor; 0 means never.
 	ShiftAt     time.Duration
 	ShiftFactor float64
@@ -165,7 +165,7 @@
 	return out
 }
 
-// tenOrgs returns organisations whose answers differ in length, from short classifications to
+// tenOrgs returns organisations whose responses differ in length, from short classifications to
 // long drafts.
 func tenOrgs() []Org {
 	medians := []float64{30, 50, 80, 120, 160, 200, 260, 350, 500, 700}
@@ -179,7 +179,7 @@
 	return out
 }
 
-// Heavy returns a workload with a heavy-tailed distribution of answer lengths.
+// Heavy returns a workload with a heavy-tailed distribution of output lengths.
 func Heavy() Workload {
 	return Workload{
 		Name: "heavy", Engines: standardEngines(12), Entries: 12, Orgs: tenOrgs(), Length: 300 * time.Second,
@@ -187,7 +187,7 @@
 	}
 }
 
-// Steady returns Heavy with answers of similar length.
+// Steady returns Heavy with responses of similar length.
 func Steady() Workload {
 	w := Heavy()
 	w.Name = "steady"
@@ -204,7 +204,7 @@
 	return w
 }
 
-// Shift returns Heavy with answer lengths that double in mid-run.
+// Shift returns Heavy with output lengths that double in mid-run.
 func Shift() Workload {
 	w := Heavy()
 	w.Name, w.ShiftAt, w.ShiftFactor = "shift", w.Length/2, 2
--- a/internal/trial/worth.go
+++ b/internal/trial/worth.go
@@ -7,18 +7,18 @@
 
 // Fates of requests, in the order in which tables show them.
 const (
-	// InTime: the answer is complete, and its first token and all gaps were on time.
+	// InTime: the response is complete, and its first token and all gaps were on time.
 	InTime Fate = "in_time"
-	// LateFirst and LatePause: the answer is complete, but the first token was late, or a
+	// LateFirst and LatePause: the response is complete, but the first token was late, or a
 	// gap was longer than SteadyGap.
 	LateFirst Fate = "late_first"
 	LatePause Fate = "late_pause"
-	// LostLeaving, LostCrash and LostFailing: the answer broke off because its engine left,
+	// LostLeaving, LostCrash and LostFailing: the response broke off because its engine left,
 	// crashed, or failed the request.
 	LostLeaving Fate = "lost_leaving"
 	LostCrash   Fate = "lost_crash"
 	LostFailing Fate = "lost_failing"
-	// LostEntry and LostShutdown: the answer broke off because its entry or all instances
+	// LostEntry and LostShutdown: the response broke off because its entry or all instances
 	// died.
 	LostEntry    Fate = "lost_entry"
 	LostShutdown Fate = "lost_shutdown"
@@ -36,7 +36,7 @@
 type Worth struct {
 	// Owed is the total value of the requests.
 	Owed float64
-	// Lost is the value lost by each fate; a late answer keeps a part of its value.
+	// Lost is the value lost by each fate; a late response keeps a part of its value.
 	Lost map[Fate]float64
 	// InFlight sums, over the requests, the value times the seconds from the first send to
 	// the end. Divided by Owed it is the mean time during which a request is exposed to a
@@ -74,7 +74,7 @@
 	}
 }
 
-// fate classifies a complete answer.
+// fate classifies a complete response.
 func (g *generation) fate() Fate {
 	switch {
 	case g.firstTokenAt-g.req.At > g.req.FirstTarget:
