--- a/internal/core/budget/account.go
+++ b/internal/core/budget/account.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// startPeriod starts a period. The rest of a chunk of an older period is worthless.
+// startPeriod starts a period. The rest of a chunk of an older period cannot be spent.
 func (a *account) startPeriod(period int64) {
 	if period <= a.period {
 		return
--- a/internal/core/budget/budget.go
+++ b/internal/core/budget/budget.go
@@ -116,11 +116,11 @@
 	a.lastUsed = now
 	h.boots[req.Entry] = req.Boot
 	a.configure(now, req)
-	outs := append(h.admit(now, a, req), h.serveWaiting(now, a)...)
+	actions := append(h.admit(now, a, req), h.serveWaiting(now, a)...)
 	if a.isWaiting(req.RequestID) {
-		outs = append(outs, Action{Response: &Response{Org: req.Org, Entry: req.Entry, RequestID: req.RequestID, Waiting: true}})
+		actions = append(actions, Action{Response: &Response{Org: req.Org, Entry: req.Entry, RequestID: req.RequestID, Waiting: true}})
 	}
-	return outs
+	return actions
 }
 
 func (h *Home) admit(now time.Time, a *account, req Request) []Action {
@@ -146,23 +146,23 @@
 // serveWaiting grants waiting requests from the available amount. If that is too low, it debits
 // another chunk.
 func (h *Home) serveWaiting(now time.Time, a *account) []Action {
-	var outs []Action
+	var actions []Action
 	for len(a.waiting) > 0 && a.waiting[0].Amount <= a.available {
-		outs = append(outs, a.grantHead(now))
+		actions = append(actions, a.grantHead(now))
 	}
 	switch {
 	case a.pending != nil && !a.pending.unresolved:
-		return outs
+		return actions
 	case a.pending == nil && a.excess > 0 && !h.storeDown:
-		return append(outs, h.returnExcess(a))
+		return append(actions, h.returnExcess(a))
 	case len(a.waiting) == 0:
-		return outs
+		return actions
 	case h.storeDown:
-		return append(outs, h.refuseAll(a, ReasonStore, retryStore)...)
+		return append(actions, h.refuseAll(a, ReasonStore, retryStore)...)
 	case a.pending != nil:
-		return append(outs, a.retryPending())
+		return append(actions, a.retryPending())
 	default:
-		return append(outs, h.debitChunk(now, a)...)
+		return append(actions, h.debitChunk(now, a)...)
 	}
 }
 
@@ -200,7 +200,7 @@
 // longer needs and drops idle accounts. alive reports whether an entry is still listed, isHome
 // whether this instance is the home of an organisation.
 func (h *Home) Tick(now time.Time, alive, isHome func(name string) bool) []Action {
-	var outs []Action
+	var actions []Action
 	for entry := range h.boots {
 		if !alive(entry) {
 			delete(h.boots, entry)
@@ -209,9 +209,9 @@
 	for _, org := range h.sortedOrgs() {
 		a := h.accounts[org]
 		a.expireReservations(now, h.boots)
-		outs = append(outs, h.cleanUp(now, a, isHome)...)
+		actions = append(actions, h.cleanUp(now, a, isHome)...)
 	}
-	return outs
+	return actions
 }
 
 // sortedOrgs returns the organisations with an account in a fixed order.
@@ -251,24 +251,24 @@
 	return nil
 }
 
-func (h *Home) refuseHead(a *account, reason string, after time.Duration) []Action {
+func (h *Home) refuseHead(a *account, reason string, retryAfter time.Duration) []Action {
 	req := a.waiting[0]
 	a.popWaiting()
-	return []Action{refused(req, reason, after)}
+	return []Action{refused(req, reason, retryAfter)}
 }
 
-func (h *Home) refuseAll(a *account, reason string, after time.Duration) []Action {
-	var outs []Action
+func (h *Home) refuseAll(a *account, reason string, retryAfter time.Duration) []Action {
+	var actions []Action
 	for len(a.waiting) > 0 {
-		outs = append(outs, h.refuseHead(a, reason, after)...)
+		actions = append(actions, h.refuseHead(a, reason, retryAfter)...)
 	}
-	return outs
+	return actions
 }
 
 func granted(req Request) Action {
 	return Action{Response: &Response{Org: req.Org, Entry: req.Entry, RequestID: req.RequestID, Granted: true}}
 }
 
-func refused(req Request, reason string, after time.Duration) Action {
-	return Action{Response: &Response{Org: req.Org, Entry: req.Entry, RequestID: req.RequestID, Reason: reason, RetryAfter: after}}
+func refused(req Request, reason string, retryAfter time.Duration) Action {
+	return Action{Response: &Response{Org: req.Org, Entry: req.Entry, RequestID: req.RequestID, Reason: reason, RetryAfter: retryAfter}}
 }
--- a/internal/core/budget/budget_test.go
+++ b/internal/core/budget/budget_test.go
@@ -17,7 +17,7 @@
 )
 
 // Three homes act for one organisation at the same time. Debits and returns lose their requests
-// or their responses or are applied late, homes die and are replaced, entries restart, periods
+// or their responses or are applied late, homes crash and are replaced, entries restart, periods
 // end, settlements are lost or repeated. The cost of the granted work must not exceed the limit
 // in any period.
 func TestBudgetPropertyNeverOverspent(t *testing.T) {
@@ -56,11 +56,11 @@
 // is granted.
 func TestBudgetLostDebitAnswerIsOneDebit(t *testing.T) {
 	l := newLedger(1)
-	id := l.ask(0, 100, "b")
+	id := l.reserve(0, 100, "b")
 	l.process(0, responseLost)
 	l.processAll()
-	if !l.answers[id].Granted {
-		t.Errorf("answer = %+v, want granted", l.answers[id])
+	if !l.responses[id].Granted {
+		t.Errorf("response = %+v, want granted", l.responses[id])
 	}
 	l.mustDebit(t, "100")
 }
@@ -69,17 +69,17 @@
 // RetryAfter, and the next request must retry the same debit instead of starting another one.
 func TestBudgetUnresolvedDebitIsRetried(t *testing.T) {
 	l := newLedger(1)
-	id := l.ask(0, 100, "b")
+	id := l.reserve(0, 100, "b")
 	l.process(0, responseLost)
 	l.process(0, requestLost)
-	if a := l.answers[id]; a.Granted || a.Reason != budget.ReasonStore || a.RetryAfter == 0 {
-		t.Errorf("answer = %+v, want a refusal with reason store_unavailable and a RetryAfter", a)
+	if a := l.responses[id]; a.Granted || a.Reason != budget.ReasonStore || a.RetryAfter == 0 {
+		t.Errorf("response = %+v, want a refusal with reason store_unavailable and a RetryAfter", a)
 	}
 	l.now = l.now.Add(time.Minute)
-	id = l.ask(0, 100, "b")
+	id = l.reserve(0, 100, "b")
 	l.processAll()
-	if !l.answers[id].Granted {
-		t.Errorf("answer = %+v, want granted", l.answers[id])
+	if !l.responses[id].Granted {
+		t.Errorf("response = %+v, want granted", l.responses[id])
 	}
 	l.mustDebit(t, "100")
 }
@@ -89,20 +89,20 @@
 // first returns it, then both share the new limit.
 func TestBudgetLoweredLimit(t *testing.T) {
 	l := newLedger(2)
-	l.ask(0, 700, "b")
+	l.reserve(0, 700, "b")
 	l.processAll()
 	l.finish(0, 100, 1)
 	l.configVersion, l.limits.Spend = 1, 500
-	first := l.ask(0, 450, "b")
-	second := l.ask(1, 300, "b")
+	first := l.reserve(0, 450, "b")
+	second := l.reserve(1, 300, "b")
 	l.processAll()
-	if l.answers[first].Granted || !l.answers[second].Granted {
-		t.Errorf("answers = %+v and %+v, want 450 refused and 300 granted", l.answers[first], l.answers[second])
+	if l.responses[first].Granted || !l.responses[second].Granted {
+		t.Errorf("responses = %+v and %+v, want 450 refused and 300 granted", l.responses[first], l.responses[second])
 	}
 	l.configVersion, l.limits.Spend = 0, 1000
-	old := l.ask(0, 300, "b") // from an entry that still has the old configuration
+	old := l.reserve(0, 300, "b") // from an entry that still has the old configuration
 	l.processAll()
-	if l.answers[old].Granted {
+	if l.responses[old].Granted {
 		t.Error("a request with the old configuration was granted under the old limit, want it refused")
 	}
 	if sum := l.spent[budget.PeriodOf(l.now, l.limits)]; sum > 500 {
@@ -115,22 +115,22 @@
 // because of the limit.
 func TestBudgetReturnedChunkIsFoundByOthers(t *testing.T) {
 	l := newLedger(2)
-	l.ask(0, 900, "b")
+	l.reserve(0, 900, "b")
 	l.processAll()
-	refused := l.ask(1, 500, "b")
+	refused := l.reserve(1, 500, "b")
 	l.processAll()
 	l.finish(0, 0, 1)
 	l.handle(l.homes[0], l.homes[0].Tick(l.now, func(string) bool { return true }, func(string) bool { return false }))
 	l.processAll()
 	l.now = l.now.Add(2 * time.Second)
-	id := l.ask(1, 500, "b")
+	id := l.reserve(1, 500, "b")
 	l.processAll()
-	if l.answers[refused].Granted || !l.answers[id].Granted {
-		t.Errorf("answers = %+v and %+v, want a refusal and then a grant", l.answers[refused], l.answers[id])
+	if l.responses[refused].Granted || !l.responses[id].Granted {
+		t.Errorf("responses = %+v and %+v, want a refusal and then a grant", l.responses[refused], l.responses[id])
 	}
 }
 
-// An entry dies with a reservation. The reservation must stop counting as a concurrent request
+// An entry crashes with a reservation. The reservation must stop counting as a concurrent request
 // once the entry's next run sends a request, or once the entry is no longer listed. Its maximum
 // cost stays debited, even if a settlement arrives late.
 func TestBudgetDeadEntryLeaksNothing(t *testing.T) {
@@ -142,19 +142,19 @@
 		t.Run(c.name, func(t *testing.T) {
 			l := newLedger(1)
 			l.limits.Concurrent = 1
-			l.ask(0, 100, "b")
+			l.reserve(0, 100, "b")
 			l.processAll()
-			refused := l.ask(0, 100, c.boot)
-			if a := l.answers[refused]; a.Reason != budget.ReasonConcurrent || a.RetryAfter == 0 {
-				t.Errorf("answer = %+v, want a refusal with reason concurrent_limit and a RetryAfter", a)
+			refused := l.reserve(0, 100, c.boot)
+			if a := l.responses[refused]; a.Reason != budget.ReasonConcurrent || a.RetryAfter == 0 {
+				t.Errorf("response = %+v, want a refusal with reason concurrent_limit and a RetryAfter", a)
 			}
 			yes := func(string) bool { return true }
 			l.handle(l.homes[0], l.homes[0].Tick(l.now, func(string) bool { return c.alive }, yes))
 			l.handle(l.homes[0], l.homes[0].Settle(l.now, "depot", "r1", 0, 0))
-			id := l.ask(0, 100, c.boot)
+			id := l.reserve(0, 100, c.boot)
 			l.processAll()
-			if !l.answers[id].Granted {
-				t.Errorf("answer = %+v, want granted", l.answers[id])
+			if !l.responses[id].Granted {
+				t.Errorf("response = %+v, want granted", l.responses[id])
 			}
 			l.mustDebit(t, "200")
 		})
@@ -171,8 +171,8 @@
 		reason   string
 		maxRetry time.Duration
 	}{
-		{"spend, running requests may return some", config.Limits{Spend: 150}, 100, budget.ReasonSpend, 5 * time.Second},
-		{"spend, nothing can return", config.Limits{Spend: 50}, 100, budget.ReasonSpend, time.Hour},
+		{"spend, a running request may return a part of the limit", config.Limits{Spend: 150}, 100, budget.ReasonSpend, 5 * time.Second},
+		{"spend, no running request can return a part of the limit", config.Limits{Spend: 50}, 100, budget.ReasonSpend, time.Hour},
 		{"rate", config.Limits{Spend: spend, RequestsPerSecond: 0.5}, 1, budget.ReasonRate, 2 * time.Second},
 		{"concurrency", config.Limits{Spend: spend, Concurrent: 1}, 1, budget.ReasonConcurrent, time.Second},
 	} {
@@ -186,51 +186,51 @@
 			if l.limits.Concurrent == 0 {
 				l.limits.Concurrent = 10
 			}
-			l.ask(0, c.amount, "b")
+			l.reserve(0, c.amount, "b")
 			l.processAll()
-			id := l.ask(0, c.amount, "b")
+			id := l.reserve(0, c.amount, "b")
 			l.processAll()
-			if a := l.answers[id]; a.Granted || a.Reason != c.reason || a.RetryAfter <= 0 || a.RetryAfter > c.maxRetry {
-				t.Errorf("answer = %+v, want a refusal with reason %s and a RetryAfter of at most %s", a, c.reason, c.maxRetry)
+			if a := l.responses[id]; a.Granted || a.Reason != c.reason || a.RetryAfter <= 0 || a.RetryAfter > c.maxRetry {
+				t.Errorf("response = %+v, want a refusal with reason %s and a RetryAfter of at most %s", a, c.reason, c.maxRetry)
 			}
 		})
 	}
 }
 
 // An instance that is no longer the organisation's home must return the available amount and
-// drop the account. A home that dies instead forfeits that amount, which is less than one
+// drop the account. A home that crashes instead forfeits that amount, which is less than one
 // fiftieth of the limit.
 func TestBudgetForfeitedRemainder(t *testing.T) {
 	l := newLedger(1)
 	yes, no := func(string) bool { return true }, func(string) bool { return false }
-	l.ask(0, 3, "b")
+	l.reserve(0, 3, "b")
 	l.processAll()
 	l.finish(0, 3, 1)
 	l.mustDebit(t, "20")
 	l.handle(l.homes[0], l.homes[0].Tick(l.now, yes, no))
 	l.processAll()
 	l.mustDebit(t, "3")
-	const deaths = 10
-	for range deaths {
+	const crashes = 10
+	for range crashes {
 		l.replaceHome(0)
-		l.ask(0, 3, "b")
+		l.reserve(0, 3, "b")
 		l.processAll()
 		l.finish(len(l.grants)-1, 3, 1)
 	}
-	l.mustDebit(t, fmt.Sprint(3+deaths*int(spend)/50))
-	t.Logf("forfeited=%d of %d for each death of a home, with 3 spent", spend/50-3, spend)
+	l.mustDebit(t, fmt.Sprint(3+crashes*int(spend)/50))
+	t.Logf("forfeited=%d of %d for each home that crashes, with 3 spent", spend/50-3, spend)
 }
 
 // A chunk was debited shortly before the end of a period. Work granted from it in the next
 // period would not count there, so the home must debit a new chunk for the new period.
 func TestBudgetChunkBelongsToOnePeriod(t *testing.T) {
 	l := newLedger(1)
-	l.ask(0, 500, "b")
+	l.reserve(0, 500, "b")
 	l.processAll()
 	l.finish(0, 0, 1)
 	l.now = l.now.Add(time.Hour)
 	for range 3 {
-		l.ask(0, 400, "b")
+		l.reserve(0, 400, "b")
 		l.processAll()
 	}
 	if sum := l.spent[budget.PeriodOf(l.now, l.limits)]; sum != 800 {
@@ -279,7 +279,7 @@
 		l := newLedger(1)
 		l.limits.Spend = c.spend
 		for n := range 1000 {
-			l.ask(0, 100, "b")
+			l.reserve(0, 100, "b")
 			l.processAll()
 			if n >= 10 {
 				l.finish(n-10, 20, 1)
--- a/internal/core/budget/ledger_test.go
+++ b/internal/core/budget/ledger_test.go
@@ -24,22 +24,22 @@
 	requestCount  int
 	table         *memtable.Table
 	// queue holds the actions that the homes requested and that are not performed yet.
-	queue []queuedOut
+	queue []queuedAction
 	// lateTxs holds transactions without a response that the table may still commit.
 	lateTxs []table.Tx
 
 	grants  []grant
 	amounts map[string]config.Money
 	// spent is the cost of the granted work by period.
-	spent   map[int64]config.Money
-	answers map[string]budget.Response
+	spent     map[int64]config.Money
+	responses map[string]budget.Response
 	// commits counts the transactions sent, including those that were not committed.
 	commits int
 }
 
-type queuedOut struct {
-	home *budget.Home
-	out  budget.Action
+type queuedAction struct {
+	home   *budget.Home
+	action budget.Action
 }
 
 type grant struct {
@@ -54,7 +54,7 @@
 	l := &ledger{
 		now: time.Date(2026, 3, 1, 8, 0, 0, 0, time.UTC), table: memtable.New(),
 		limits:  config.Limits{Spend: spend, Period: "hour", RequestsPerSecond: 1e6, TokensPerSecond: 1e6, Concurrent: 1000},
-		amounts: map[string]config.Money{}, spent: map[int64]config.Money{}, answers: map[string]budget.Response{},
+		amounts: map[string]config.Money{}, spent: map[int64]config.Money{}, responses: map[string]budget.Response{},
 	}
 	for n := range homes {
 		l.homes = append(l.homes, nil)
@@ -69,8 +69,8 @@
 	l.homes[n] = budget.NewHome(fmt.Sprint("home-", l.homesCreated))
 }
 
-// ask requests a reservation from home n and returns the id of the request.
-func (l *ledger) ask(n int, amount config.Money, boot string) string {
+// reserve requests a reservation from home n and returns the id of the request.
+func (l *ledger) reserve(n int, amount config.Money, boot string) string {
 	l.requestCount++
 	id := fmt.Sprint("r", l.requestCount)
 	l.amounts[id] = amount
@@ -81,14 +81,14 @@
 	return id
 }
 
-// handle records a home's answers and queues its other actions.
-func (l *ledger) handle(h *budget.Home, outs []budget.Action) {
-	for _, o := range outs {
+// handle records the responses among a home's actions and queues its other actions.
+func (l *ledger) handle(h *budget.Home, actions []budget.Action) {
+	for _, o := range actions {
 		if o.Response == nil {
-			l.queue = append(l.queue, queuedOut{home: h, out: o})
+			l.queue = append(l.queue, queuedAction{home: h, action: o})
 			continue
 		}
-		l.answers[o.Response.RequestID] = *o.Response
+		l.responses[o.Response.RequestID] = *o.Response
 		if o.Response.Granted {
 			g := grant{home: h, request: o.Response.RequestID, amount: l.amounts[o.Response.RequestID], period: budget.PeriodOf(l.now, l.limits)}
 			l.grants = append(l.grants, g)
@@ -97,7 +97,8 @@
 	}
 }
 
-// finish ends a granted request, whose cost was used, and sends the given number of settlements.
+// finish ends the granted request at an index, whose final cost is used, and sends the given
+// number of settlements.
 func (l *ledger) finish(at int, used config.Money, settlements int) {
 	g := &l.grants[at]
 	if !g.finished {
@@ -122,13 +123,13 @@
 
 // process performs the queued action at an index with a fault.
 func (l *ledger) process(at, fault int) {
-	h := l.queue[at]
+	q := l.queue[at]
 	l.queue = append(l.queue[:at:at], l.queue[at+1:]...)
-	if r := h.out.Reread; r != nil {
-		l.handle(h.home, h.home.Reread(l.now, r.Org, r.ID, l.table.Row(r.Key), fault == noFault))
+	if r := q.action.Reread; r != nil {
+		l.handle(q.home, q.home.Reread(l.now, r.Org, r.ID, l.table.Row(r.Key), fault == noFault))
 		return
 	}
-	d := h.out.Debit
+	d := q.action.Debit
 	l.commits++
 	res := table.Result{Status: table.Unknown}
 	switch fault {
@@ -139,7 +140,7 @@
 	case appliedLate:
 		l.lateTxs = append(l.lateTxs, d.Tx)
 	}
-	l.handle(h.home, h.home.Debited(l.now, d.Org, d.ID, res))
+	l.handle(q.home, q.home.Debited(l.now, d.Org, d.ID, res))
 }
 
 func (l *ledger) processAll() {
@@ -156,7 +157,7 @@
 	always := func(string) bool { return true }
 	switch v % numSteps {
 	case 0, 1, 2, 3:
-		l.ask(n, config.Money(arg/3%300+1), fmt.Sprint("boot", arg/1000%20/19))
+		l.reserve(n, config.Money(arg/3%300+1), fmt.Sprint("boot", arg/1000%20/19))
 	case 4, 5, 6:
 		if len(l.grants) > 0 {
 			at := arg % len(l.grants)
--- a/internal/core/budget/transfers.go
+++ b/internal/core/budget/transfers.go
@@ -77,11 +77,11 @@
 	if now.Sub(a.readAt) >= maxRowAge && a.waiting[0].Amount <= a.limits.Spend {
 		return []Action{h.startReread(a)}
 	}
-	after := untilNextPeriod(now, a.limits)
+	retryAfter := untilNextPeriod(now, a.limits)
 	if a.reservedAmount()+left >= need {
-		after = retryReserved // settlements of running requests may return enough
+		retryAfter = retryReserved // settlements of running requests may return enough
 	}
-	return append(h.refuseHead(a, ReasonSpend, after), h.serveWaiting(now, a)...)
+	return append(h.refuseHead(a, ReasonSpend, retryAfter), h.serveWaiting(now, a)...)
 }
 
 // Debited processes the result of a transfer. Without a response the same transaction is tried
--- a/internal/core/config/parse_test.go
+++ b/internal/core/config/parse_test.go
@@ -241,7 +241,7 @@
 			return err.Error()
 		}
 		if _, secondHash, err := reparsed.Encode(); err != nil || secondHash != hash {
-			return fmt.Sprintf("the parsed configuration encodes to another object, or error %v, for\n%s", err, text)
+			return fmt.Sprintf("Encode of the parsed configuration: error = %v, want none and the hash of the written configuration:\n%s", err, text)
 		}
 		decoded, err := Decode(object, hash)
 		if err != nil || !reflect.DeepEqual(decoded, reparsed) {
--- a/internal/core/config/problem.go
+++ b/internal/core/config/problem.go
@@ -54,7 +54,7 @@
 // findings collects the problems of one configuration and the positions of its fields.
 type findings struct {
 	// positions holds the positions of the fields that the files set, by path; start is the
-	// position for problems without a nearer one.
+	// position of problems in a field if neither it nor an enclosing object is in positions.
 	positions map[string]position
 	start     position
 	// deployment is the position where the files set the deployment; zero if they do not.
--- a/internal/core/config/validate.go
+++ b/internal/core/config/validate.go
@@ -124,7 +124,7 @@
 	case "safename":
 		return wrong, "1 to 63 letters, digits, dots, dashes and underscores, beginning with a letter or digit"
 	case "ipport":
-		return wrong, "IP:port at which others reach this instance, such as 10.0.0.7:7001; port 0 selects a free port"
+		return wrong, "IP:port at which other processes reach this instance, such as 10.0.0.7:7001; port 0 selects a free port"
 	case "mechanism":
 		return wrong, "one of " + mechanism.Allowed()
 	case "http_url":
--- a/internal/core/cordon/cordon_test.go
+++ b/internal/core/cordon/cordon_test.go
@@ -10,12 +10,12 @@
 func TestSetsCompareRegardlessOfOrder(t *testing.T) {
 	a, b := NewSet(3, []string{"y", "x", "y"}), NewSet(7, []string{"x", "y"})
 	if !a.Same(b) || !a.Has("x") || !a.Has("y") || a.Has("z") || !a.Known() || a.Empty() {
-		t.Errorf("sets %+v and %+v must be the same and contain x and y only", a, b)
+		t.Errorf("sets %+v and %+v: want the same known sets, which contain x and y only", a, b)
 	}
 	if got := a.Lifted(NewSet(8, []string{"y", "z"})); !slices.Equal(got, []string{"x"}) {
 		t.Errorf("lifted = %v, want x", got)
 	}
 	if (Set{}).Known() || !NewSet(1, nil).Known() {
-		t.Error("an empty set must be known if it has a version, and unknown without one")
+		t.Error("Known of an empty set is true without a version or false with one, want false and true")
 	}
 }
--- a/internal/core/fleet/directory.go
+++ b/internal/core/fleet/directory.go
@@ -73,7 +73,8 @@
 	return f.window(ready, limit)
 }
 
-// weighted returns the weighted response for one caller; in lists the near instances.
+// weighted returns the addresses for an identified caller, weighted as described at nearWeighted.
+// in lists the near instances, ready all instances that accept callers.
 func weighted(in, ready []msg.Heartbeat, caller string) []string {
 	var out []string
 	usedDCs := map[string]bool{}
--- a/internal/core/fleet/directory_test.go
+++ b/internal/core/fleet/directory_test.go
@@ -122,7 +122,7 @@
 		near := Place{DataCentre: "a", Region: "west", Caller: fmt.Sprintf("100.64.0.%d", k)}
 		list := f.Addresses(near, 64)
 		if !slices.Equal(list, f.Addresses(near, 64)) {
-			t.Fatal("two different responses to the same caller")
+			t.Fatal("two different responses to the same caller, want equal ones")
 		}
 		far, nearAddresses := 0, map[string]bool{}
 		for _, a := range list {
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -17,14 +17,14 @@
 // Member is the last known state of another instance.
 type Member struct {
 	msg.Heartbeat
-	// LastSeen is when it last sent a heartbeat or was reported as alive by another instance;
-	// zero if it is known from the store only, or was found dead.
+	// LastSeen is when the member last sent a heartbeat or was reported as alive by another
+	// instance; zero if it is known from the store only, or was found dead.
 	LastSeen time.Time
-	// LearnedAt is when it became known to this instance.
+	// LearnedAt is when the member became known to this instance.
 	LearnedAt time.Time
-	// wasAlive is set once it has sent a heartbeat or was reported as alive.
+	// wasAlive is set once the member has sent a heartbeat or was reported as alive.
 	wasAlive bool
-	// resetAt is when the connection to it was last reset.
+	// resetAt is when the connection to the member was last reset.
 	resetAt time.Time
 }
 
--- a/internal/core/fleet/fleet_test.go
+++ b/internal/core/fleet/fleet_test.go
@@ -83,7 +83,7 @@
 	restarted := heartbeat(1)
 	restarted.Boot = "c"
 	if f.OnHeartbeat(start, heartbeat(1)) != Known || f.OnHeartbeat(start, restarted) != Regained {
-		t.Error("want Known for a heartbeat of the same run and Regained for one of another run")
+		t.Error("OnHeartbeat does not return Known for the same run or Regained for another run, want both")
 	}
 }
 
@@ -118,14 +118,14 @@
 	now := start.Add(f.resetInterval("dc"))
 	f.OnHeartbeat(now, peer)
 	if !f.MustResetConnection(now, peer) || f.MustResetConnection(now.Add(f.HeartbeatInterval("dc")), peer) {
-		t.Error("want a reset at the first heartbeat and none at the next")
+		t.Error("MustResetConnection reports no reset at the first heartbeat or one at the next, want only the first")
 	}
 	peer.ReceivesYours = true
 	if f.MustResetConnection(now.Add(2*f.resetInterval("dc")), peer) {
-		t.Error("reset of the connection to an instance that receives the heartbeats")
+		t.Error("reset of the connection to an instance that receives the heartbeats, want none")
 	}
 	if f.MustResetConnection(start, heartbeat(1)) {
-		t.Error("reset of the connection to an instance that has just become known")
+		t.Error("reset of the connection to an instance that has just become known, want none")
 	}
 }
 
@@ -162,7 +162,7 @@
 		t.Errorf("live instances %v, addresses %v; want both without i01", f.Live(), f.Addresses(Place{}, 64))
 	}
 	if f.OnConnectionRefused(tried, tried, "i01") || f.OnConnectionRefused(tried, tried, "i99") {
-		t.Error("change reported for an instance that is dead already or unknown")
+		t.Error("OnConnectionRefused reports a change for an instance that is dead already or unknown, want none")
 	}
 	restarted := heartbeat(1)
 	restarted.Boot = "c"
@@ -186,9 +186,9 @@
 	now := start.Add(f.deadAfter("dc0") + time.Millisecond)
 	f.Tick(now)
 	if f.IsAlive(now, "i003") || !f.IsAlive(now, "i001") {
-		t.Error("want the silent instance of this data centre dead and that of another one alive")
+		t.Error("silent instance of this data centre counts as alive or that of another one as dead, want dead and alive")
 	}
 	if small := fleetInThreeDCs(0, 13); small.HeartbeatInterval("dc0") != minInterval || small.HeartbeatInterval("dc1") != minInterval {
-		t.Error("want the minimum heartbeat interval to all data centres in a small fleet")
+		t.Error("heartbeat interval in a small fleet is not minInterval to all data centres, want minInterval")
 	}
 }
--- a/internal/core/fleet/join.go
+++ b/internal/core/fleet/join.go
@@ -64,8 +64,8 @@
 	started  time.Time
 	// asked is when the seeds were last asked; zero if they were not.
 	asked time.Time
-	// responses is the number of useful responses, known the number of known instances after the
-	// last one.
+	// responses is the number of responses of seeds that are not isolated, known the number of known
+	// instances after the last such response.
 	responses int
 	known     int
 	// complete is set once the member list is complete.
--- a/internal/core/fleet/join_test.go
+++ b/internal/core/fleet/join_test.go
@@ -13,11 +13,11 @@
 	known int
 }
 
-// simulateJoin simulates the start of an instance in virtual time. answer returns the
+// simulateJoin simulates the start of an instance in virtual time. respond returns the
 // response of the seeds to a request at a time after the start, or nil if they do not
 // respond. simulateJoin returns the step with which joining ended, the time that it took, and
 // the number of requests to the seeds.
-func simulateJoin(seeds bool, answer func(d time.Duration) *seedReply) (by JoinStep, at time.Duration, requests int) {
+func simulateJoin(seeds bool, respond func(d time.Duration) *seedReply) (by JoinStep, at time.Duration, requests int) {
 	j := NewJoin(start, seeds)
 	for at = 0; at < 10*time.Second; at += 10 * time.Millisecond {
 		switch by = j.Next(start.Add(at)); by {
@@ -25,7 +25,7 @@
 			return by, at, requests
 		case JoinAskSeeds:
 			requests++
-			if a := answer(at); a != nil {
+			if a := respond(at); a != nil {
 				j.OnResponse(a.JoinResponse, a.known)
 			}
 		case JoinWait:
@@ -61,13 +61,13 @@
 		{"all start at once: done when all are known", true, starting(0), JoinDone, 300 * time.Millisecond, 500 * time.Millisecond, 4},
 		{"seeds start last: done after another request", true, starting(280 * time.Millisecond), JoinDone, 380 * time.Millisecond, 500 * time.Millisecond, 5},
 		{"known instances keep growing: done after the timeout", true, func(d time.Duration) *seedReply { return &seedReply{known: int(100 * d.Seconds())} }, JoinDone, growthTimeout, growthTimeout, 7},
-		{"seeds are cut off from the others: the store", true, always(msg.JoinResponse{Isolated: true, Eligible: true}, 3), JoinByStore, seedTimeout, seedTimeout, 5},
+		{"seeds are isolated from the others: the store", true, always(msg.JoinResponse{Isolated: true, Eligible: true}, 3), JoinByStore, seedTimeout, seedTimeout, 5},
 		{"seeds do not respond: the store", true, func(time.Duration) *seedReply { return nil }, JoinByStore, seedTimeout, seedTimeout, 5},
 		{"no seeds: the store", false, nil, JoinByStore, 0, 0, 0},
 	} {
 		by, at, requests := simulateJoin(c.seeds, c.answer)
 		if by != c.by || at < c.from || at > c.to || requests < c.requests {
-			t.Errorf("%s: joined with step %d after %v and %d requests", c.name, by, at, requests)
+			t.Errorf("%s: joined with step %d after %v and %d requests, want the step, the time and the minimum number of requests of this case", c.name, by, at, requests)
 		}
 	}
 }
@@ -97,7 +97,7 @@
 		t.Errorf("%d instances sent to a sender that already knows them, want none", len(same.Instances))
 	}
 	if young := fleetOf(0, 6); young.JoinResponse(msg.JoinRequest{}, true).Eligible || f.JoinResponse(msg.JoinRequest{}, false).Eligible {
-		t.Error("response of an instance that has just started or not joined is settled")
+		t.Error("response of an instance that has just started or not joined is eligible, want not eligible")
 	}
 }
 
--- a/internal/core/fleet/liveness.go
+++ b/internal/core/fleet/liveness.go
@@ -45,12 +45,12 @@
 	return m != nil && f.alive(now, m)
 }
 
-// OnConnectionRefused records that an instance's port refused a connection at the time tried: its
-// process has ended, unless a newer heartbeat has arrived. OnConnectionRefused reports whether the
-// instance counted as alive until now.
-func (f *Fleet) OnConnectionRefused(now, tried time.Time, name string) bool {
+// OnConnectionRefused records that an instance's port refused the connection attempted at triedAt:
+// its process has ended, unless a newer heartbeat has arrived. OnConnectionRefused reports whether
+// the instance counted as alive until now.
+func (f *Fleet) OnConnectionRefused(now, triedAt time.Time, name string) bool {
 	m := f.members[name]
-	if m == nil || !f.alive(now, m) || m.LastSeen.After(tried) {
+	if m == nil || !f.alive(now, m) || m.LastSeen.After(triedAt) {
 		return false
 	}
 	m.LastSeen = time.Time{}
--- a/internal/core/fleet/presence.go
+++ b/internal/core/fleet/presence.go
@@ -25,9 +25,9 @@
 	presenceMinInterval = 200 * time.Millisecond
 	// presenceFullInterval is the interval between announcements with the full member list.
 	presenceFullInterval = 15 * time.Second
-	// presenceStale is by how much the latest announcement of a data centre must be newer than
-	// the last one that lists an instance for the instance to count as dead. This detects a dead
-	// relay, which its successor does not list.
+	// presenceStale limits the age of an announcement relative to the latest one of the same data
+	// centre: an instance that is listed only in older announcements counts as dead. This detects
+	// a dead relay, which its successor does not list.
 	presenceStale = 2 * presenceInterval
 	// presenceTimeout is how long an instance of another data centre counts as alive after it was
 	// last announced. Announcements take two hops, and a failed relay is replaced within two
@@ -222,9 +222,9 @@
 	return out
 }
 
-// latestPresences returns the most recent announcement of each other data centre. It prefers
-// the source that was forwarded last as long as its announcements are on time, since
-// switching sources repeats changes.
+// latestPresences returns the most recent announcement of each other data centre. It keeps to the
+// source whose announcement it forwarded last while that source announces in time: after a switch
+// to another source, changes would be sent twice.
 func (f *Fleet) latestPresences(now time.Time) []msg.Presence {
 	age := func(p msg.Presence) time.Duration {
 		if _, forwarded := f.announcedNear.lists[p.Source]; forwarded {
@@ -340,8 +340,8 @@
 	}
 }
 
-// markMissing marks the members as dead that after, the next announcement of the same source,
-// does not list any more, unless another relay's recent announcement lists them.
+// markMissing compares two successive announcements of a source. It marks members as dead that
+// only the earlier one lists, unless a recent announcement of another relay lists them.
 func (f *Fleet) markMissing(before, after *presence) {
 	for _, b := range before.members {
 		if m := f.members[b.Name]; m != nil && !after.lists(b.Name) && !f.listedElsewhere(after, b.Name) {
--- a/internal/core/fleet/presence_test.go
+++ b/internal/core/fleet/presence_test.go
@@ -50,8 +50,8 @@
 	return s
 }
 
-// learnAll makes all instances known to each other, as seeds do, without marking them as alive.
-func (s *fleetSim) learnAll() {
+// addAll makes all instances known to each other, as seeds do, without marking them as alive.
+func (s *fleetSim) addAll() {
 	for _, v := range s.views {
 		v.SetSelf(s.now, true, false, true)
 		for _, o := range s.views {
@@ -164,7 +164,7 @@
 // few messages a second may cross between data centres.
 func TestALargeFleetDetectsAllInstances(t *testing.T) {
 	s := newFleetSim(200)
-	s.learnAll()
+	s.addAll()
 	s.advance(2 * time.Second)
 	if n := s.countDeadPairs(); n > 0 {
 		t.Errorf("in %d of 39,800 pairs an instance counts the other as dead, want none", n)
@@ -182,7 +182,7 @@
 // announced full lists at each change, they would send megabytes a second.
 func TestARollingRestartAnnouncesOnlyChanges(t *testing.T) {
 	s := newFleetSim(300)
-	s.learnAll()
+	s.addAll()
 	s.advance(5 * time.Second)
 	s.setSelf()
 	s.advance(5 * time.Second)
@@ -208,7 +208,7 @@
 // dead: callers would not be sent to it, and pools would get another home.
 func TestLostMessagesMarkNoInstanceDead(t *testing.T) {
 	s := newFleetSim(70)
-	s.learnAll()
+	s.addAll()
 	s.advance(3 * time.Second)
 	s.loss = 0.1
 	for range 60 {
@@ -224,7 +224,7 @@
 // count it as alive.
 func TestDeadInstancesAreAnnouncedToOtherDataCentres(t *testing.T) {
 	s := newFleetSim(120)
-	s.learnAll()
+	s.addAll()
 	s.advance(3 * time.Second)
 	s.dead["i041"] = true
 	s.advance(4 * time.Second)
@@ -240,7 +240,7 @@
 // instances must become relays before any live instance of the data centre counts as dead.
 func TestRelaysAreReplaced(t *testing.T) {
 	s := newFleetSim(100)
-	s.learnAll()
+	s.addAll()
 	s.advance(3 * time.Second)
 	relays := s.relaysOf("dc2")
 	for k, name := range s.names {
@@ -266,7 +266,7 @@
 // seconds after the partition ends, all must count as alive again.
 func TestAPartitionBetweenDataCentresHeals(t *testing.T) {
 	s := newFleetSim(100)
-	s.learnAll()
+	s.addAll()
 	s.advance(3 * time.Second)
 	s.partitioned[[2]string{"dc0", "dc1"}] = true
 	s.advance(10 * time.Second)
@@ -282,7 +282,7 @@
 
 func BenchmarkAnnouncements(b *testing.B) {
 	s := newFleetSim(390)
-	s.learnAll()
+	s.addAll()
 	s.advance(3 * time.Second)
 	v := s.views[s.relaysOf("dc0")[0]]
 	b.ReportAllocs()
--- a/internal/core/fleet/sources.go
+++ b/internal/core/fleet/sources.go
@@ -48,7 +48,7 @@
 // Sources returns where this instance gets updates from: the reader from the store, the
 // standby and the relays from the reader, and the others from a relay of their data centre
 // or, in a small fleet, from the reader. Homes of pools query the reader directly, because
-// they must learn of leaving upstreams before others do.
+// they must know of leaving upstreams before other instances do.
 func (f *Fleet) Sources(now time.Time, isHome bool) Sources {
 	readers := f.Readers(now)
 	rank := slices.Index(readers, f.self.Name)
--- a/internal/core/fleet/sources_test.go
+++ b/internal/core/fleet/sources_test.go
@@ -65,7 +65,7 @@
 	}
 	for name, count := range queriedBy {
 		if count > 70/sample+3 {
-			t.Errorf("%s is queried by %d of the %d sampled instances", name, count, n/(sample-1))
+			t.Errorf("%s is queried by %d of the %d sampled instances, want at most its share", name, count, n/(sample-1))
 		}
 	}
 	if len(queriedBy) < 5 {
@@ -133,7 +133,7 @@
 	heartbeats(before...)
 	for _, name := range f.Readers(now) {
 		if slices.Contains(before, name) {
-			t.Errorf("%s has just restarted and is a reader", name)
+			t.Errorf("%s has just restarted and is a reader, want another reader", name)
 		}
 	}
 	heartbeats()
--- a/internal/core/forward/budget.go
+++ b/internal/core/forward/budget.go
@@ -45,20 +45,20 @@
 
 func (b *budget) addRetry(now time.Time) { b.retries[b.advance(now)]++ }
 
-func (b *budget) totals() (requests, repeats int) {
+func (b *budget) totals() (requests, retries int) {
 	for k := range b.requests {
 		requests += b.requests[k]
-		repeats += b.retries[k]
+		retries += b.retries[k]
 	}
-	return requests, repeats
+	return requests, retries
 }
 
 // retryAllowed reports whether this instance's share of the retry budget allows another retry.
 func (g *Gate) retryAllowed(now time.Time, service string) bool {
 	b := g.budget(service)
 	b.advance(now)
-	requests, repeats := b.totals()
+	requests, retries := b.totals()
 	slack := max(1, g.options.RetrySlack/float64(g.instances))
 	allowed := budgetShare * (g.options.RetryRatio*float64(requests) + slack)
-	return float64(repeats)+1 <= allowed
+	return float64(retries)+1 <= allowed
 }
--- a/internal/core/forward/cold.go
+++ b/internal/core/forward/cold.go
@@ -78,7 +78,7 @@
 // coldShare is this instance's share of a cold upstream's rate.
 type coldShare struct {
 	pace.Starts
-	// empty is set if other instances hold the complete rate.
+	// empty is set if the shares of other instances use up the rate and none is left for this one.
 	empty bool
 }
 
--- a/internal/core/forward/cordon.go
+++ b/internal/core/forward/cordon.go
@@ -94,10 +94,11 @@
 	return !g.cordons.Has(u.DataCentre) || now.Sub(g.cordonedAt[u.DataCentre]) < resumeTimeout
 }
 
-// retryAfterFor returns the Retry-After for a refusal: cordonRetryAfter for Cordoned, else after.
-func retryAfterFor(why Reason, after time.Duration) time.Duration {
+// retryAfterFor returns the Retry-After for a refusal: cordonRetryAfter for Cordoned, else
+// retryAfter.
+func retryAfterFor(why Reason, retryAfter time.Duration) time.Duration {
 	if why == Cordoned {
 		return cordonRetryAfter
 	}
-	return after
+	return retryAfter
 }
--- a/internal/core/forward/cordon_test.go
+++ b/internal/core/forward/cordon_test.go
@@ -20,7 +20,7 @@
 // spreadGate returns a gate in dc-a with the given number of upstreams in each of the data
 // centres dc-a, dc-b and dc-c. regions maps data centres to regions; change may modify the
 // configuration.
-func spreadGate(t testing.TB, each int, regions map[string]string, change func(*route.Config)) *Gate {
+func spreadGate(t testing.TB, perDataCentre int, regions map[string]string, change func(*route.Config)) *Gate {
 	t.Helper()
 	c := config(3)
 	if change != nil {
@@ -32,7 +32,7 @@
 	g.Adopt(route.NewTable(c))
 	g.SetCordons(start, cordon.NewSet(1, nil))
 	g.Confirm(start)
-	for k := range 3 * each {
+	for k := range 3 * perDataCentre {
 		id := fmt.Sprintf("u%02d", k)
 		g.Roster().Update(start, []roster.Change{{ID: id, Version: int64(k + 1), Valid: true, Entry: roster.Entry{
 			ID: id, Service: "desk", Address: id + ":80", DataCentre: []string{"dc-a", "dc-b", "dc-c"}[k%3], Slots: 6,
@@ -48,7 +48,7 @@
 	g := New(options())
 	g.Adopt(route.NewTable(config(3)))
 	g.Confirm(start)
-	fill(g, 3)
+	addUpstreams(g, 3)
 	if _, refusal := g.Admit(start, request("/safe/1")); refusal == nil || refusal.Reason != NoCordons || refusal.RetryAfter == 0 {
 		t.Errorf("refusal %+v, want %s and a Retry-After", refusal, NoCordons)
 	}
@@ -116,11 +116,11 @@
 		to := g.Roster().Find("u01")
 		g.SetCordons(start, cordon.NewSet(2, []string{to.DataCentre}))
 		if g.MayMove(call, to.DataCentre) {
-			t.Error("a new move into the cordoned data centre is allowed")
+			t.Error("MayMove allows a new move into the cordoned data centre, want it refused")
 		}
 		g.Redirect(call, to, "copy", nil)
 		if s := g.Ended(start.Add(c.after), call, Cut, true); (s.Send != nil) != c.sent {
-			t.Errorf("after %v: step %+v, want the generation resumed: %v", c.after, s, c.sent)
+			t.Errorf("attempt ended %v after the cordon: step %+v, want generation resumed = %v", c.after, s, c.sent)
 		}
 	}
 }
@@ -133,7 +133,7 @@
 	g.SetCordons(start, cordon.NewSet(2, []string{"dc-a"}))
 	for _, group := range g.OwnGroups() {
 		if group.DataCentre == "dc-a" {
-			t.Errorf("group %v of the cordoned data centre is used", group)
+			t.Errorf("group %v of the cordoned data centre is used, want none", group)
 		}
 	}
 	for range 50 {
--- a/internal/core/forward/forward_test.go
+++ b/internal/core/forward/forward_test.go
@@ -50,18 +50,18 @@
 	return gateWith(options(), upstreams)
 }
 
-// gateWith is gate with other options.
+// gateWith returns the same gate with the given options.
 func gateWith(o Options, upstreams int) *Gate {
 	g := New(o)
 	g.Adopt(route.NewTable(config(3)))
 	g.SetCordons(start, cordon.NewSet(1, nil))
 	g.Confirm(start)
-	fill(g, upstreams)
+	addUpstreams(g, upstreams)
 	return g
 }
 
-// fill adds upstreams of the service "desk" to the roster.
-func fill(g *Gate, upstreams int) {
+// addUpstreams adds upstreams of the service "desk" to the roster.
+func addUpstreams(g *Gate, upstreams int) {
 	for k := range upstreams {
 		id := fmt.Sprintf("u%d", k)
 		g.Roster().Update(start, []roster.Change{{ID: id, Version: int64(k + 1), Valid: true, Entry: roster.Entry{
--- a/internal/core/forward/gate.go
+++ b/internal/core/forward/gate.go
@@ -42,7 +42,7 @@
 	RetryWindow time.Duration
 	// Regions maps each data centre to its region.
 	Regions map[string]string
-	// Without lists disabled mechanisms, for comparison.
+	// Without lists the mechanisms that are disabled to measure their value.
 	Without mechanism.Set
 	// Seed initialises the random numbers that break ties.
 	Seed uint64
@@ -101,11 +101,11 @@
 	return true
 }
 
-// Confirm records that the configuration was the newest at the time when the confirming query
-// was sent.
-func (g *Gate) Confirm(asked time.Time) {
-	if asked.After(g.confirmedAt) {
-		g.confirmedAt = asked
+// Confirm records that the configuration was the newest at queriedAt, when the confirming query was
+// sent.
+func (g *Gate) Confirm(queriedAt time.Time) {
+	if queriedAt.After(g.confirmedAt) {
+		g.confirmedAt = queriedAt
 	}
 }
 
--- a/internal/core/forward/home.go
+++ b/internal/core/forward/home.go
@@ -40,9 +40,9 @@
 // call. The pools of a data centre are usually equally full, but one may have lost its upstreams.
 const maxPools = 2
 
-// nextPool sets the call's pool to the next one to ask: the complete service, or one of its
-// groups, in this data centre if possible. It reports false if no other pool is left or maxPools
-// have been asked.
+// nextPool sets the call's pool to the next one to ask: the pool of the undivided service, or that
+// of one of the service's groups, in this data centre if possible. It reports false if no other
+// pool is left or maxPools have been asked.
 func (g *Gate) nextPool(c *Call) bool {
 	layout, _ := g.roster.Layout()
 	pools := []roster.Group{roster.Undivided(c.Service)}
@@ -88,11 +88,11 @@
 	return c.Route.Generation && s != nil && s.Engine != nil && !g.options.Without.Has(mechanism.Homes)
 }
 
-// Granted processes a grant that was requested at the time asked. An expired grant is requested
+// Granted processes a grant; requestedAt is when it was requested. An expired grant is requested
 // again: the entry may have been frozen in between. If the granted upstream is unknown or takes
 // no work, the entry chooses one itself.
-func (g *Gate) Granted(now, asked time.Time, c *Call, a msg.GrantResponse) Step {
-	if a.TTL > 0 && now.Sub(asked) >= a.TTL {
+func (g *Gate) Granted(now, requestedAt time.Time, c *Call, a msg.GrantResponse) Step {
+	if a.TTL > 0 && now.Sub(requestedAt) >= a.TTL {
 		return Step{RequestGrant: true, Why: GrantExpired}
 	}
 	u := g.roster.Find(a.Decision.Upstream)
@@ -121,18 +121,18 @@
 
 // HomeRefused processes the home's refusal: another pool is asked, or the call is refused
 // with the Retry-After that the home gave.
-func (g *Gate) HomeRefused(c *Call, reason string, after time.Duration) Step {
+func (g *Gate) HomeRefused(c *Call, reason string, retryAfter time.Duration) Step {
 	if g.nextPool(c) {
 		c.grantRetries++
 		return Step{RequestGrant: true}
 	}
 	switch reason {
 	case placement.ReasonNoUpstream:
-		return g.refuse(c, NoUpstream, after)
+		return g.refuse(c, NoUpstream, retryAfter)
 	case placement.ReasonCordoned:
-		return g.refuse(c, Cordoned, after)
+		return g.refuse(c, Cordoned, retryAfter)
 	}
-	return g.refuse(c, PoolFull, after)
+	return g.refuse(c, PoolFull, retryAfter)
 }
 
 // HomeTimedOut makes the entry choose the upstream itself, because the home did not respond.
--- a/internal/core/forward/pools_test.go
+++ b/internal/core/forward/pools_test.go
@@ -110,11 +110,11 @@
 	}
 	g.Leaves(start, s.Send)
 	if !s.Send.Leaving() {
-		t.Error("upstream is not leaving after the home's notice")
+		t.Error("upstream does not count as leaving after the home's notice, want leaving")
 	}
 	g.Ended(start, c, Done, true)
 	if len(g.unlisted) != 0 || g.loads[s.Send.Upstream] != nil {
-		t.Error("upstream is still stored after its last call ended")
+		t.Error("upstream is still stored after its last call ended, want it dropped")
 	}
 }
 
@@ -130,6 +130,6 @@
 		Pool: c.Pool, Entry: &removed, TTL: time.Second, Decision: placement.Decision{Kind: placement.Granted, Upstream: removed.ID},
 	})
 	if s.Send != nil && s.Send.Entry.ID == removed.ID {
-		t.Error("request sent to a removed upstream")
+		t.Error("request sent to a removed upstream, want another one or a refusal")
 	}
 }
--- a/internal/core/forward/property_test.go
+++ b/internal/core/forward/property_test.go
@@ -25,7 +25,7 @@
 	g.Adopt(route.NewTable(config(3)))
 	g.SetCordons(start, cordon.NewSet(1, nil))
 	g.Confirm(start)
-	fill(g, 4)
+	addUpstreams(g, 4)
 	c, refusal := g.Admit(start, request(path))
 	if refusal != nil {
 		return "refused: " + string(refusal.Reason)
@@ -81,7 +81,7 @@
 	p := testkit.Parameters()
 	p.MinSuccessfulTests *= 3
 	props := gopter.NewProperties(p)
-	props.Property("attempts keep their promises", prop.ForAll(
+	props.Property("calls are not repeated, sent too often or wrongly reported as not run", prop.ForAll(
 		func(path int, draws []int) string { return runCall(paths[path], draws) },
 		gen.IntRange(0, len(paths)-1), gen.SliceOfN(12, gen.IntRange(0, 63)),
 	))
--- a/internal/core/forward/region_test.go
+++ b/internal/core/forward/region_test.go
@@ -48,13 +48,13 @@
 			}
 			for n := 0; s.Send != nil; n++ {
 				if got := twoRegions[s.Send.Entry.DataCentre]; got != c.region {
-					t.Fatalf("%s: attempt %d goes to region %s", c.name, n+1, got)
+					t.Fatalf("%s: attempt %d goes to region %s, want an allowed region", c.name, n+1, got)
 				}
 				s = g.Ended(start, call, Lost, false)
 			}
 			for _, dc := range g.GrantRequest(start, call).Request.DataCentres {
 				if twoRegions[dc] != c.region {
-					t.Errorf("%s: grant request allows data centre %s", c.name, dc)
+					t.Errorf("%s: grant request allows data centre %s, want only those in allowed regions", c.name, dc)
 				}
 			}
 		}
--- a/internal/core/forward/retry.go
+++ b/internal/core/forward/retry.go
@@ -44,8 +44,8 @@
 func (g *Gate) send(now time.Time, c *Call) Step {
 	u := g.choose(now, c)
 	if u == nil {
-		if after := g.coldRetryAfter(now, c); after > 0 {
-			return g.refuse(c, Cold, after)
+		if retryAfter := g.coldRetryAfter(now, c); retryAfter > 0 {
+			return g.refuse(c, Cold, retryAfter)
 		}
 		why := cmp.Or(g.unavailableReason(c), NoUpstream)
 		return g.refuse(c, why, retryAfterFor(why, busyRetryAfter))
@@ -178,23 +178,23 @@
 }
 
 // failCall ends a call: it refuses the call, or breaks off a response that has begun.
-func (g *Gate) failCall(c *Call, why Reason, after time.Duration, begun bool) Step {
+func (g *Gate) failCall(c *Call, why Reason, retryAfter time.Duration, begun bool) Step {
 	if begun {
 		return Step{Abort: true, Why: why}
 	}
-	return g.refuse(c, why, after)
+	return g.refuse(c, why, retryAfter)
 }
 
 // refuse refuses a call. Only a call that certainly did not run gets a status that promises this.
-func (g *Gate) refuse(c *Call, why Reason, after time.Duration) Step {
+func (g *Gate) refuse(c *Call, why Reason, retryAfter time.Duration) Step {
 	code := status.ServiceUnavailable
 	if c.mayHaveRun {
-		code, after = status.BadGateway, 0
+		code, retryAfter = status.BadGateway, 0
 		if why == OutOfTime {
 			code = status.GatewayTimeout
 		}
 	}
-	return Step{Refuse: &Refusal{Status: code, Reason: why, RetryAfter: after}, Why: why}
+	return Step{Refuse: &Refusal{Status: code, Reason: why, RetryAfter: retryAfter}, Why: why}
 }
 
 // Expired ends a call whose deadline passed during an attempt.
--- a/internal/core/forward/silence.go
+++ b/internal/core/forward/silence.go
@@ -98,12 +98,12 @@
 	return true
 }
 
-// Diagnose returns the diagnosis for an attempt from the upstream's report, which was requested at
-// the time asked. A stream whose events do not arrive is moved if the engine supports moves, else
-// abandoned if it can be resumed at another upstream.
-func (g *Gate) Diagnose(c *Call, a *Attempt, asked time.Time, r RunReport) Finding {
+// Diagnose returns the diagnosis for an attempt from the upstream's report r; queriedAt is when
+// the report was requested. A stream whose events do not arrive is moved if the engine supports
+// moves, else abandoned if it can be resumed at another upstream.
+func (g *Gate) Diagnose(c *Call, a *Attempt, queriedAt time.Time, r RunReport) Finding {
 	switch {
-	case c.current != a || c.silence.lastEvent.After(asked):
+	case c.current != a || c.silence.lastEvent.After(queriedAt):
 		return FindingWaiting // an event has arrived since, or the attempt has ended
 	case r.Listed && r.Events > c.Events && g.canMove(c):
 		return FindingLinkSilent
--- a/internal/core/forward/silence_test.go
+++ b/internal/core/forward/silence_test.go
@@ -56,13 +56,13 @@
 // progress.
 func TestAStaleReportAboutASilentStreamIsIgnored(t *testing.T) {
 	g, c, a := silentStream(t, "/stream/1")
-	asked := start.Add(400 * time.Millisecond)
+	queriedAt := start.Add(400 * time.Millisecond)
 	c.Progress(start.Add(500*time.Millisecond), "x")
-	if f := g.Diagnose(c, a, asked, RunReport{Listed: true, Events: 9}); f != FindingWaiting {
-		t.Errorf("event since the query: finding %s, want FindingWaits", f)
+	if f := g.Diagnose(c, a, queriedAt, RunReport{Listed: true, Events: 9}); f != FindingWaiting {
+		t.Errorf("event since the query: finding %s, want FindingWaiting", f)
 	}
 	if f := g.Diagnose(c, &Attempt{}, start.Add(time.Second), RunReport{Listed: true, Events: 9}); f != FindingWaiting {
-		t.Errorf("another attempt: finding %s, want FindingWaits", f)
+		t.Errorf("another attempt: finding %s, want FindingWaiting", f)
 	}
 }
 
@@ -84,7 +84,7 @@
 	}
 	c.Progress(start.Add(12*time.Second), "x")
 	if g.QueryDue(start.Add(12*time.Second+minSilence-1), c) {
-		t.Error("query right after an event")
+		t.Error("a query is due right after an event, want none")
 	}
 }
 
@@ -102,7 +102,7 @@
 		}
 		g.table.Service("desk").Engine = nil
 		if g.QueryDue(start.Add(time.Minute), c) {
-			t.Errorf("%s: query to a service that is not an engine", path)
+			t.Errorf("%s: a query to a service that is not an engine is due, want none", path)
 		}
 	}
 }
--- a/internal/core/health/health_test.go
+++ b/internal/core/health/health_test.go
@@ -11,7 +11,7 @@
 	var r Record
 	now := time.Unix(1000, 0)
 	if r.Rate(now) != 0 {
-		t.Error("failure rate of a new record is not 0")
+		t.Error("failure rate of a new record is not 0, want 0 without outcomes")
 	}
 	for range 5 {
 		r.Note(now, true)
--- a/internal/core/mechanism/mechanism.go
+++ b/internal/core/mechanism/mechanism.go
@@ -40,7 +40,7 @@
 	Speeds
 	// Headroom: the memory forecast has no margin for its variance.
 	Headroom
-	// Lengths: the lengths of answers are not learned.
+	// Lengths: the lengths of generations are not learned from earlier ones.
 	Lengths
 	// Kinds: lengths are learned regardless of the declared maximum.
 	Kinds
@@ -64,7 +64,7 @@
 	Parts
 	// RareHeartbeats: heartbeats are as frequent in a large fleet as in a small one.
 	RareHeartbeats
-	// SilenceProbes: upstreams are not asked about silent streams.
+	// SilenceProbes: upstreams are not queried about silent streams.
 	SilenceProbes
 	mechanismCount
 )
--- a/internal/core/mechanism/way.go
+++ b/internal/core/mechanism/way.go
@@ -24,7 +24,7 @@
 // decision is a decision with a default way and alternatives.
 type decision struct {
 	name string
-	// defaultWay is the name of the default; ways maps the names of the alternatives.
+	// defaultWay is the name of the default way; ways holds the alternatives by name.
 	defaultWay string
 	ways       map[string]Way
 }
--- a/internal/core/membership/homes.go
+++ b/internal/core/membership/homes.go
@@ -24,9 +24,9 @@
 }
 
 // newRendezvous returns the data for the given live instances.
-func newRendezvous(entries []string, members map[string]Member) rendezvous {
-	r := rendezvous{candidates: make([]candidate, 0, len(entries))}
-	for _, name := range entries {
+func newRendezvous(live []string, members map[string]Member) rendezvous {
+	r := rendezvous{candidates: make([]candidate, 0, len(live))}
+	for _, name := range live {
 		dc := members[name].DataCentre
 		at := slices.Index(r.dataCentres, dc)
 		if at < 0 {
--- a/internal/core/membership/homes_test.go
+++ b/internal/core/membership/homes_test.go
@@ -40,7 +40,7 @@
 	}
 	t.Logf("keys=%d instances=%d mean=%d max=%d", keys, len(keysPerHome), keys/len(list), maxKeys)
 	if len(keysPerHome) != len(list) || maxKeys > 2*keys/len(list) {
-		t.Errorf("%d instances are the home of a key, one of them of %d keys; want every instance, with at most twice the mean number of keys", len(keysPerHome), maxKeys)
+		t.Errorf("%d instances are homes and one of them is the home of %d keys; want all instances as homes, each of at most twice the mean number of keys", len(keysPerHome), maxKeys)
 	}
 }
 
--- a/internal/core/membership/view.go
+++ b/internal/core/membership/view.go
@@ -44,7 +44,7 @@
 type View struct {
 	self       Member
 	members    map[string]Member
-	entries    []string
+	live       []string
 	rendezvous rendezvous
 	suspects   map[string]time.Time
 	leaving    map[string]leavingMark
@@ -81,7 +81,7 @@
 		v.members[m.Name] = m
 	}
 	v.members[v.self.Name] = v.self
-	v.rebuildEntries()
+	v.rebuildLive()
 	for name, mark := range v.leaving {
 		if !now.Before(mark.until) {
 			delete(v.leaving, name)
@@ -89,23 +89,23 @@
 	}
 }
 
-// rebuildEntries rebuilds the list of live instances and the data for rendezvous hashing.
-func (v *View) rebuildEntries() {
-	v.entries = make([]string, 0, len(v.members))
+// rebuildLive rebuilds the sorted list of live instances and the data for rendezvous hashing.
+func (v *View) rebuildLive() {
+	v.live = make([]string, 0, len(v.members))
 	for name, m := range v.members {
 		if m.Role == RoleEntry && m.State == Live {
-			v.entries = append(v.entries, name)
+			v.live = append(v.live, name)
 		}
 	}
-	slices.Sort(v.entries)
-	v.rendezvous = newRendezvous(v.entries, v.members)
+	slices.Sort(v.live)
+	v.rendezvous = newRendezvous(v.live, v.members)
 }
 
 // SetSelfState sets the state of the instance itself to Live or Leaving.
 func (v *View) SetSelfState(state string) {
 	v.self.State = state
 	v.members[v.self.Name] = v.self
-	v.rebuildEntries()
+	v.rebuildLive()
 }
 
 // MarkLeaving marks another instance as leaving for leavingDuration, which exceeds the lag of
@@ -119,7 +119,7 @@
 	if ok {
 		m.State = Leaving
 		v.members[name] = m
-		v.rebuildEntries()
+		v.rebuildLive()
 	}
 }
 
@@ -144,7 +144,7 @@
 func (v *View) ClearSuspicion(name string) { delete(v.suspects, name) }
 
 // LiveInstances returns the names of the live instances, sorted.
-func (v *View) LiveInstances() []string { return v.entries }
+func (v *View) LiveInstances() []string { return v.live }
 
 // Instances returns the names of the live and the leaving instances, sorted.
 func (v *View) Instances() []string {
--- a/internal/core/msg/fleet.go
+++ b/internal/core/msg/fleet.go
@@ -117,7 +117,7 @@
 
 // SyncResponse is the response to a SyncRequest.
 type SyncResponse struct {
-	// Number is that of the request.
+	// Number is the number of the SyncRequest.
 	Number int64
 	// ConfigAge is the age of the sender's confirmation of its configuration: the time since it
 	// sent the request whose response last confirmed it. It is negative if the sender has no
--- a/internal/core/msg/msg.go
+++ b/internal/core/msg/msg.go
@@ -94,7 +94,7 @@
 	Number int
 }
 
-// GrantEnd notifies the home that an attempt has ended or was given up.
+// GrantEnd notifies the home that an attempt has ended or was abandoned.
 type GrantEnd struct {
 	Pool    string
 	Attempt string
@@ -109,7 +109,7 @@
 	// Unreachable is set if no connection to Upstream could be made.
 	Unreachable bool
 	// CallerDisconnected is set if the caller had disconnected. Tokens is then not the length of a
-	// complete answer; the same holds for a failed attempt.
+	// complete generation; the same holds for a failed attempt.
 	CallerDisconnected bool
 }
 
@@ -151,8 +151,8 @@
 	Attempt string
 }
 
-// FollowRequest asks an instance which of some attempts it follows for a caller. A home sends it to
-// every instance before it cancels a generation that no entry announces.
+// FollowRequest lists attempts and asks an instance which of them it follows for a caller. A home
+// sends it to every instance before it cancels a generation that no entry announces.
 type FollowRequest struct {
 	Pool     string
 	Attempts []string
--- a/internal/core/msg/packed_test.go
+++ b/internal/core/msg/packed_test.go
@@ -48,13 +48,13 @@
 		}
 		got, err := p.Unpack()
 		if err != nil || !reflect.DeepEqual(got, want) {
-			t.Errorf("%d routes: configuration differs after PackConfig and Unpack, or error %v", routes, err)
+			t.Errorf("%d routes: Unpack of the packed configuration: error = %v, want none and an equal configuration", routes, err)
 		}
 	}
 }
 
 // An uncompressed large configuration occupies the link of a small machine for a second per
-// receiver: the machine's heartbeats are delayed, and its peers consider it dead.
+// receiver: the heartbeats of the instance there are delayed, and its peers consider it dead.
 func TestALargeConfigurationIsCompressed(t *testing.T) {
 	c := largeConfig(1900)
 	var plain bytes.Buffer
--- a/internal/core/order/order_property_test.go
+++ b/internal/core/order/order_property_test.go
@@ -42,11 +42,11 @@
 	applied       []Send
 }
 
-func newSimulation(checks bool) *simulation {
-	sim := &simulation{now: time.Unix(1000, 0), checksFencing: checks, version: "v0"}
+func newSimulation(checksFencing bool) *simulation {
+	sim := &simulation{now: time.Unix(1000, 0), checksFencing: checksFencing, version: "v0"}
 	for n := range sim.homes {
 		name := fmt.Sprintf("home-%d", n)
-		sim.homes[n] = &home{name: name, m: NewMachine(testUpstream, name, checks)}
+		sim.homes[n] = &home{name: name, m: NewMachine(testUpstream, name, checksFencing)}
 	}
 	return sim
 }
@@ -71,9 +71,11 @@
 	process, process, process, process, process, process, process, process, processLost, deliver, deliver,
 }
 
-// variants is the number of variants of each command.
+// variants is the number of variants of each command, as described at step.
 const variants = 12
 
+// step performs a command. variant selects the home and the parameter of the command, such as the
+// time that passes.
 func (sim *simulation) step(cmd command, variant int) {
 	h := sim.homes[variant%2]
 	switch cmd {
@@ -166,14 +168,14 @@
 // and of the upstream, and their messages overtake each other. An order must never take effect
 // after a newer one, whether the upstream checks fencing numbers or ignores them.
 func TestOrderPropertyNeverOvertaken(t *testing.T) {
-	for _, checks := range []bool{true, false} {
+	for _, checksFencing := range []bool{true, false} {
 		params := testkit.Parameters()
 		params.MinSize, params.MaxSize = 50, 300
 		properties := gopter.NewProperties(params)
 		applied := 0
-		properties.Property(fmt.Sprintf("checks=%t", checks), prop.ForAll(
+		properties.Property(fmt.Sprintf("checksFencing=%t", checksFencing), prop.ForAll(
 			func(steps []int) string {
-				sim := newSimulation(checks)
+				sim := newSimulation(checksFencing)
 				for _, s := range steps {
 					sim.step(commandMix[s%len(commandMix)], s/len(commandMix))
 				}
@@ -187,9 +189,9 @@
 		))
 		properties.TestingRun(t)
 		if applied == 0 {
-			t.Errorf("checks=%t: no order took effect in any run, want some: nothing was tested", checks)
+			t.Errorf("checksFencing=%t: no order took effect in any run, want some: nothing was tested", checksFencing)
 		}
-		t.Logf("checks=%t: %d orders took effect", checks, applied)
+		t.Logf("checksFencing=%t: %d orders took effect", checksFencing, applied)
 	}
 }
 
--- a/internal/core/retry/budget.go
+++ b/internal/core/retry/budget.go
@@ -16,9 +16,9 @@
 const (
 	// RetriesPerSuccess is the fraction of a retry that one success earns.
 	RetriesPerSuccess = 0.1
-	// MaxRetries is the maximum and the initial number of retries in a budget. It covers the
-	// requests of one entry on an engine that crashes with a full batch of 64: spread over a dozen
-	// entries, each loses five or six.
+	// MaxRetries is the maximum and the initial number of retries in a budget. It covers the crash
+	// of an engine with a full batch of 64: if these requests come from a dozen entries, each entry
+	// has five or six of them to retry.
 	MaxRetries = 20
 	// baseBackoff and maxBackoff bound the delay before a retry.
 	baseBackoff = 25 * time.Millisecond
@@ -48,21 +48,21 @@
 // Budgets holds the retry budgets of the instance and of the organisations.
 type Budgets struct {
 	instance float64
-	orgs     map[string]*account
+	orgs     map[string]*orgBudget
 	rng      *rand.Rand
 	// lastSweep is when idle budgets were last removed.
 	lastSweep time.Time
 }
 
-// account is an organisation's budget that is not full.
-type account struct {
+// orgBudget is an organisation's budget that is not full.
+type orgBudget struct {
 	remaining float64
 	lastUsed  time.Time
 }
 
 // NewBudgets returns full budgets; seed is the seed of the jitter.
 func NewBudgets(seed uint64) *Budgets {
-	return &Budgets{instance: MaxRetries, orgs: map[string]*account{}, rng: rand.New(rand.NewPCG(seed, seed))}
+	return &Budgets{instance: MaxRetries, orgs: map[string]*orgBudget{}, rng: rand.New(rand.NewPCG(seed, seed))}
 }
 
 // Success adds RetriesPerSuccess to the budgets of the instance and the organisation.
@@ -84,7 +84,7 @@
 	if b.instance < 1 {
 		return SpentInstance
 	}
-	a := b.account(now, org)
+	a := b.orgBudget(now, org)
 	if a == nil || a.remaining < 1 {
 		return SpentOrg
 	}
@@ -94,9 +94,9 @@
 	return Allowed
 }
 
-// account returns an organisation's budget, or nil if maxOrgs budgets are stored and none is
+// orgBudget returns an organisation's budget, or nil if maxOrgs budgets are stored and none is
 // idle.
-func (b *Budgets) account(now time.Time, org string) *account {
+func (b *Budgets) orgBudget(now time.Time, org string) *orgBudget {
 	if a := b.orgs[org]; a != nil {
 		return a
 	}
@@ -106,7 +106,7 @@
 	if len(b.orgs) >= maxOrgs {
 		return nil
 	}
-	a := &account{remaining: MaxRetries, lastUsed: now}
+	a := &orgBudget{remaining: MaxRetries, lastUsed: now}
 	b.orgs[org] = a
 	return a
 }
--- a/internal/core/retry/budget_test.go
+++ b/internal/core/retry/budget_test.go
@@ -16,11 +16,11 @@
 // organisation may make more retries than its successes have earned, plus the initial MaxRetries.
 func TestRetryBudgetPropertyNeverOverspent(t *testing.T) {
 	props := gopter.NewProperties(testkit.Parameters())
-	props.Property("retries <= Saved + Earned x successes", prop.ForAll(
-		func(order []uint8) bool {
+	props.Property("retries <= MaxRetries + RetriesPerSuccess x successes", prop.ForAll(
+		func(choices []uint8) bool {
 			b := NewBudgets(1)
 			retries, successes := map[string]int{}, map[string]int{}
-			for _, choice := range order {
+			for _, choice := range choices {
 				org := fmt.Sprint(choice % 3)
 				if choice < 128 {
 					b.Success(org)
@@ -69,16 +69,16 @@
 		b.Take(now, fmt.Sprint(n))
 	}
 	if b.Len() > maxOrgs {
-		t.Errorf("stored organisations = %d, want at most %d", b.Len(), maxOrgs)
+		t.Errorf("stored budgets = %d, want at most %d", b.Len(), maxOrgs)
 	}
 	later := now.Add(idleTTL + time.Second)
 	if v := b.Take(later, "new"); v != Allowed || b.Len() != 1 {
-		t.Errorf("after the idle TTL: verdict = %s with %d stored organisations, want %s with 1", v, b.Len(), Allowed)
+		t.Errorf("after the idle TTL: verdict = %s with %d stored budgets, want %s with 1", v, b.Len(), Allowed)
 	}
 	for range 20 {
 		b.Success("new")
 	}
 	if b.Len() != 0 {
-		t.Errorf("stored organisations = %d after the budget was full again, want 0", b.Len())
+		t.Errorf("stored budgets = %d after the budget was full again, want 0", b.Len())
 	}
 }
--- a/internal/core/route/route.go
+++ b/internal/core/route/route.go
@@ -121,7 +121,7 @@
 	Regions []string
 }
 
-// Config is one version of the configuration, as it was accepted.
+// Config is one accepted version of the configuration.
 type Config struct {
 	Version       int64
 	Routes        []Route
@@ -141,10 +141,10 @@
 	// keysRequired is set if the configuration has organisations: routes that are not public
 	// then need an API key.
 	keysRequired bool
-	// regions are all regions to which some requests are confined; confined holds the routes
-	// that confine requests to regions, by host.
-	regions  []string
-	confined map[string][]*Route
+	// regions are all regions to which some requests are restricted; restricted holds the routes
+	// that restrict requests to regions, by host.
+	regions    []string
+	restricted map[string][]*Route
 }
 
 // NewTable returns the lookup table of a version of the configuration.
@@ -152,14 +152,14 @@
 	t := &Table{
 		Version: c.Version, Limits: c.Limits, hosts: map[string][]*Route{},
 		services: map[string]*Service{}, keys: map[string]*Organisation{},
-		keysRequired: len(c.Organisations) > 0, confined: map[string][]*Route{},
+		keysRequired: len(c.Organisations) > 0, restricted: map[string][]*Route{},
 	}
 	for k := range c.Routes {
 		r := &c.Routes[k]
 		t.hosts[r.Host] = append(t.hosts[r.Host], r)
 		t.regions = append(t.regions, r.Regions...)
 		if len(r.Regions) > 0 {
-			t.confined[r.Host] = append(t.confined[r.Host], r)
+			t.restricted[r.Host] = append(t.restricted[r.Host], r)
 		}
 	}
 	for _, routes := range t.hosts {
@@ -194,11 +194,11 @@
 }
 
 // RegionsOf returns the regions other than their own in which callers of a host may connect:
-// those that all its confined routes allow or, if there are none, those that any of them
-// allows; nil if no route of the host is confined.
+// those that all its restricted routes allow or, if there are none, those that any of them
+// allows; nil if no route of the host is restricted.
 func (t *Table) RegionsOf(host string) []string {
 	var union, common []string
-	for k, r := range t.confined[host] {
+	for k, r := range t.restricted[host] {
 		if k == 0 {
 			common = slices.Clone(r.Regions)
 		}
@@ -211,7 +211,7 @@
 	return union
 }
 
-// Regions returns all regions to which some requests are confined, sorted.
+// Regions returns all regions to which some requests are restricted, sorted.
 func (t *Table) Regions() []string { return t.regions }
 
 // Service returns the service with the given name, or nil.
--- a/internal/core/route/route_test.go
+++ b/internal/core/route/route_test.go
@@ -46,7 +46,7 @@
 		t.Errorf("owner of the empty key = %+v, want nil", o)
 	}
 	if table.NeedsKey(table.Find("a.example", "/x/y/1")) || !table.NeedsKey(table.Find("a.example", "/x/1")) {
-		t.Error("want no key needed for the public route and a key for the other")
+		t.Error("NeedsKey is true for the public route or false for the other one, want false and true")
 	}
 	if open := NewTable(Config{Routes: []Route{{Host: "a", Prefix: "/"}}}); open.NeedsKey(open.Find("a", "/")) {
 		t.Error("NeedsKey = true in a configuration without organisations, want false")
--- a/internal/core/status/status.go
+++ b/internal/core/status/status.go
@@ -1,5 +1,5 @@
-// Package status names the HTTP statuses of decisions. The core imports no package that does
-// I/O, not even net/http for the names of statuses.
+// Package status names the HTTP statuses that the core chooses for responses. The core imports no
+// package that does I/O, not even net/http for the names of statuses.
 package status
 
 // Statuses, as in RFC 9110.
--- a/internal/core/stream/stream_test.go
+++ b/internal/core/stream/stream_test.go
@@ -19,11 +19,11 @@
 	generations := []Generation{{"a", "1"}, {"a", "2"}, {"b", "1"}}
 	props := gopter.NewProperties(testkit.Parameters())
 	props.Property("delivered tokens are a prefix of one generation", prop.ForAll(
-		func(order []uint8) bool {
+		func(choices []uint8) bool {
 			var s Sequencer
 			var delivered Generation
 			next := 0
-			for _, choice := range order {
+			for _, choice := range choices {
 				g, index := generations[choice%3], int(choice/3)%12
 				if s.Accept(g, index) != Deliver {
 					continue
--- a/internal/core/suspect/suspect.go
+++ b/internal/core/suspect/suspect.go
@@ -27,12 +27,12 @@
 	MaxStrikes = 2
 	// maxFingerprints bounds the stored fingerprints; the ones with the oldest strikes are
 	// evicted first. A crash gives strikes to at most one batch of requests, so the bound covers
-	// the crashes of a bad day.
+	// a day with many crashes.
 	maxFingerprints = 4096
-	// relayTolerance is the minimum by which a received strike must be newer to extend the TTL.
+	// repeatTolerance is the minimum by which a received strike must be newer to extend the TTL.
 	// Otherwise instances that repeatedly send each other the same strike would keep it for
 	// ever.
-	relayTolerance = 5 * time.Second
+	repeatTolerance = 5 * time.Second
 )
 
 // Crash identifies one crash of an upstream; Boot is the run that it ended.
@@ -76,7 +76,7 @@
 		e = &record{lastStrike: s.At}
 		l.byFingerprint[s.Fingerprint] = e
 	}
-	if s.At.Sub(e.lastStrike) > relayTolerance {
+	if s.At.Sub(e.lastStrike) > repeatTolerance {
 		e.lastStrike = s.At
 	}
 	if len(e.crashes) >= MaxStrikes || slices.Contains(e.crashes, s.Crash) {
--- a/internal/core/suspect/suspect_test.go
+++ b/internal/core/suspect/suspect_test.go
@@ -12,7 +12,7 @@
 	l := NewList(10 * time.Minute)
 	crash := Crash{Upstream: "engine-1", Boot: "a"}
 	if !l.Strike(now, Strike{7, crash, now}) || l.Strike(now, Strike{7, crash, now}) {
-		t.Error("the same strike twice: want new only the first time")
+		t.Error("Strike does not report the first strike as new, or reports its repetition as new, want only the first as new")
 	}
 	if v := l.Verdict(now, 7); v != Suspected {
 		t.Errorf("verdict after one crash = %d, want Suspected", v)
--- a/internal/core/watch/watch.go
+++ b/internal/core/watch/watch.go
@@ -25,8 +25,8 @@
 	backoff = 2 * time.Second
 	// startBackoff is how long a source is skipped that has just started and has no data yet.
 	startBackoff = 300 * time.Millisecond
-	// maxOthers is the maximum number of arbitrary instances that are tried if the designated
-	// instances have failed, and in a small fleet the store as well.
+	// maxOthers is the maximum number of instances in Choice.Others that are tried. They follow the
+	// designated instances and, in a small fleet, the store.
 	maxOthers = 6
 	// maxConfirmationAge is the maximum age of a source's confirmation before another source is
 	// tried. Each query of a reader to the store takes up to a second.
@@ -59,8 +59,8 @@
 
 // Choice lists the sources that an instance may use.
 type Choice struct {
-	// Reads is set if the instance reads the store for all others, Standby if it takes over when
-	// that reader fails.
+	// Reads is set if the instance is a reader, which reads the store for all others; Standby if
+	// it takes over when a reader fails.
 	Reads   bool
 	Standby bool
 	// Large is set in a large fleet, where only a few instances may read the store.
--- a/internal/core/watch/watch_test.go
+++ b/internal/core/watch/watch_test.go
@@ -13,7 +13,7 @@
 		t.Errorf("reader queries %q, want the store", got)
 	}
 	if got := New(0).Source(start, Choice{Designated: []string{"a", "b"}, Others: []string{"a", "b", "c"}}); got != "a" {
-		t.Errorf("another instance queries %q, want the first reader", got)
+		t.Errorf("instance that is not a reader queries %q, want the first reader", got)
 	}
 	if got := New(0).Source(start, Choice{}); got != Store {
 		t.Errorf("only instance queries %q, want the store", got)
@@ -28,7 +28,7 @@
 	want := []string{"a", "b", Store, "c"}
 	for _, source := range want {
 		if got := w.Source(start, Choice{Designated: []string{"a", "b"}, Others: live}); got != source {
-			t.Fatalf("queries %q, want %q", got, source)
+			t.Fatalf("all preferred sources failed: queries %q, want %q", got, source)
 		}
 		w.Failed(start, source)
 		start = start.Add(time.Millisecond)
@@ -48,11 +48,11 @@
 	w := New(0)
 	w.OnResponse(start, "a", maxConfirmationAge+time.Millisecond, false)
 	if got := w.Source(start, Choice{Designated: []string{"a", "b"}, Others: []string{"a", "b"}}); got != "b" {
-		t.Errorf("queries %q, want the other reader", got)
+		t.Errorf("confirmation of the first reader too old: queries %q, want the other reader", got)
 	}
 	w.OnResponse(start, "b", time.Second, false)
 	if got := w.Source(start, Choice{Designated: []string{"a", "b"}, Others: []string{"a", "b"}}); got != "b" {
-		t.Errorf("queries %q after a recent confirmation of the other reader, want that one", got)
+		t.Errorf("queries %q after a recent confirmation of the other reader, want the other reader", got)
 	}
 }
 
@@ -62,11 +62,11 @@
 	w := New(0)
 	w.OnResponse(start, "a", maxConfirmationAge+PeerHold, true)
 	if got := w.Source(start, Choice{Designated: []string{"a", "b"}, Others: nil}); got != "a" {
-		t.Errorf("queries %q, want the relay", got)
+		t.Errorf("confirmation of a relay within RelayExtraAge: queries %q, want the relay", got)
 	}
 	w.OnResponse(start, "a", maxConfirmationAge+RelayExtraAge+time.Millisecond, true)
 	if got := w.Source(start, Choice{Designated: []string{"a", "b"}, Others: nil}); got != "b" {
-		t.Errorf("queries %q, want another source than the outdated relay", got)
+		t.Errorf("confirmation of a relay beyond RelayExtraAge: queries %q, want another source than this relay", got)
 	}
 }
 
@@ -78,7 +78,7 @@
 	c := Choice{Large: true, Designated: []string{"a"}, Others: []string{"a", "b", "c", "d", "e", "f", "g", "h"}}
 	for _, want := range []string{"a", "b", "c", "d", "e", "f", Store} {
 		if got := w.Source(start, c); got != want {
-			t.Fatalf("queries %q, want %q", got, want)
+			t.Fatalf("large fleet, all preferred sources failed: queries %q, want %q", got, want)
 		}
 		w.Failed(start, want)
 	}
@@ -91,7 +91,7 @@
 	c := Choice{Standby: true, Large: true, Designated: []string{"a"}, Others: []string{"a", "b"}}
 	for _, want := range []string{"a", Store, "b"} {
 		if got := w.Source(start, c); got != want {
-			t.Fatalf("queries %q, want %q", got, want)
+			t.Fatalf("standby, all preferred sources failed: queries %q, want %q", got, want)
 		}
 		w.Failed(start, want)
 	}
