--- a/internal/apply/apply.go
+++ b/internal/apply/apply.go
@@ -56,7 +56,7 @@
 
 // Error implements error.
 func (u *Undecided) Error() string {
-	return fmt.Sprintf("the outcome is not known: repeat the command with -id %s -base %d: %v", u.ApplyID, u.Base, u.Err)
+	return fmt.Sprintf("the outcome is not known: repeat it with -id %s -base %d: %v", u.ApplyID, u.Base, u.Err)
 }
 
 // Unwrap returns the reason why the outcome is unknown.
--- a/internal/demo/faults.go
+++ b/internal/demo/faults.go
@@ -27,7 +27,7 @@
 		{0.20, "engine-2 freezes", func() { engines[1].Freeze(frozenFor) }},
 		{0.28, "callers' connections to entry-2 are cut", func() { instances[1].Link.Cut() }},
 		{0.35, "the store goes down", func() { store(platform.Faults{Down: true}) }},
-		{0.50, "the store is back and loses responses to bookings", func() {
+		{0.50, "the store is back and loses answers to bookings", func() {
 			store(platform.Faults{LoseAnswers: 3, LoseMatching: "booking/"})
 		}},
 		{0.55, "connections to engine-1 go silent for good", func() { engines[0].Link.Silence() }},
@@ -36,7 +36,7 @@
 		{0.70, "entry-1 is killed", func() { instances[0].Kill() }},
 		{0.75, "callers' connections to entry-3 go silent for good", func() { instances[2].Link.Silence() }},
 		{0.80, "entry-2 freezes", func() { instances[1].Freeze(frozenFor) }},
-		{0.90, "the store loses responses to debits", func() {
+		{0.90, "the store loses answers to debits", func() {
 			store(platform.Faults{LoseAnswers: 2, LoseMatching: "budget/"})
 		}},
 		{1.00, "engine-3 is reclaimed", func() { engines[2].Server.Close() }},
