--- a/internal/core/action.go
+++ b/internal/core/action.go
@@ -102,7 +102,7 @@
 	Step       string
 	Peer       string
 	RetryAfter time.Duration
-	// Text is the text of a generation that was not streamed, Body the answer of a plain service.
+	// Text is the text of a generation that was not streamed. Body is the answer of a plain service.
 	Text         string
 	Body         []byte
 	Tokens       int
--- a/internal/core/bench_test.go
+++ b/internal/core/bench_test.go
@@ -47,7 +47,7 @@
 		n++
 	}
 	if h.inst.Requests() != 1 {
-		b.Fatal("the request ended although the engine had sent no end event")
+		b.Fatal("the request ended although the engine had sent no end event, want it in progress")
 	}
 }
 
@@ -182,8 +182,8 @@
 }
 
 // BenchmarkConfigChange measures the adoption of a new configuration version, with
-// its object decoded either by the core or by the shell beforehand. The metric
-// object-B is the size of the object in bytes.
+// its object decoded either by the core or beforehand, as by the daemon (shell). The
+// metric object-B is the size of the object in bytes.
 func BenchmarkConfigChange(b *testing.B) {
 	for _, s := range sizes {
 		b.Run("decode=core/"+s.String(), func(b *testing.B) { newTargetHarness(b, s).changeConfig(b) })
--- a/internal/core/bookings_test.go
+++ b/internal/core/bookings_test.go
@@ -86,15 +86,15 @@
 	return ""
 }
 
-// Guards the promises on bookings against faults at any point. Callers of three entries
-// use two keys with two bodies each. Meanwhile entries freeze, resume and crash; the table
-// becomes unavailable, loses calls and replies, and applies writes late; calls to the
-// service lose their replies or are never sent. A key must run at most once, not_run must
-// be true, each request must end at most once, and a request that is done must have the
-// answer of the only run. Finally, every request at a live entry must have ended.
+// Guards the promises on bookings against faults at any point. Callers of three entries use two
+// keys with two bodies each. Meanwhile entries freeze, resume and crash; the table becomes
+// unavailable, loses calls and replies, and applies writes late; calls to the service lose their
+// replies or are never sent. A key must run at most once, a request with the outcome not_run must
+// not have run, each request must end at most once, and a request that is done must have the answer
+// of the only run. Finally, every request at a live entry must have ended.
 func TestPromise4PropertyAtMostOnce(t *testing.T) {
 	p := gopter.NewProperties(testkit.Parameters())
-	p.Property("a booking runs at most once and not_run is true", prop.ForAll(func(steps []int) string {
+	p.Property("a booking runs at most once, and one with the outcome not_run has not run", prop.ForAll(func(steps []int) string {
 		sim := newSimulation(3, "1000.00")
 		for _, v := range steps {
 			sim.randomStep(v)
@@ -106,7 +106,7 @@
 		sim.settleAll()
 		for id := range sim.submittedAt {
 			if n := sim.instanceOf(id); !n.dead && len(sim.finishes[id]) != 1 {
-				return fmt.Sprintf("request %s has not ended exactly once: %s", id, n.inst.Explain(id))
+				return fmt.Sprintf("request %s ended never or several times, want once: %s", id, n.inst.Explain(id))
 			}
 		}
 		return sim.checkPromises()
--- a/internal/core/bookwait.go
+++ b/internal/core/bookwait.go
@@ -18,7 +18,8 @@
 )
 
 // awaitFirstCall holds a repeat of a key whose first call may still be running, until the outcome is
-// recorded or awaitTimeout has passed. The repeat holds no reservation and no grant meanwhile.
+// recorded or awaitTimeout has passed. The repeat holds no reservation and no grant during this
+// time.
 func (i *Instance) awaitFirstCall(now time.Time, r *request, row table.Row) {
 	if r.phase != phaseAwaiting {
 		i.settle(r, Finish{Outcome: NotRun})
@@ -36,8 +37,8 @@
 	r.book.awaitInterval = min(2*r.book.awaitInterval, awaitMax)
 }
 
-// finishInProgress ends a repeat with the time until the first call must have ended as its
-// Retry-After.
+// finishInProgress ends a repeat whose first call may still be running. The Retry-After is the time
+// until that call must have ended.
 func (i *Instance) finishInProgress(now time.Time, r *request, row table.Row) {
 	after := awaitMax
 	if rec, err := booking.Decode(row.Value); err == nil {
--- a/internal/core/configadopt.go
+++ b/internal/core/configadopt.go
@@ -30,12 +30,12 @@
 	received []byte
 }
 
-func (next *pendingConfig) newer(number int64) bool { return next.Number > number }
+func (pending *pendingConfig) newer(number int64) bool { return pending.Number > number }
 
 // observeVersion handles the information that a version was in force at a time, zero if that
 // time is unknown.
 func (i *Instance) observeVersion(now time.Time, p ConfigPointer, at time.Time, from string) {
-	next := &i.configs.pending
+	pending := &i.configs.pending
 	switch held := i.ConfigNumber(); {
 	case p.Number == 0:
 		return
@@ -43,12 +43,12 @@
 		// Version numbers only increase, so a late reply cannot bring back an old
 		// version. It still confirms that no newer version was in force at that time.
 		i.confirm(at)
-	case p.Number < next.Number:
+	case p.Number < pending.Number:
 		return
-	case p.Number == next.Number:
-		next.confirmedAt = laterTime(next.confirmedAt, at)
+	case p.Number == pending.Number:
+		pending.confirmedAt = laterTime(pending.confirmedAt, at)
 	default:
-		*next = pendingConfig{ConfigPointer: p, confirmedAt: at, from: from}
+		*pending = pendingConfig{ConfigPointer: p, confirmedAt: at, from: from}
 		if p.Hash == i.ConfigHash() {
 			i.renumber(now)
 			return
@@ -80,14 +80,14 @@
 // retryFetch fetches the pending version's object again, from the object store and from another
 // instance.
 func (i *Instance) retryFetch(now time.Time) {
-	next := &i.configs.pending
-	if !next.newer(i.ConfigNumber()) {
+	pending := &i.configs.pending
+	if !pending.newer(i.ConfigNumber()) {
 		return
 	}
-	next.tries++
-	if next.tries > 1 {
+	pending.tries++
+	if pending.tries > 1 {
 		i.count("retries_total", "config_object")
-		i.emit(Fetch{Hash: next.Hash})
+		i.emit(Fetch{Hash: pending.Hash})
 		i.requestObject(now)
 	}
 }
@@ -95,24 +95,24 @@
 // requestObject requests the next part of the pending object. Each call uses a different
 // instance; the instance that announced the version comes first in the rotation.
 func (i *Instance) requestObject(time.Time) {
-	next := &i.configs.pending
+	pending := &i.configs.pending
 	var others []string
-	if next.from != i.self {
-		others = append(others, next.from)
+	if pending.from != i.self {
+		others = append(others, pending.from)
 	}
 	for _, name := range i.view.LiveInstances() {
-		if name != i.self && name != next.from {
+		if name != i.self && name != pending.from {
 			others = append(others, name)
 		}
 	}
 	if len(others) > 0 {
-		i.requestObjectPart(others[next.tries%len(others)])
+		i.requestObjectPart(others[pending.tries%len(others)])
 	}
 }
 
 func (i *Instance) requestObjectPart(from string) {
-	next := &i.configs.pending
-	i.send(from, msg.ConfigObjectRequest{Hash: next.Hash, Offset: len(next.received), Address: i.selfMember().PeerAddress})
+	pending := &i.configs.pending
+	i.send(from, msg.ConfigObjectRequest{Hash: pending.Hash, Offset: len(pending.received), Address: i.selfMember().PeerAddress})
 }
 
 func (i *Instance) onConfigObjectRequest(from string, m msg.ConfigObjectRequest) {
@@ -127,23 +127,23 @@
 }
 
 func (i *Instance) onConfigObjectPart(now time.Time, from string, m msg.ConfigObjectPart) {
-	next := &i.configs.pending
-	if m.Hash != next.Hash || m.Offset != len(next.received) || len(m.Data) == 0 {
+	pending := &i.configs.pending
+	if m.Hash != pending.Hash || m.Offset != len(pending.received) || len(m.Data) == 0 {
 		return
 	}
-	next.received = append(next.received, m.Data...)
-	if len(next.received) < m.Size {
+	pending.received = append(pending.received, m.Data...)
+	if len(pending.received) < m.Size {
 		i.requestObjectPart(from)
 		return
 	}
-	object := next.received
-	next.received = nil
-	i.decodeAndActivate(now, next.Hash, object)
+	object := pending.received
+	pending.received = nil
+	i.decodeAndActivate(now, pending.Hash, object)
 }
 
 func (i *Instance) onObject(now time.Time, e ObjectResult) {
-	next := &i.configs.pending
-	if e.Hash != next.Hash || !next.newer(i.ConfigNumber()) {
+	pending := &i.configs.pending
+	if e.Hash != pending.Hash || !pending.newer(i.ConfigNumber()) {
 		return
 	}
 	if !e.OK {
@@ -160,14 +160,14 @@
 
 // decodeAndActivate decodes the object of the pending version and activates the version.
 func (i *Instance) decodeAndActivate(now time.Time, hash string, object []byte) {
-	next := i.configs.pending
-	if hash != next.Hash || !next.newer(i.ConfigNumber()) {
+	pending := i.configs.pending
+	if hash != pending.Hash || !pending.newer(i.ConfigNumber()) {
 		return
 	}
 	cfg, err := config.Decode(object, hash)
 	if err != nil {
 		i.count("config_reads_failed_total", "decode")
-		i.emit(Log{Event: "config_rejected", Pairs: []any{"number", next.Number, "error", err}})
+		i.emit(Log{Event: "config_rejected", Pairs: []any{"number", pending.Number, "error", err}})
 		return
 	}
 	i.activate(now, hash, object, cfg)
@@ -175,11 +175,11 @@
 
 // activate puts the pending version in force. Requests in progress keep their version.
 func (i *Instance) activate(now time.Time, hash string, object []byte, cfg *config.Config) {
-	next := i.configs.pending
-	if hash != next.Hash || !next.newer(i.ConfigNumber()) {
+	pending := i.configs.pending
+	if hash != pending.Hash || !pending.newer(i.ConfigNumber()) {
 		return
 	}
-	i.version = config.Compile(next.Number, next.Hash, cfg)
+	i.version = config.Compile(pending.Number, pending.Hash, cfg)
 	i.configs.object = object
 	i.afterActivation(now)
 }
@@ -187,11 +187,11 @@
 // afterActivation applies the confirmation and the cordons of the pending version, which is now
 // in force, and announces the version in this data centre if this instance read it.
 func (i *Instance) afterActivation(now time.Time) {
-	next := &i.configs.pending
-	i.confirm(next.confirmedAt)
-	i.emit(Log{Event: "config_in_force", Pairs: []any{"number", next.Number, "hash", next.Hash, "from", next.from}})
-	i.setCordons(now, cordon.NewSet(next.Number, next.Cordoned))
-	if next.from == i.self {
+	pending := &i.configs.pending
+	i.confirm(pending.confirmedAt)
+	i.emit(Log{Event: "config_in_force", Pairs: []any{"number", pending.Number, "hash", pending.Hash, "from", pending.from}})
+	i.setCordons(now, cordon.NewSet(pending.Number, pending.Cordoned))
+	if pending.from == i.self {
 		i.announceInDataCentre(now)
 	}
 }
--- a/internal/core/configpoll.go
+++ b/internal/core/configpoll.go
@@ -9,8 +9,8 @@
 	"mulberrylug.example/mulberrylug/internal/core/msg"
 )
 
-// configQuery is a pending query for the version in force. It was sent to the instance to, or is
-// a read of the table if to is empty.
+// configQuery is a pending query for the version in force. to is the name of the instance that is
+// queried, or empty if the query is a read of the table.
 type configQuery struct {
 	to     string
 	sentAt time.Time
--- a/internal/core/configsync.go
+++ b/internal/core/configsync.go
@@ -80,8 +80,8 @@
 	object  []byte
 }
 
-// newConfigSync returns a configSync that numbers its queries in another range than earlier runs
-// of the instance did, as late replies to their queries may still arrive.
+// newConfigSync returns a configSync that numbers its queries in another range than earlier boots
+// of the instance did, as late replies to the queries of those may still arrive.
 func newConfigSync(boot string) configSync {
 	const runBits = 32
 	first := int64(xxhash.Sum64String(boot) >> runBits << (runBits - 1))
--- a/internal/core/cordon_test.go
+++ b/internal/core/cordon_test.go
@@ -20,7 +20,7 @@
 		update := msg.ConfigVersion{Number: 2, Hash: sim.hash, Cordoned: []string{"kochi-a"}}
 		sim.handle(entry, core.PeerMessage{From: other.name, Msg: update})
 		if !entry.inst.Cordons().Has("kochi-a") {
-			t.Fatal("the entry has not applied the cordon that it received")
+			t.Fatal("the entry has not applied the cordon that it received, want it applied")
 		}
 		id := sim.generate(entry, true)
 		sim.advance(simTick)
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -80,8 +80,8 @@
 	// budgetsChecked is the time of the last check of the budget accounts.
 	budgetsChecked time.Time
 
-	// actions collects the actions of the current event, localMessages the messages that this
-	// instance sends to itself.
+	// actions collects the actions of the current event. localMessages collects the messages that
+	// this instance sends to itself.
 	actions       []Action
 	localMessages []msg.Message
 }
--- a/internal/core/drain.go
+++ b/internal/core/drain.go
@@ -79,7 +79,7 @@
 }
 
 // Entries lists the addresses for callers of live instances, those of this data centre first.
-// Instances that did not reply to this one recently are omitted unless none would remain.
+// Instances that recently did not reply to this instance are omitted unless none would remain.
 // Callers of an organisation that is restricted to some regions get only instances in these
 // regions and in the region of this instance.
 func (i *Instance) Entries(now time.Time, apiKey string) Entries {
--- a/internal/core/drain_test.go
+++ b/internal/core/drain_test.go
@@ -44,7 +44,7 @@
 	}, gen.SliceOfN(40, gen.IntRange(0, 1<<20))))
 	p.TestingRun(t)
 	if totalExits == 0 {
-		t.Error("no entry exited in any run, so that nothing was tested")
+		t.Error("no entry exited in any run, want at least one: otherwise the test shows nothing")
 	}
 	t.Logf("exits=%d", totalExits)
 }
@@ -67,7 +67,7 @@
 }
 
 // Guards against a draining entry that exits as soon as it is idle. Another instance
-// that missed the announcement of the drain names the entry to callers while its
+// that missed the announcement of the drain lists the entry for callers while its
 // instance list lags, and callers use that entry answer for its TTL. Their
 // connections would be refused. The entry must serve until then, and exit afterwards.
 func TestPromise6IdleDrainingEntryServesUntilEntryAnswersExpire(t *testing.T) {
@@ -78,7 +78,7 @@
 	const listLag = 5 * time.Second
 	sim.advance(listLag - 100*time.Millisecond)
 	if sim.exitCount != 0 {
-		t.Fatal("the entry exited while callers could still hold a valid entry answer with its address")
+		t.Fatal("the entry exited while callers could still hold a valid entry answer with its address, want it to serve until then")
 	}
 	sim.generate(leaving, true)
 	sim.finishAll()
@@ -86,6 +86,6 @@
 		t.Errorf("requests unfinished at the exit of their entry = %v, want none", sim.cutOff)
 	}
 	if sim.exitCount != 1 {
-		t.Errorf("entries that exited = %d, want only the draining one", sim.exitCount)
+		t.Errorf("entries that exited = %d, want 1, the draining entry", sim.exitCount)
 	}
 }
--- a/internal/core/orghome.go
+++ b/internal/core/orghome.go
@@ -25,25 +25,25 @@
 	i.emitBudget(i.orgs.Settle(now, m.Org, m.Request, config.Money(m.Used), m.Tokens))
 }
 
-// onDebited handles the result of a debit. The id has the form "ORGANISATION/MOVE".
+// onDebited handles the result of a debit. The id has the form "ORGANISATION/TRANSFER".
 func (i *Instance) onDebited(now time.Time, id string, res table.Result) {
-	org, move := splitMoveID(id)
+	org, transfer := splitTransferID(id)
 	i.orgs.SetStoreDown(i.tableHealth.down())
-	i.emitBudget(i.orgs.Debited(now, org, move, res))
+	i.emitBudget(i.orgs.Debited(now, org, transfer, res))
 }
 
 func (i *Instance) onBudgetRow(now time.Time, id string, e ReadResult) {
-	org, move := splitMoveID(id)
+	org, transfer := splitTransferID(id)
 	i.orgs.SetStoreDown(i.tableHealth.down())
 	var row table.Row
 	if len(e.Rows) > 0 {
 		row = e.Rows[0]
 	}
-	i.emitBudget(i.orgs.Reread(now, org, move, row, e.OK))
+	i.emitBudget(i.orgs.Reread(now, org, transfer, row, e.OK))
 }
 
-// splitMoveID splits an operation id at its last slash, as names of instances contain none.
-func splitMoveID(id string) (org, move string) {
+// splitTransferID splits an operation id at its last slash, as names of instances contain none.
+func splitTransferID(id string) (org, transfer string) {
 	slash := strings.LastIndex(id, "/")
 	return id[:slash], id[slash+1:]
 }
--- a/internal/core/orphans.go
+++ b/internal/core/orphans.go
@@ -18,15 +18,15 @@
 
 // orphans is the state of a home's search for orphans, which are generations that no
 // entry follows any more. An entry follows a generation while it reads the tokens
-// for a caller; it no longer does so if the entry died, or if the caller
-// disconnected and did not come back.
+// for a caller. This ends if the entry dies, or if the caller disconnects and does
+// not come back.
 //
 // Only the home cancels such generations. An entry that lost its caller must not
 // do so, as the caller may have resumed at another entry. The home first probes
 // every instance, because a pool can have two homes for a time, for instance
-// while the link between two instances is cut, and one of them does not receive
-// the announcements that the other receives. It cancels a generation once every
-// instance in the list has replied that it does not follow the generation.
+// during a partition between two instances, and each home then receives only a
+// part of the announcements. It cancels a generation once every instance in the
+// list has replied that it does not follow the generation.
 type orphans struct {
 	// unclaimed holds, by attempt, the generations that an upstream has reported but no entry has
 	// announced, with the time of the first such report.
@@ -96,7 +96,7 @@
 }
 
 // sendProbes queries the instances that have not replied, each about all generations in one
-// message, and cancels the generations for which no reply is missing.
+// message. It cancels a generation once every instance has replied that it does not follow it.
 func (i *Instance) sendProbes(now time.Time, h *poolHome) {
 	instances := i.view.Instances()
 	queries := map[string][]string{}
@@ -141,8 +141,8 @@
 	}
 }
 
-// onFollowRequest replies which of the attempts this instance follows, and announces them to the
-// home, which lacks them.
+// onFollowRequest replies which of the requested attempts this instance follows, and announces
+// these to the home, which lacks a recent announcement of them.
 func (i *Instance) onFollowRequest(now time.Time, from string, m msg.FollowRequest) {
 	a := msg.FollowResponse{Pool: m.Pool, Attempts: m.Attempts}
 	update := msg.Announce{Pool: m.Pool}
--- a/internal/core/outage_test.go
+++ b/internal/core/outage_test.go
@@ -174,7 +174,7 @@
 	sim.advance(simTick)
 	d := sim.takeDispatch(id)
 	if d == nil {
-		t.Fatal("the generation was not dispatched")
+		t.Fatal("the generation was not dispatched, want a dispatch")
 	}
 	sim.produce(first, d, 0, 5, false)
 	without := slices.DeleteFunc(sim.members(), func(m membership.Member) bool { return m.Name == d.Upstream })
@@ -303,7 +303,7 @@
 		}
 		t.Logf("%s: writes=%.2f reads=%.2f per call", name, float64(sim.commits-commits)/calls, float64(sim.reads-reads)/calls)
 		if sim.commits-commits != wantWrites*calls || sim.reads-reads != wantReads*calls {
-			t.Errorf("%s: table writes = %d, reads = %d for %d calls, want the given number of each per call", name, sim.commits-commits, sim.reads-reads, calls)
+			t.Errorf("%s: table writes = %d, reads = %d for %d calls, want wantWrites and wantReads of this case per call", name, sim.commits-commits, sim.reads-reads, calls)
 		}
 	}
 	book := func(k int) { sim.book(sim.instances[0], fmt.Sprint("cost", k), "b") }
@@ -318,9 +318,9 @@
 }
 
 // Guards against a slow debit that makes the organisation's home look dead. The table
-// takes a second for the debit. The home replies that it is waiting, so that no entry
-// marks it as silent, skips it in its other roles, and makes the next home debit a
-// second chunk. The bookings must run.
+// takes a second for the debit. The home replies that it is waiting. Otherwise entries
+// would mark it as silent and no longer use it as the home of other keys, and the next
+// home would debit a second chunk. The bookings must run.
 func TestBudgetSlowDebitDoesNotMarkHomeSilent(t *testing.T) {
 	sim := newSimulation(2, "1000.00")
 	sim.settleAll()
--- a/internal/core/placement/bench_test.go
+++ b/internal/core/placement/bench_test.go
@@ -94,7 +94,7 @@
 	}
 }
 
-func BenchmarkAskAndEnd(b *testing.B) {
+func BenchmarkPlaceAndEnd(b *testing.B) {
 	for _, n := range []int{12, 120, benchUpstreams} {
 		b.Run(fmt.Sprintf("upstreams=%d", n), func(b *testing.B) {
 			h, a := bigHome(n), benchRequest()
--- a/internal/core/placement/choose.go
+++ b/internal/core/placement/choose.go
@@ -54,9 +54,9 @@
 	pace         float64
 	rate         float64
 	runningValue float64
-	// prefillTokens is the number of prompt tokens in the backlog, firstPrompt the estimated
-	// length of its first prompt. prefillStart is when the first prefill started, in Unix
-	// nanoseconds.
+	// prefillTokens is the number of prompt tokens in the backlog. firstPrompt is the estimated
+	// length of the first prompt in the backlog. prefillStart is when the first prefill started, in
+	// Unix nanoseconds.
 	prefillTokens float64
 	firstPrompt   float64
 	prefillStart  int64
@@ -65,7 +65,7 @@
 // summarize recomputes an upstream's summary.
 func (h *Home) summarize(u *upstream) {
 	s := &h.summaries[u.index]
-	s.free = 1 - (u.peak+u.foreignMemory+u.copyMemory)/float64(max(u.report.Capacity, 1))
+	s.free = 1 - (u.peak+u.unknownMemory+u.copyMemory)/float64(max(u.report.Capacity, 1))
 	s.pendingTokens, s.pendingAt = u.pendingTokens, u.pendingAt.UnixNano()
 	s.freshUntil = u.reportedAt.Add(reportMaxAge).UnixNano()
 	if u.report.Leaving || u.cordoned {
@@ -178,14 +178,14 @@
 	return s.free - s.penalty - max(left, 0)/(rate/backlogWeight)
 }
 
-// backlogWeight is the part of the memory, as a fraction, that one second of pending prompts
-// outweighs in a score.
+// backlogWeight is the fraction of the memory that weighs as much in a score as one second of
+// pending prompts.
 const backlogWeight = defaultPrefillRate / 20_000.0
 
 // hasRoom reports whether the forecast leaves room for a generation and, in addition, keeps a
 // fraction of the memory free. An idle upstream always has room, as no upstream will have more.
 func (h *Home) hasRoom(u *upstream, need *footprint, keepFree float64) bool {
-	if !h.settings.Engine || len(u.grants) == 0 && u.foreignMemory == 0 && u.copyMemory == 0 {
+	if !h.settings.Engine || len(u.grants) == 0 && u.unknownMemory == 0 && u.copyMemory == 0 {
 		return true
 	}
 	if len(u.grants) > 0 && (u.report.Waiting > 0 || u.tokenTime > h.tuning.maxTokenTime) {
@@ -193,6 +193,6 @@
 		// their wait, and slow down token output that is already too slow.
 		return false
 	}
-	limit := float64(u.report.Capacity)*(1-h.tuning.reserve-keepFree) - u.foreignMemory - u.copyMemory
+	limit := float64(u.report.Capacity)*(1-h.tuning.reserve-keepFree) - u.unknownMemory - u.copyMemory
 	return u.need.fits(need, h.z, limit)
 }
--- a/internal/core/placement/curve.go
+++ b/internal/core/placement/curve.go
@@ -70,15 +70,15 @@
 // survivalAt returns the probability that an answer is longer than a number of tokens.
 func (c *curve) survivalAt(tokens int) float64 {
 	b := bucketOf(tokens)
-	part := min((float64(tokens)-lower[b])/width[b], 1)
-	return c.survival[b] + part*(c.survival[b+1]-c.survival[b])
+	fraction := min((float64(tokens)-lower[b])/width[b], 1)
+	return c.survival[b] + fraction*(c.survival[b+1]-c.survival[b])
 }
 
 // integralFrom returns the integral of survival from a length in tokens.
 func (c *curve) integralFrom(tokens int) float64 {
 	b := bucketOf(tokens)
-	part := min((float64(tokens)-lower[b])/width[b], 1)
-	return c.beyond[b] + part*(c.beyond[b+1]-c.beyond[b])
+	fraction := min((float64(tokens)-lower[b])/width[b], 1)
+	return c.beyond[b] + fraction*(c.beyond[b+1]-c.beyond[b])
 }
 
 // remaining returns the expected number of further tokens of an answer, given its current and
--- a/internal/core/placement/drain.go
+++ b/internal/core/placement/drain.go
@@ -31,8 +31,9 @@
 // work arrives in each cost class. All measurements decay.
 type drainMeter struct {
 	updatedAt time.Time
-	// granted is the cost granted during busy seconds in which requests waited, lateGranted the
-	// cost granted to late requests during lateBusy seconds in which late requests waited.
+	// granted is the cost granted while requests waited. busy is the time in seconds during which
+	// requests waited. lateGranted is the cost granted to late requests while late requests waited.
+	// lateBusy is the time in seconds during which late requests waited.
 	granted, busy         float64
 	lateGranted, lateBusy float64
 	// arrived is the cost by class that arrived during arrivalSeconds.
@@ -78,7 +79,7 @@
 	return (m.granted + guess*guessWeight) / (m.busy + guessWeight)
 }
 
-// lateRate returns the part of a drain rate that late requests get.
+// lateRate returns the share of a drain rate that late requests get.
 func (m *drainMeter) lateRate(rate float64) float64 {
 	return (m.lateGranted + lateShareGuess*rate*guessWeight) / (m.lateBusy + guessWeight)
 }
@@ -105,6 +106,6 @@
 func (m *drainMeter) recordMiss() { m.logCorrection = min(m.logCorrection+missStep, maxLogCorrection) }
 
 // correction returns the factor applied to predicted waits. If predictions are too short,
-// requests are refused only after waiting in vain; the correction then grows until nearly all
+// requests are refused only at their maximum wait; the correction then grows until nearly all
 // refusals are immediate.
 func (m *drainMeter) correction() float64 { return math.Exp(m.logCorrection) }
--- a/internal/core/placement/home.go
+++ b/internal/core/placement/home.go
@@ -21,12 +21,12 @@
 	// granted holds the grants by attempt.
 	granted map[string]*grant
 	// byFingerprint holds the grants of each fingerprint.
-	byFingerprint map[uint64][]*grant
-	queue         *queue
-	cordons       cordon.Set
-	ended         endedAttempts
-	promises      promises
-	meter         drainMeter
+	byFingerprint  map[uint64][]*grant
+	queue          *queue
+	cordons        cordon.Set
+	ended          endedAttempts
+	refusedCallers refusedCallers
+	meter          drainMeter
 	// firstRequest is the time of the first request; hasReport is set by the first report.
 	firstRequest time.Time
 	hasReport    bool
@@ -44,7 +44,7 @@
 func NewHome(s Settings) *Home {
 	h := &Home{
 		byName: map[string]*upstream{}, granted: map[string]*grant{}, byFingerprint: map[uint64][]*grant{},
-		ended: newEndedAttempts(), promises: newPromises(),
+		ended: newEndedAttempts(), refusedCallers: newRefusedCallers(),
 	}
 	h.queue = newQueue(tune(s.Weights))
 	h.Configure(s)
@@ -72,10 +72,10 @@
 	h.queue.byDeadline = s.Predict && !s.Without.Has(mechanism.DueOrder)
 }
 
-// Report records an upstream's load as of asked, the time at which the report was requested. The
-// queue is served as of now. If a home that was frozen in between used asked in place of now, every
+// Report records an upstream's load as of requestedAt, when the report was requested. The queue is
+// served as of now. If a home that was frozen in between used requestedAt in place of now, every
 // report would look fresh, including those of upstreams that have left.
-func (h *Home) Report(now, asked time.Time, r Report) []Decision {
+func (h *Home) Report(now, requestedAt time.Time, r Report) []Decision {
 	u := h.byName[r.Upstream]
 	if u == nil {
 		u = h.addUpstream(r.Upstream)
@@ -84,7 +84,7 @@
 		u.tokenTime = 0
 	}
 	leavingChanged := r.Leaving != u.report.Leaving
-	u.report, u.reportedAt, u.starts.Limit = r, asked, r.MaxStarts
+	u.report, u.reportedAt, u.starts.Limit = r, requestedAt, r.MaxStarts
 	u.cordoned = h.cordons.Has(r.DataCentre)
 	if leavingChanged {
 		h.reserveForMoves(now)
@@ -155,7 +155,7 @@
 
 // enqueue queues a request, or refuses it if its predicted wait is too long.
 func (h *Home) enqueue(now time.Time, req Request, cost float64) []Decision {
-	since := h.promises.redeem(now, &req)
+	since := h.refusedCallers.waitingSince(now, &req)
 	if h.tooLong(h.predictWait(now, since, &req, cost), req.MaxWait) {
 		return []Decision{h.refuse(now, since, &req, cost)}
 	}
@@ -174,8 +174,8 @@
 	return Decision{Attempt: q.req.Attempt, Kind: Queued, Position: q.index + 1}
 }
 
-// End releases an attempt's grant or its place in the queue and learns from the length of the
-// answer. complete is false for an answer that was cut off.
+// End releases an attempt's grant or its place in the queue and records the length of the
+// answer. complete is false for an answer that was broken off.
 func (h *Home) End(now time.Time, attempt string, tokens int, complete bool) []Decision {
 	if g := h.granted[attempt]; g != nil {
 		h.release(g)
@@ -204,7 +204,7 @@
 	}
 	h.queue.dropIdleOrgs()
 	h.ended.expire(now)
-	h.promises.expire(now)
+	h.refusedCallers.expire(now)
 	return out
 }
 
@@ -333,8 +333,8 @@
 
 // unplaceable reports whether no upstream can run a request: all on which it may run are
 // cordoned, or it is limited to data centres without upstreams. Leaving upstreams are ignored.
-// A request that may run anywhere is not unplaceable if all upstreams are leaving, as these are
-// likely to be replaced.
+// If all upstreams are leaving, a request that may run anywhere can still be placed later: they
+// are likely to be replaced.
 func (h *Home) unplaceable(req *Request) bool {
 	found := false
 	for _, u := range h.upstreams {
@@ -385,8 +385,8 @@
 	return length * (float64(req.Prompt) + length/2)
 }
 
-// priorityTies is the number of priorities within one bucket of expected length.
-const priorityTies = 100
+// prioritiesPerBucket is the number of priorities within one bucket of expected length.
+const prioritiesPerBucket = 100
 
 // priority returns the priority that the engine uses to select the generation to preempt. That
 // is the one with the highest value, expected to become the longest, as this frees the most
@@ -398,5 +398,5 @@
 	}
 	c := h.lengths.curve(h.settings.Service, req)
 	class := bucketOf(int(c.remaining(0, req.MaxOutput)))
-	return class*priorityTies + int(req.Fingerprint%priorityTies)
+	return class*prioritiesPerBucket + int(req.Fingerprint%prioritiesPerBucket)
 }
--- a/internal/core/placement/home_test.go
+++ b/internal/core/placement/home_test.go
@@ -78,7 +78,7 @@
 // The queue is so long that a request can't be granted within its maximum wait. It is refused at
 // once, and later callers get a longer Retry-After. A caller that returns at the stated time is
 // queued ahead of callers that arrived in the meantime.
-func TestEarlyRefusalKeepsItsPromise(t *testing.T) {
+func TestEarlyRefusalKeepsTheCallersPlace(t *testing.T) {
 	h := testHome(1)
 	for i := range 200 {
 		h.Place(start, testRequest(fmt.Sprint("queued", i)))
@@ -96,14 +96,14 @@
 	if retryAfter[1] <= retryAfter[0] {
 		t.Errorf("Retry-After of two refusals = %v, want the second to be longer", retryAfter)
 	}
-	back := start.Add(retryAfter[0])
-	h.Report(back, back, testReport("u0"))
+	returnAt := start.Add(retryAfter[0])
+	h.Report(returnAt, returnAt, testReport("u0"))
 	newcomer := testRequest("newcomer")
 	newcomer.MaxWait = time.Hour
-	h.Place(back, newcomer)
+	h.Place(returnAt, newcomer)
 	a := testRequest("again")
 	a.Fingerprint, a.MaxWait = 7, time.Hour
-	h.Place(back, a)
+	h.Place(returnAt, a)
 	if n, r := h.queue.byAttempt["newcomer"], h.queue.byAttempt["again"]; n == nil || r == nil || !r.key.Before(n.key) {
 		t.Errorf("queued request of the returning caller = %+v, of the newcomer = %+v, want the returning caller queued first", r, n)
 	}
--- a/internal/core/placement/ledger.go
+++ b/internal/core/placement/ledger.go
@@ -19,10 +19,10 @@
 	grants     []*grant
 	// suspects is the number of grants with Request.Suspect set.
 	suspects int
-	// need is the memory forecast of all grants, foreignMemory the memory in tokens held by
+	// need is the memory forecast of all grants. unknownMemory is the memory in tokens held by
 	// generations that are not in this home's ledger.
 	need          footprint
-	foreignMemory float64
+	unknownMemory float64
 	// copyMemory is the memory in tokens held by copies from which no generation runs yet.
 	copyMemory float64
 	// peak is the highest need over all horizons, in tokens.
@@ -33,8 +33,8 @@
 	// at pendingAt.
 	pendingTokens float64
 	pendingAt     time.Time
-	// assumedSpeed is the speed used for decisions. It is measuredSpeed unless that is unknown or
-	// outdated.
+	// assumedSpeed is the speed used for decisions: measuredSpeed, or an estimate while that is
+	// unknown or outdated.
 	measuredSpeed speed
 	assumedSpeed  speed
 	backlog       backlog
@@ -46,7 +46,7 @@
 	runningValue float64
 }
 
-// grant is an attempt that runs on an upstream or has permission to.
+// grant is the permission to run an attempt on an upstream; the attempt may already run.
 type grant struct {
 	req      Request
 	upstream *upstream
@@ -208,7 +208,8 @@
 }
 
 // recordProgress records an announced number of output tokens and measures the upstream's time
-// per token. It ignores announcements that are older or follow too soon.
+// per token. It ignores an announcement with fewer tokens than are known, as it is older, and
+// one within minProgressInterval of the last.
 func (g *grant) recordProgress(now time.Time, tokens int) {
 	if tokens < g.tokens {
 		return
@@ -237,7 +238,7 @@
 	u.pendingTokens, u.pendingAt = left+float64(tokens), now
 }
 
-// reconcile compares a report with the ledger and updates foreignMemory. Reported generations
+// reconcile compares a report with the ledger and updates unknownMemory. Reported generations
 // that are neither in the ledger nor ended recently belong to another home or started before a
 // takeover; their memory counts as used.
 func (h *Home) reconcile(now time.Time, u *upstream) {
@@ -251,9 +252,9 @@
 			unknownGens++
 		}
 	}
-	u.foreignMemory = 0
+	u.unknownMemory = 0
 	if unknownGens > 0 {
-		u.foreignMemory = float64(max(u.report.Used-knownTokens, 0))
+		u.unknownMemory = float64(max(u.report.Used-knownTokens, 0))
 	}
 }
 
@@ -271,7 +272,7 @@
 	}
 }
 
-// endedTTL is how long ended attempts are remembered, as reports and announcements may still
+// endedTTL is how long ended attempts are kept, as reports and announcements may still
 // list them.
 const endedTTL = 5 * time.Second
 
--- a/internal/core/placement/lengths.go
+++ b/internal/core/placement/lengths.go
@@ -62,13 +62,13 @@
 type level struct {
 	// parent is the level to back off to; nil at the top.
 	parent *level
-	// ended counts the answers that ended in each bucket, reached those that ended there or
-	// later. Both decay.
+	// ended counts the answers that ended in each bucket. reached counts the answers that ended in
+	// each bucket or later. Both decay.
 	ended   [buckets]float32
 	reached [buckets]float32
 	hazard  [buckets]float32
 	curve   *curve
-	// newAnswers counts the answers since the curve was computed, total all answers up to
+	// newAnswers counts the answers since the curve was computed. total counts all answers, up to
 	// historyAnswers.
 	newAnswers, total float32
 	// revision counts the computations of the curve; parentRevision is the parent's revision at
@@ -94,7 +94,7 @@
 	return v
 }
 
-// Observe records the length of an answer. complete is false for an answer that was cut off,
+// Observe records the length of an answer. complete is false for an answer that was broken off,
 // whose length is a lower bound.
 func (l *Lengths) Observe(service string, req *Request, tokens int, complete bool) {
 	own := l.orgLevel(l.keyOf(service, req))
--- a/internal/core/placement/lengths_test.go
+++ b/internal/core/placement/lengths_test.go
@@ -60,9 +60,9 @@
 	}
 }
 
-// The length of an answer that was cut off is only a lower bound. If it counted as the end of the
+// The length of an answer that was broken off is only a lower bound. If it counted as the end of the
 // answer, the lengths of a service whose callers disconnect early would be underestimated.
-func TestCutAnswersAreNotEnds(t *testing.T) {
+func TestBrokenOffAnswersAreNotEnds(t *testing.T) {
 	l := NewLengths()
 	for range 200 {
 		l.Observe("s", &Request{Org: "o", MaxOutput: 8000}, 50, false)
--- a/internal/core/placement/move.go
+++ b/internal/core/placement/move.go
@@ -11,7 +11,8 @@
 // RunningGeneration is a generation that runs on an upstream according to the ledger.
 type RunningGeneration struct {
 	Request Request
-	// Tokens is the number of output tokens so far, Remaining the expected number of further ones.
+	// Tokens is the number of output tokens so far. Remaining is the expected number of further
+	// output tokens.
 	Tokens    int
 	Remaining float64
 	// TokenTime is the upstream's time per token.
@@ -53,8 +54,8 @@
 }
 
 // Destination returns the upstream to which a generation should move, or "" if none has room.
-// Upstreams for which near returns true are preferred, those for which skip returns true are not
-// considered.
+// Upstreams for which near returns true are preferred. Upstreams for which skip returns true are
+// not considered.
 func (h *Home) Destination(now time.Time, attempt string, near, skip func(name string) bool) string {
 	g := h.granted[attempt]
 	if g == nil {
@@ -85,7 +86,8 @@
 	}
 }
 
-// Move records that an attempt now runs on another upstream. It reports whether both are known.
+// Move records that an attempt now runs on another upstream. It reports whether both the attempt
+// and the upstream are known.
 func (h *Home) Move(attempt, to string) bool {
 	g, u := h.granted[attempt], h.byName[to]
 	if g == nil || u == nil {
@@ -98,7 +100,8 @@
 }
 
 // moveReserve is the fraction of the memory used by generations on leaving upstreams that other
-// upstreams keep free of new work. Enough memory for the rest becomes free during the notice.
+// upstreams keep free of new work. Enough memory for the other half becomes free during the
+// notice.
 const moveReserve = 0.5
 
 // reserveForMoves updates movesReserve. A generation on a leaving upstream that finds no room
--- a/internal/core/placement/placement.go
+++ b/internal/core/placement/placement.go
@@ -135,8 +135,8 @@
 type Forecast struct {
 	// Unread is the number of other prompt tokens that the upstream computes first.
 	Unread int
-	// First is the expected time from the grant to the first token, Pace the time per token
-	// without concurrent prefill, Output the expected number of output tokens.
+	// First is the expected time from the grant to the first token. Pace is the expected time per
+	// token without concurrent prefill. Output is the expected number of output tokens.
 	First  time.Duration
 	Pace   time.Duration
 	Output int
--- a/internal/core/placement/policy_test.go
+++ b/internal/core/placement/policy_test.go
@@ -216,7 +216,7 @@
 		for _, load := range loads {
 			r := m.homes[name][load]
 			if r.Unanswered != 0 || r.Done < m.baselines[load][0].Done {
-				t.Errorf("%s at load %.1f: some requests unanswered, or fewer complete answers than with the first baseline, want neither: %s", name, load, r.Line(name, load))
+				t.Errorf("%s at load %.1f: want no unanswered request and at least as many complete answers as with the first baseline, got %s", name, load, r.Line(name, load))
 			}
 			if load < overload && r.Refused != 0 {
 				t.Errorf("%s at load %.1f: refused requests = %d, want 0", name, load, r.Refused)
--- a/internal/core/placement/predict_test.go
+++ b/internal/core/placement/predict_test.go
@@ -14,11 +14,11 @@
 	t    *testing.T
 	home *Home
 	now  time.Time
-	// pace is the time between tokens of each upstream, prefillUntil the end of its last prefill.
+	// pace is the time between tokens of each upstream. prefillUntil is the end of its last prefill.
 	pace         map[string]time.Duration
 	prefillUntil map[string]time.Time
-	// firstTokenAt is when an attempt's first token is produced, placedOn its upstream.
-	// announcedFirst is set once the home was notified of the first token.
+	// firstTokenAt is when an attempt's first token is produced. placedOn is the upstream of the
+	// attempt. announcedFirst is set once the home was notified of the first token.
 	firstTokenAt   map[string]time.Time
 	placedOn       map[string]string
 	announcedFirst map[string]bool
@@ -55,12 +55,13 @@
 	}
 }
 
-// askLong requests an answer of several hundred tokens, askShort one of a few.
-func (w *predictSim) askLong(id string) { w.ask(id, "long", 3000, 1500, 1800*time.Millisecond) }
+// requestLong requests an answer of several hundred tokens.
+func (w *predictSim) requestLong(id string) { w.request(id, "long", 3000, 1500, 1800*time.Millisecond) }
 
-func (w *predictSim) askShort(id string) { w.ask(id, "short", 2400, 50, 1500*time.Millisecond) }
+// requestShort requests an answer of at most 50 tokens.
+func (w *predictSim) requestShort(id string) { w.request(id, "short", 2400, 50, 1500*time.Millisecond) }
 
-func (w *predictSim) ask(id, org string, prompt, maxOutput int, target time.Duration) {
+func (w *predictSim) request(id, org string, prompt, maxOutput int, target time.Duration) {
 	w.requests[id] = Request{
 		Attempt: id, Org: org, Fingerprint: uint64(len(w.requests) + 1), Prompt: prompt, MaxOutput: maxOutput,
 		FirstTarget: target, MaxWait: 3 * target,
@@ -168,11 +169,11 @@
 	for k := range 60 {
 		id := fmt.Sprintf("r%d", k)
 		if k%2 == 1 {
-			w.askShort(id)
+			w.requestShort(id)
 			w.advance(200 * time.Millisecond)
 			continue
 		}
-		w.askLong(id)
+		w.requestLong(id)
 		w.advance(200 * time.Millisecond)
 		if k < 20 {
 			continue // speeds and lengths are not learned yet
@@ -196,11 +197,11 @@
 	for k := range 80 {
 		id := fmt.Sprintf("r%d", k)
 		if isLong(k) {
-			w.askLong(id)
+			w.requestLong(id)
 			w.advance(200 * time.Millisecond)
 			continue
 		}
-		w.askShort(id)
+		w.requestShort(id)
 		if k >= 20 {
 			beside += w.count(isLong, w.placedOn[id])
 			all += w.count(isLong, "u0", "u1", "u2", "u3", "u4", "u5")
@@ -218,7 +219,7 @@
 func TestPromptsWaitAtTheHome(t *testing.T) {
 	w := newPredictSim(t, fastPace, fastPace, fastPace, fastPace)
 	for k := range 14 {
-		w.askShort(fmt.Sprintf("r%d", k))
+		w.requestShort(fmt.Sprintf("r%d", k))
 	}
 	for range 100 {
 		w.advance(20 * time.Millisecond)
@@ -239,7 +240,7 @@
 	w := newPredictSim(t, fastPace)
 	w.dropFirstTokens = true
 	for k := range 3 {
-		w.askShort(fmt.Sprintf("r%d", k))
+		w.requestShort(fmt.Sprintf("r%d", k))
 	}
 	w.advance(2500 * time.Millisecond)
 	if w.grantedAt["r2"].IsZero() {
@@ -253,13 +254,13 @@
 func TestAStalledUpstreamGetsNoPrompts(t *testing.T) {
 	w := newPredictSim(t, fastPace, fastPace, fastPace)
 	for k := range 3 {
-		w.askLong(fmt.Sprintf("r%d", k))
+		w.requestLong(fmt.Sprintf("r%d", k))
 		w.advance(600 * time.Millisecond)
 	}
 	w.prefillUntil["u1"] = w.now.Add(4 * time.Second)
 	stalled := 0
 	for k := 3; k < 23; k++ {
-		w.askShort(fmt.Sprintf("r%d", k))
+		w.requestShort(fmt.Sprintf("r%d", k))
 		w.advance(150 * time.Millisecond)
 	}
 	for k := 3; k < 23; k++ {
@@ -273,7 +274,7 @@
 	w.advance(4 * time.Second)
 	resumed := 0
 	for k := 23; k < 43; k++ {
-		w.askShort(fmt.Sprintf("r%d", k))
+		w.requestShort(fmt.Sprintf("r%d", k))
 		if w.placedOn[fmt.Sprintf("r%d", k)] == "u1" {
 			resumed++
 		}
@@ -292,13 +293,13 @@
 func TestLateRequestsDoNotDelayTimelyOnes(t *testing.T) {
 	w := newPredictSim(t, fastPace, fastPace, fastPace, fastPace)
 	for k := range 40 {
-		w.askShort(fmt.Sprintf("r%d", k))
+		w.requestShort(fmt.Sprintf("r%d", k))
 	}
 	late, arrived := 0, map[string]time.Time{}
 	for k := 40; k < 88; k++ {
 		id := fmt.Sprintf("r%d", k)
 		arrived[id] = w.now
-		w.askShort(id)
+		w.requestShort(id)
 		w.advance(125 * time.Millisecond)
 	}
 	w.advance(3 * time.Second)
@@ -312,17 +313,17 @@
 	}
 	for k := range 40 {
 		if id := fmt.Sprintf("r%d", k); w.grantedAt[id].IsZero() && w.refusedAt[id].IsZero() {
-			t.Errorf("%s: neither granted nor refused", id)
+			t.Errorf("%s: neither granted nor refused, want one of these", id)
 		}
 	}
 }
 
 // A request that can no longer meet its deadline waits behind all timely ones. If its predicted
-// wait there exceeds its maximum, it must be refused at once instead of waiting in vain.
+// wait there exceeds its maximum, it must be refused at once instead of at its maximum wait.
 func TestLateRequestsWithTooLongAWaitAreRefusedAtOnce(t *testing.T) {
 	w := newPredictSim(t, fastPace)
 	for k := range 60 {
-		w.askShort(fmt.Sprintf("r%d", k))
+		w.requestShort(fmt.Sprintf("r%d", k))
 	}
 	w.advance(1300 * time.Millisecond)
 	n := len(w.refusedAt)
@@ -340,7 +341,7 @@
 func TestRequestsAreSpreadBeforeLearning(t *testing.T) {
 	w := newPredictSim(t, fastPace, slowPace, fastPace, slowPace)
 	for k := range 8 {
-		w.askLong(fmt.Sprintf("r%d", k))
+		w.requestLong(fmt.Sprintf("r%d", k))
 		w.advance(300 * time.Millisecond)
 	}
 	for k := range 4 {
@@ -382,11 +383,11 @@
 func TestUpstreamThatBecomesSlowIsAvoided(t *testing.T) {
 	w := newPredictSim(t, fastPace, fastPace, fastPace)
 	k := 0
-	ask := func(n int) (onU1 int) {
+	requestLongs := func(n int) (onU1 int) {
 		for range n {
 			id := fmt.Sprintf("r%d", k)
 			k++
-			w.askLong(id)
+			w.requestLong(id)
 			w.advance(500 * time.Millisecond)
 			if w.placedOn[id] == "u1" {
 				onU1++
@@ -394,15 +395,15 @@
 		}
 		return onU1
 	}
-	ask(12)
+	requestLongs(12)
 	w.pace["u1"] = 3 * fastPace
-	ask(12)
-	if n := ask(12); n > 2 {
+	requestLongs(12)
+	if n := requestLongs(12); n > 2 {
 		t.Errorf("answers on the slow one of three upstreams = %d of 12, want at most 2", n)
 	}
 	w.pace["u1"] = fastPace
-	ask(20)
-	if n := ask(12); n < 2 {
+	requestLongs(20)
+	if n := requestLongs(12); n < 2 {
 		t.Errorf("answers on the upstream after it recovered = %d of 12, want at least 2", n)
 	}
 }
@@ -448,12 +449,12 @@
 func TestLateRequestsGetALongerRetryAfter(t *testing.T) {
 	w := newPredictSim(t, fastPace)
 	for k := range 60 {
-		w.askShort(fmt.Sprintf("r%d", k))
+		w.requestShort(fmt.Sprintf("r%d", k))
 	}
 	w.advance(1200 * time.Millisecond)
 	req := w.requests["r0"]
 	d := w.home.refuse(w.now, w.now, &req, 0)
-	all := seconds((w.home.queue.cost + w.home.promises.cost) / w.home.drainRate(w.now))
+	all := seconds((w.home.queue.cost + w.home.refusedCallers.cost) / w.home.drainRate(w.now))
 	if all < retryMin || d.RetryAfter < 2*all {
 		t.Errorf("Retry-After = %v, want at least twice the %v in which all work drains (at least retryMin)", d.RetryAfter, all)
 	}
--- a/internal/core/placement/property_test.go
+++ b/internal/core/placement/property_test.go
@@ -62,7 +62,7 @@
 	w.now = w.now.Add(time.Duration(w.rng.Intn(200)) * time.Millisecond)
 	switch op {
 	case 0, 1, 2:
-		w.ask()
+		w.placeRequest()
 	case 3:
 		w.repeatRequest()
 	case 4, 5:
@@ -81,7 +81,7 @@
 	w.checkLedger()
 }
 
-func (w *homeSim) ask() {
+func (w *homeSim) placeRequest() {
 	w.count++
 	id := fmt.Sprintf("a%d", w.count)
 	a := Request{
@@ -190,14 +190,14 @@
 func (w *homeSim) checkDecisions(ds []Decision) {
 	for _, d := range ds {
 		if w.state[d.Attempt] == Granted && d.Kind != Granted {
-			w.fail("%s: granted and later %s", d.Attempt, d.Kind)
+			w.fail("%s: granted and later %s, want it to stay granted", d.Attempt, d.Kind)
 		}
 		switch d.Kind {
 		case Granted:
 			w.checkGrant(d)
 		case Refused:
 			if d.RetryAfter <= 0 || d.Reason == "" {
-				w.fail("refusal without a reason or a Retry-After: %+v", d)
+				w.fail("refusal = %+v, want a reason and a Retry-After", d)
 			}
 			delete(w.state, d.Attempt)
 			w.state[d.Attempt] = Refused
@@ -210,7 +210,7 @@
 func (w *homeSim) checkGrant(d Decision) {
 	a := w.requests[d.Attempt]
 	if w.state[d.Attempt] == Granted {
-		w.fail("%s: granted twice", d.Attempt)
+		w.fail("%s: granted twice, want once", d.Attempt)
 	}
 	if !w.takesWork(d.Upstream) {
 		w.fail("%s: granted on %s, which is leaving, unknown or without a recent report", d.Attempt, d.Upstream)
@@ -238,7 +238,7 @@
 				suspects++
 			}
 			if g.index != i || g.upstream != u || w.home.granted[g.req.Attempt] != g {
-				w.fail("%s: the grant's index or upstream differs from its place in the ledger, or the map by attempt holds another grant", g.req.Attempt)
+				w.fail("%s: grant with a wrong index, a wrong upstream or missing in the map by attempt, want its place in the list of its upstream, that upstream, and the same grant in the map", g.req.Attempt)
 			}
 			p := g.req.Fingerprint
 			if byFingerprint[p] == nil {
@@ -271,7 +271,7 @@
 		}
 	}
 	if granted != total || granted != len(w.home.granted) || waiting != w.home.queue.len() {
-		w.fail("%d granted, but %d in the ledger; %d waiting, but %d in the queue", granted, total, waiting, w.home.queue.len())
+		w.fail("%d granted, but %d in the ledger; %d waiting, but %d in the queue: want the same numbers", granted, total, waiting, w.home.queue.len())
 	}
 }
 
@@ -282,7 +282,7 @@
 		w.checkDecisions(w.home.Tick(w.now))
 	}
 	if n := w.home.queue.len(); n != 0 {
-		w.fail("%d requests are still queued after their maximum wait", n)
+		w.fail("%d requests are still queued after their maximum wait, want 0", n)
 	}
 }
 
@@ -331,7 +331,7 @@
 				lowest, highest = min(lowest, s), max(highest, s)
 			}
 			if len(served) > 0 && highest-lowest > q.slack+2*maxFairnessCost {
-				return false, fmt.Errorf("served cost is between %g and %g, want a difference of at most slack and two requests", lowest, highest)
+				return false, fmt.Errorf("served cost is between %g and %g, want a difference of at most slack plus 2*maxFairnessCost", lowest, highest)
 			}
 			return true, nil
 		},
--- a/internal/core/placement/queue.go
+++ b/internal/core/placement/queue.go
@@ -11,8 +11,8 @@
 // queuedRequest is a queued request.
 type queuedRequest struct {
 	req Request
-	// firstSent is when the caller first sent the request, arrived when it sent it this time.
-	// They differ if the caller was refused and returned.
+	// firstSent is when the caller first sent the request. arrived is when the request that is now
+	// in the queue arrived. They differ if the caller was refused and returned.
 	firstSent time.Time
 	arrived   time.Time
 	// cost is the expected work: memory held times tokens produced; see Home.cost.
@@ -174,11 +174,11 @@
 	return q.key.Before(o.key)
 }
 
-// lateAhead returns the sums of the costs and of the prompt tokens of the late requests before
-// another one.
-func (q *queue) lateAhead(of *queuedRequest) (cost, prompts float64) {
+// lateAhead returns the sums of the costs and of the prompt tokens of the late requests that are
+// served before request.
+func (q *queue) lateAhead(request *queuedRequest) (cost, prompts float64) {
 	for _, item := range q.byAttempt {
-		if item.late && item.before(of) {
+		if item.late && item.before(request) {
 			cost += item.cost
 			prompts += float64(item.req.Prompt)
 		}
--- a/internal/core/placement/speed.go
+++ b/internal/core/placement/speed.go
@@ -21,12 +21,13 @@
 	// speedWeight is the weight of one measurement in an upstream's moving average. It is high,
 	// as upstreams are short-lived and may become slow.
 	speedWeight = 0.3
-	// slowerPaceWeight replaces speedWeight for a decode interval above the average. Most of these
-	// were measured under continuous concurrent prefill.
+	// slowerPaceWeight replaces speedWeight for a decode interval above the average. It is low, as
+	// most of the long intervals were measured under continuous concurrent prefill, while the
+	// average is meant to be without it.
 	slowerPaceWeight = 0.03
 	// poolSpeedWeight is the weight of one measurement in the moving average of the pool.
 	poolSpeedWeight = 0.02
-	// speedTTL is how long a measurement counts. An upstream that gets no work because it was
+	// speedTTL is how long a measurement is used. An upstream that gets no work because it was
 	// slow is not measured again, so that its measurements must expire.
 	speedTTL = 10 * time.Second
 	// initialPace is the initial estimate of the decode interval in seconds.
--- a/internal/core/placement/tuning.go
+++ b/internal/core/placement/tuning.go
@@ -10,8 +10,8 @@
 
 // tuning holds the parameters derived from the deployment's weights.
 type tuning struct {
-	// idleZ is the memory headroom in standard deviations while the queue is empty, busyZ that
-	// while the queued work takes busyBacklog or longer to drain.
+	// idleZ is the memory headroom in standard deviations while the queue is empty. busyZ is the
+	// headroom while the queued work takes busyBacklog or longer to drain.
 	idleZ, busyZ float64
 	busyBacklog  time.Duration
 	// reserve is the fraction of the memory that is kept free in addition.
@@ -26,9 +26,9 @@
 }
 
 const (
-	// equalBusyZ is busyZ if stalls and steady output have equal weights, zPerOctave its increase
-	// with each doubling of the latter's weight, minZ its minimum. equalIdleZ is idleZ, which is
-	// never below busyZ.
+	// equalBusyZ is the value of busyZ if stalls and steady output have equal weights. busyZ
+	// increases by zPerOctave with each doubling of the weight of steady output and is at least
+	// minZ. equalIdleZ is the value of idleZ, unless busyZ is higher.
 	equalBusyZ = 1.0
 	zPerOctave = 0.175
 	minZ       = 0.4
@@ -38,8 +38,7 @@
 	// memoryReserve is the fraction of memory kept free. It covers the tokens that engines have
 	// produced but the ledger does not yet include.
 	memoryReserve = 0.03
-	// steadyTokenTime is the time between tokens, in seconds, that 95 of 100 tokens must not
-	// exceed.
+	// steadyTokenTime is the maximum time between tokens, in seconds, for 95 of 100 tokens.
 	steadyTokenTime = 0.038
 	// fairSlack is the permitted lead of an organisation, in cost: about two seconds of work of
 	// a pool of twelve small engines.
@@ -78,9 +77,9 @@
 	}
 }
 
-// headroom returns z for a queue that takes backlog to drain. The longer the queue, the less
-// memory is kept free.
+// headroom returns the memory headroom, in standard deviations, for a queue whose drain time is
+// backlog. The longer the queue, the less memory is kept free.
 func (t *tuning) headroom(backlog time.Duration) float64 {
-	part := min(backlog.Seconds()/t.busyBacklog.Seconds(), 1)
-	return t.idleZ + part*(t.busyZ-t.idleZ)
+	fraction := min(backlog.Seconds()/t.busyBacklog.Seconds(), 1)
+	return t.idleZ + fraction*(t.busyZ-t.idleZ)
 }
--- a/internal/core/placement/wait.go
+++ b/internal/core/placement/wait.go
@@ -15,10 +15,10 @@
 	// firstTokenMargin is the time allowed between a grant and its first token in addition to
 	// the prefill. It covers messages, the rest of the previous prompt and a slower upstream.
 	firstTokenMargin = 250 * time.Millisecond
-	// maxPromises bounds the number of promises.
-	maxPromises = 16_384
-	// promiseTTL is how long a promise is kept after the time at which the caller should return.
-	promiseTTL = 10 * time.Second
+	// maxRefusedCallers is the maximum number of records of refused requests.
+	maxRefusedCallers = 16_384
+	// refusedCallerTTL is how long such a record is kept after the end of the Retry-After.
+	refusedCallerTTL = 10 * time.Second
 )
 
 // drainRate returns the cost that the pool completes per second: tokens of memory times output
@@ -104,15 +104,15 @@
 		// share of late requests.
 		rate, ahead = h.meter.lateRate(rate), h.queue.lateCost
 	}
-	after := seconds((ahead + h.promises.cost) / rate)
+	after := seconds((ahead + h.refusedCallers.cost) / rate)
 	after = min(max(after, retryMin), retryMax)
-	h.promises.add(now, since, req, after, cost)
+	h.refusedCallers.add(now, since, req, after, cost)
 	return Decision{Attempt: req.Attempt, Kind: Refused, Reason: ReasonQueueFull, RetryAfter: after}
 }
 
-// promise is the record of a refused request: a caller that sends it again after its Retry-After
-// is queued as if it had waited since its first request.
-type promise struct {
+// refusedCaller is the record of a refused request. A caller that sends it again after its
+// Retry-After is queued as if it had waited since its first request.
+type refusedCaller struct {
 	fingerprint uint64
 	// firstSent is when the caller first sent the request, returnAt is the end of the
 	// Retry-After.
@@ -120,55 +120,58 @@
 	cost                float64
 }
 
-// promises holds the promises that callers have not yet redeemed.
-type promises struct {
-	byFingerprint map[uint64]*promise
-	// order lists the promises, oldest first. It may include redeemed ones.
-	order []*promise
-	// cost is the sum of the costs of the promises.
+// refusedCallers holds the records of refused requests whose callers have not yet returned.
+type refusedCallers struct {
+	byFingerprint map[uint64]*refusedCaller
+	// order lists the records, oldest first. It may include those of callers that have returned.
+	order []*refusedCaller
+	// cost is the sum of the costs of the requests in byFingerprint.
 	cost float64
 }
 
-func newPromises() promises { return promises{byFingerprint: map[uint64]*promise{}} }
+func newRefusedCallers() refusedCallers {
+	return refusedCallers{byFingerprint: map[uint64]*refusedCaller{}}
+}
 
-func (p *promises) add(now, since time.Time, req *Request, after time.Duration, cost float64) {
-	if req.Fingerprint == 0 || p.byFingerprint[req.Fingerprint] != nil || len(p.byFingerprint) >= maxPromises {
+func (r *refusedCallers) add(now, since time.Time, req *Request, after time.Duration, cost float64) {
+	if req.Fingerprint == 0 || r.byFingerprint[req.Fingerprint] != nil || len(r.byFingerprint) >= maxRefusedCallers {
 		return
 	}
-	pr := &promise{fingerprint: req.Fingerprint, firstSent: since, returnAt: now.Add(after), cost: cost}
-	p.byFingerprint[req.Fingerprint] = pr
-	p.order = append(p.order, pr)
-	p.cost += cost
+	c := &refusedCaller{fingerprint: req.Fingerprint, firstSent: since, returnAt: now.Add(after), cost: cost}
+	r.byFingerprint[req.Fingerprint] = c
+	r.order = append(r.order, c)
+	r.cost += cost
 }
 
-// redeem returns the time from which a request counts as waiting: the time of the caller's first
-// request if it was refused then and has returned after the Retry-After, now otherwise.
-func (p *promises) redeem(now time.Time, req *Request) time.Time {
-	pr := p.byFingerprint[req.Fingerprint]
-	if pr == nil || now.Before(pr.returnAt) {
+// waitingSince returns the time from which a request counts as waiting: the time of the caller's
+// first request if it was refused then and has returned after the Retry-After, now otherwise.
+// The record of a caller that has returned is dropped.
+func (r *refusedCallers) waitingSince(now time.Time, req *Request) time.Time {
+	c := r.byFingerprint[req.Fingerprint]
+	if c == nil || now.Before(c.returnAt) {
 		return now
 	}
-	p.drop(pr)
-	return pr.firstSent
+	r.drop(c)
+	return c.firstSent
 }
 
-func (p *promises) drop(pr *promise) {
-	if p.byFingerprint[pr.fingerprint] != pr {
+func (r *refusedCallers) drop(c *refusedCaller) {
+	if r.byFingerprint[c.fingerprint] != c {
 		return
 	}
-	delete(p.byFingerprint, pr.fingerprint)
-	p.cost = max(p.cost-pr.cost, 0)
+	delete(r.byFingerprint, c.fingerprint)
+	r.cost = max(r.cost-c.cost, 0)
 }
 
-// expire drops the promises whose callers did not return.
-func (p *promises) expire(now time.Time) {
-	for len(p.order) > 0 {
-		pr := p.order[0]
-		live := p.byFingerprint[pr.fingerprint] == pr
-		if live && now.Sub(pr.returnAt) < promiseTTL {
+// expire drops the records whose callers did not return in time.
+func (r *refusedCallers) expire(now time.Time) {
+	for len(r.order) > 0 {
+		c := r.order[0]
+		live := r.byFingerprint[c.fingerprint] == c
+		if live && now.Sub(c.returnAt) < refusedCallerTTL {
 			return
 		}
-		p.drop(pr)
-		p.order = p.order[1:]
+		r.drop(c)
+		r.order = r.order[1:]
 	}
 }
--- a/internal/core/pool/cordon_test.go
+++ b/internal/core/pool/cordon_test.go
@@ -40,13 +40,13 @@
 		}
 	}
 	for k := range 20 {
-		s.ask(fmt.Sprintf("b-%02d", k), 3000, 200)
+		s.requestGrant(fmt.Sprintf("b-%02d", k), 3000, 200)
 		s.advance(100 * time.Millisecond)
 	}
 	s.find("u00").LeavingSince = s.now
 	s.sync()
 	for k := 0; k < len(s.orders) && k < 20; k++ {
-		s.answerOrder(s.orders[k], msg.MoveDone)
+		s.reportOutcome(s.orders[k], msg.MoveDone)
 	}
 	if len(s.orders) == 0 || len(before) == 0 {
 		t.Fatal("no move was ordered, or no generation ran in the cordoned data centres: the test checks nothing")
@@ -64,7 +64,7 @@
 	s.advance(8 * time.Second)
 	s.cordon()
 	for k := range 12 {
-		s.ask(fmt.Sprintf("c-%02d", k), 3000, 200)
+		s.requestGrant(fmt.Sprintf("c-%02d", k), 3000, 200)
 		s.advance(100 * time.Millisecond)
 	}
 	if n := s.countOn("u01") + s.countOn("u03"); n < 3 || n > 9 {
@@ -77,13 +77,13 @@
 func TestRequestsForCordonedUpstreamsAreRefusedAtOnce(t *testing.T) {
 	s := newSim(t, 2)
 	for k := range 30 {
-		s.ask(fmt.Sprintf("a-%02d", k), 3000, 900)
+		s.requestGrant(fmt.Sprintf("a-%02d", k), 3000, 900)
 	}
 	waiting := len(s.requests) - len(s.granted) - len(s.refused)
 	s.cordon("u00", "u01")
 	s.now = s.now.Add(10 * time.Millisecond)
 	s.home.Tick(s.now)
-	s.drain()
+	s.deliverMessages()
 	if waiting == 0 || len(s.granted)+len(s.refused) != 30 {
 		t.Errorf("of 30 requests %d were queued, then %d granted and %d refused, want some queued and all decided", waiting, len(s.granted), len(s.refused))
 	}
@@ -151,14 +151,14 @@
 func TestConfinedGenerationsStayInTheirDataCentres(t *testing.T) {
 	s := newSim(t, 6)
 	allowed := []string{s.find("u01").DataCentre, s.find("u04").DataCentre}
-	ask := func(attempt string) {
+	request := func(attempt string) {
 		a := placement.Request{Attempt: attempt, Org: "org", Prompt: 1000, MaxOutput: 900, Expected: 900, MaxWait: 3 * time.Second, DataCentres: allowed}
 		s.requests[attempt] = a
 		s.home.Place(s.now, entry, msg.GrantRequest{Pool: "pool", Request: a})
-		s.drain()
+		s.deliverMessages()
 	}
 	for k := range 8 {
-		ask(fmt.Sprint("a-", k))
+		request(fmt.Sprint("a-", k))
 		s.advance(200 * time.Millisecond)
 	}
 	if s.countOn("u01")+s.countOn("u04") != 8 {
@@ -170,14 +170,14 @@
 		if s.orders[k].To != "u04" {
 			t.Errorf("move order = %+v, want to u04", s.orders[k])
 		}
-		s.answerOrder(s.orders[k], msg.MoveDone)
+		s.reportOutcome(s.orders[k], msg.MoveDone)
 	}
 	if len(s.orders) == 0 {
 		t.Error("no move was ordered, want moves off u01")
 	}
 	s.find("u04").LeavingSince = s.now
 	s.sync()
-	ask("late")
+	request("late")
 	if _, refused := s.refused["late"]; !refused {
 		t.Error("request without an upstream in its data centres was not refused, want refused at once")
 	}
--- a/internal/core/pool/datacentre_test.go
+++ b/internal/core/pool/datacentre_test.go
@@ -45,7 +45,7 @@
 		a.now = a.now.Add(500 * time.Millisecond)
 		for _, dc := range dataCentres {
 			if a.halfSeconds%4 != 3 {
-				a.askFrom(dc)
+				a.requestFrom(dc)
 			}
 			a.announceFrom(dc)
 		}
@@ -55,14 +55,14 @@
 	}
 }
 
-// askFrom requests a generation from the entry in a data centre.
-func (a *dataCentreSim) askFrom(dc string) {
+// requestFrom requests a generation from the entry in a data centre.
+func (a *dataCentreSim) requestFrom(dc string) {
 	req := placement.Request{
 		Attempt: fmt.Sprintf("%s-%d", dc, a.halfSeconds), Org: "org", Prompt: 3000, MaxOutput: 900, Expected: 900, MaxWait: 3 * time.Second,
 	}
 	a.requests[req.Attempt] = req
 	a.home.Place(a.now, a.entry(dc), msg.GrantRequest{Pool: "pool", Request: req})
-	a.drain()
+	a.deliverMessages()
 	if a.placed[dc] == nil {
 		a.placed[dc] = map[string]int{}
 	}
@@ -102,8 +102,8 @@
 
 // A token passes two links: from the upstream to the entry and from there to the caller. A
 // generation in its entry's data centre is exposed to the faults of one link less. With room
-// everywhere, at most two in ten generations may be placed in another data centre, where their own
-// is fuller.
+// everywhere, at most two in ten generations may be placed in another data centre because their
+// own is fuller.
 func TestGenerationsStayInTheirEntrysDataCentre(t *testing.T) {
 	a := newDataCentreSim(t)
 	for range 30 {
--- a/internal/core/pool/evacuate.go
+++ b/internal/core/pool/evacuate.go
@@ -15,16 +15,17 @@
 	// evacuationTimeout is how long after the first notice an unlisted upstream is kept while
 	// generations may still run there.
 	evacuationTimeout = 6 * time.Second
-	// minNotice is the time for which a leaving upstream is assumed to serve if it does not state
-	// that time.
+	// minNotice is how long after its notice a leaving upstream is assumed to serve if it does not
+	// state how long.
 	minNotice = 1500 * time.Millisecond
 	// orderSlack is added to twice the expected duration of a copy to get the timeout of a move
 	// order.
 	orderSlack = 400 * time.Millisecond
-	// maxTries is the number of attempts to move one generation.
+	// maxTries is the maximum number of move orders for one generation. Orders that found no
+	// running generation or no room do not count.
 	maxTries = 2
 	// fullBackoff is how long a destination without room is skipped, whatever memory the
-	// forecast leaves free: it may hold copies from which no generation was continued.
+	// forecast shows as free: it may hold copies from which no generation was continued.
 	fullBackoff = 400 * time.Millisecond
 	// prefillRetry is the delay before the retry of a move that found no running generation, as
 	// prompts cannot be moved during prefill.
@@ -140,7 +141,7 @@
 }
 
 // movable returns the generations of an evacuation that can be moved now. Those that will not end
-// before the upstream stops come first, then the more valuable ones.
+// before the upstream stops come first. Otherwise, the more valuable ones come first.
 func (h *Home) movable(now time.Time, e *evacuation) []placement.RunningGeneration {
 	var out []placement.RunningGeneration
 	for _, p := range h.placement.Generations(now, e.upstream.ID) {
--- a/internal/core/pool/failing_test.go
+++ b/internal/core/pool/failing_test.go
@@ -18,7 +18,7 @@
 	placed, failed := 0, 0
 	for k := range 72 {
 		id := fmt.Sprintf("f-%02d", k)
-		s.ask(id, 3000, 900)
+		s.requestGrant(id, 3000, 900)
 		if s.granted[id] == bad {
 			if placed++; placed%5 < 2 {
 				failed++
@@ -42,7 +42,7 @@
 	before := placed
 	for k := range 24 {
 		id := fmt.Sprintf("w-%02d", k)
-		s.ask(id, 3000, 900)
+		s.requestGrant(id, 3000, 900)
 		if s.granted[id] == bad {
 			placed++
 		}
@@ -53,9 +53,9 @@
 	}
 }
 
-// A leaving engine cuts its running streams. These must not count as failures, as they say nothing
-// about the health of an engine that later joins under the same name.
-func TestCutsByALeavingEngineAreNotFailures(t *testing.T) {
+// A leaving engine breaks off its running streams. These must not count as failures, as they say
+// nothing about the health of an engine that later joins under the same name.
+func TestStreamsBrokenOffByALeavingEngineAreNotFailures(t *testing.T) {
 	s := newSim(t, 3)
 	s.fill(6, 200*time.Millisecond)
 	s.find("u01").LeavingSince = s.now
@@ -66,6 +66,6 @@
 		}
 	}
 	if rate := s.home.failureRate(s.now, "u01"); rate != 0 {
-		t.Errorf("failure rate of u01, which is leaving and cut its streams, = %.2f, want 0", rate)
+		t.Errorf("failure rate of u01, which is leaving and broke off its streams, = %.2f, want 0", rate)
 	}
 }
--- a/internal/core/pool/notes_test.go
+++ b/internal/core/pool/notes_test.go
@@ -33,7 +33,7 @@
 	}
 	o := s.orders[0]
 	s.now = s.now.Add(150 * time.Millisecond)
-	s.answerOrder(o, msg.MoveDone)
+	s.reportOutcome(o, msg.MoveDone)
 	seen := map[string]Note{}
 	for _, n := range s.home.Notes() {
 		if id := n.field("request"); id == "" || id == o.Attempt {
@@ -50,6 +50,6 @@
 		}
 	}
 	if got := seen["move_ended"].field("outcome"); got != fmt.Sprint(msg.MoveDone) {
-		t.Errorf("outcome of move_ended = %q, want that of MoveDone", got)
+		t.Errorf("outcome of move_ended = %q, want \"done\", the value of MoveDone", got)
 	}
 }
--- a/internal/core/pool/pool.go
+++ b/internal/core/pool/pool.go
@@ -26,8 +26,9 @@
 	// initialPrefillRate is the prefill throughput, in tokens a second, that is assumed until it
 	// has been measured.
 	initialPrefillRate = 7200
-	// failurePenalty is the cost of a failure rate of 1, in seconds in flight. Without it a
-	// failing engine, which frees its slots at once, would appear idle and get more work.
+	// failurePenalty, multiplied by the failure rate of an upstream, is added to the cost of the
+	// upstream, in seconds of time in flight. Without it a failing engine, which frees its slots
+	// at once, would appear idle and get more work.
 	failurePenalty = 20.0
 	// unreachableBackoff is how long an upstream gets no new work after a failed connection.
 	// Failed upstreams stay listed for three heartbeats, and throughout an outage of the store.
@@ -39,7 +40,7 @@
 	// unavailable and outageProbeInterval replaces probeInterval.
 	maxStoreAge         = 900 * time.Millisecond
 	outageProbeInterval = 300 * time.Millisecond
-	// propagationTime is how long an upstream that was listed here may still be unknown to
+	// propagationTime is how long after an upstream is first listed here it may be unknown to
 	// entries, which may receive the list through relays.
 	propagationTime = 3 * time.Second
 	// AnnounceInterval is the minimum interval between an entry's announcements. The interval is
@@ -55,7 +56,7 @@
 	return min(max(AnnounceInterval, time.Duration(running)*announcePerRun), maxAnnounceInterval)
 }
 
-// OutgoingMessage is an outgoing message.
+// OutgoingMessage is a message to be sent to another instance.
 type OutgoingMessage struct {
 	// To is the name of the receiving instance.
 	To  string
@@ -67,8 +68,8 @@
 	service string
 	engine  route.Engine
 	without mechanism.Set
-	// isGroup is set if the pool is a group of a divided service. Entries do not know the
-	// upstreams of groups.
+	// isGroup is set if the pool is a group of a divided service. Grants then contain the row of
+	// the upstream in the store's list, as entries do not know the upstreams of groups.
 	isGroup   bool
 	placement *placement.Home
 	upstreams map[string]*roster.Upstream
@@ -82,14 +83,14 @@
 	fullUntil map[string]time.Time
 	// abandoned holds copies that occupy memory until they expire.
 	abandoned []abandonedCopy
-	// unreachable holds when a connection to each upstream last failed, probedAt when each was
-	// last probed.
+	// unreachable holds when a connection to each upstream last failed.
 	unreachable map[string]time.Time
 	// failures holds the recent outcomes of each upstream.
 	failures map[string]*health.Record
 	// ownNotices holds when each upstream itself reported that it is leaving.
 	ownNotices map[string]time.Time
-	probedAt   map[string]time.Time
+	// probedAt holds when each upstream was last probed.
+	probedAt map[string]time.Time
 	// lastOrder is the number of the last move order.
 	lastOrder int64
 	// probes, out and notes hold the results that the caller has not yet taken.
@@ -112,7 +113,7 @@
 }
 
 // NewHome returns the home of a pool. service is the name of a service or of a group of its
-// upstreams, without holds the disabled mechanisms, ways selects alternative algorithms.
+// upstreams. without holds the disabled mechanisms; ways selects alternative algorithms.
 func NewHome(service string, engine route.Engine, without mechanism.Set, ways mechanism.Ways) *Home {
 	engine.Moves = engine.Moves && !without.Has(mechanism.Moves)
 	return &Home{
@@ -153,7 +154,7 @@
 	h.notes = append(h.notes, Note{Event: event, Pairs: append(pairs, "pool", h.service)})
 }
 
-// Entry is the entry that sent a message.
+// Entry identifies the instance that sent a message: the entry of a generation's caller.
 type Entry struct {
 	Name       string
 	DataCentre string
@@ -203,8 +204,8 @@
 	h.evacuate(now)
 }
 
-// recordOutcome records whether an upstream failed an attempt. Streams that a leaving upstream cut
-// do not count, as they say nothing about its health.
+// recordOutcome records whether an upstream failed an attempt. Streams broken off by a
+// leaving upstream do not count, as they say nothing about its health.
 func (h *Home) recordOutcome(now time.Time, m msg.GrantEnd) {
 	u := h.upstreams[m.Upstream]
 	if m.Unreachable {
@@ -225,7 +226,7 @@
 	}
 }
 
-// failureRate returns the fraction of its recent attempts that an upstream failed.
+// failureRate returns the fraction of an upstream's recent attempts that failed.
 func (h *Home) failureRate(now time.Time, id string) float64 {
 	if r := h.failures[id]; r != nil && !h.without.Has(mechanism.Failures) {
 		return r.Rate(now)
--- a/internal/core/pool/pool_test.go
+++ b/internal/core/pool/pool_test.go
@@ -31,16 +31,17 @@
 	t    *testing.T
 	now  time.Time
 	home *Home
-	// list holds the upstreams that are listed.
+	// list holds the upstreams in the store's list, which sync passes to the home.
 	list []*roster.Upstream
-	// granted maps running attempts to upstreams, refused maps refused ones to their Retry-After,
-	// orders lists all move orders received.
+	// granted maps running attempts to upstreams. refused maps refused attempts to their
+	// Retry-After. orders lists all move orders received.
 	granted  map[string]string
 	refused  map[string]time.Duration
 	orders   []msg.MoveOrder
 	requests map[string]placement.Request
-	// prefilledAt is when the prefill of an attempt ends, announcedFirst is set once the home was
-	// notified of the first token. prefillUntil is when the last prefill of each upstream ends.
+	// prefilledAt holds when the prefill of each attempt ends. announcedFirst is set once the home
+	// was notified of the attempt's first token. prefillUntil holds when the last prefill of each
+	// upstream ends.
 	prefilledAt    map[string]time.Time
 	announcedFirst map[string]bool
 	prefillUntil   map[string]time.Time
@@ -75,12 +76,12 @@
 	return nil
 }
 
-// confirmed returns when the last query that the store answered was sent.
+// confirmed returns the time as of which the store last confirmed the list.
 func (s *sim) confirmed() time.Time { return s.now.Add(-s.storeAge) }
 
 func (s *sim) sync() {
 	s.home.Sync(s.now, Listing{Answered: s.confirmed(), Upstreams: s.list, Cordons: s.cordons, ColdRate: s.coldRate})
-	s.drain()
+	s.deliverMessages()
 }
 
 // advance advances the time in steps. In each, entries announce progress, the home ticks and gets a
@@ -121,7 +122,7 @@
 			s.home.OnFirstToken(s.now, msg.FirstToken{Pool: "pool", Attempt: attempt})
 		}
 	}
-	s.drain()
+	s.deliverMessages()
 }
 
 // announce sends the entry's announcement of running generations and ends those that are complete.
@@ -139,8 +140,8 @@
 	s.home.Announce(s.now, entry, msg.Announce{Pool: "pool", Running: running})
 }
 
-// drain applies the home's outgoing messages to the simulation.
-func (s *sim) drain() {
+// deliverMessages applies the home's outgoing messages to the simulation.
+func (s *sim) deliverMessages() {
 	for _, o := range s.home.TakeMessages() {
 		switch m := o.Msg.(type) {
 		case msg.GrantResponse:
@@ -161,19 +162,20 @@
 // prompt of 3,000 tokens and 900 output tokens.
 func (s *sim) fill(n int, interval time.Duration) {
 	for k := range n {
-		s.ask(fmt.Sprintf("d-%02d", k), 3000, 900)
+		s.requestGrant(fmt.Sprintf("d-%02d", k), 3000, 900)
 		s.advance(interval)
 	}
 }
 
-func (s *sim) ask(attempt string, prompt, output int) {
+// requestGrant sends a request of the entry for a grant.
+func (s *sim) requestGrant(attempt string, prompt, output int) {
 	req := placement.Request{
 		Attempt: attempt, Org: "org", Prompt: prompt, MaxOutput: output, Expected: output, MaxWait: 3 * time.Second,
 		FirstTarget: 1500 * time.Millisecond,
 	}
 	s.requests[attempt] = req
 	s.home.Place(s.now, entry, msg.GrantRequest{Pool: "pool", Request: req})
-	s.drain()
+	s.deliverMessages()
 }
 
 // countOn returns the number of attempts granted on an upstream.
@@ -197,29 +199,30 @@
 	return best
 }
 
-// answerOrder reports the outcome of a move order to the home.
-func (s *sim) answerOrder(o msg.MoveOrder, outcome msg.MoveOutcome) {
+// reportOutcome reports the outcome of a move order to the home.
+func (s *sim) reportOutcome(o msg.MoveOrder, outcome msg.MoveOutcome) {
 	s.home.OnMoveResult(s.now, msg.MoveResult{Pool: "pool", Attempt: o.Attempt, Number: o.Number, Outcome: outcome})
 	if outcome == msg.MoveDone {
 		s.granted[o.Attempt] = o.To
 	}
-	s.drain()
+	s.deliverMessages()
 }
 
 // Two of twelve upstreams are replaced every three seconds, while eleven prompts of 3,000 tokens
 // arrive each second. All memory of a new upstream is free. The first token is due after 1.5 s, and
 // an upstream computes 7,200 prompt tokens a second while it decodes, so that at most three prompts
-// may wait at one. When upstreams were selected by free memory alone, a new one got 13 of 36.
+// may wait at one upstream. When upstreams were selected by free memory alone, a new one got 13 of
+// 36.
 func TestANewUpstreamIsNotOverloadedWithPrompts(t *testing.T) {
 	s := newSim(t, 8)
 	for k := range 48 {
-		s.ask(fmt.Sprintf("old-%d", k), 3000, 900)
+		s.requestGrant(fmt.Sprintf("old-%d", k), 3000, 900)
 		s.advance(100 * time.Millisecond)
 	}
 	s.join("new")
 	s.sync()
 	for k := range 11 {
-		s.ask(fmt.Sprintf("a-%d", k), 3000, 900)
+		s.requestGrant(fmt.Sprintf("a-%d", k), 3000, 900)
 		s.advance(100 * time.Millisecond)
 	}
 	if n := s.countOn("new"); n < 2 || n > 3 {
@@ -248,7 +251,7 @@
 			t.Fatalf("move order = %+v, want from the leaving upstream to another one", o)
 		}
 		s.now = s.now.Add(150 * time.Millisecond)
-		s.answerOrder(o, msg.MoveDone)
+		s.reportOutcome(o, msg.MoveDone)
 	}
 	if took := s.now.Sub(s.find(leaving).LeavingSince); took > 1200*time.Millisecond {
 		t.Errorf("duration of all moves = %v, want at most 1.2 s", took)
@@ -260,7 +263,7 @@
 }
 
 // Two upstreams leave at once. Each has its own link, but copies to the same destination would
-// share that one's link: the moves must have different destinations.
+// share the link of the destination: the moves must have different destinations.
 func TestTwoEvacuationsHaveTwoDestinations(t *testing.T) {
 	s := newSim(t, 6)
 	s.fill(24, 200*time.Millisecond)
@@ -287,7 +290,7 @@
 	if len(s.orders) != 1 || s.orders[0].To != "u00" {
 		t.Fatalf("orders = %+v, want one to u00", s.orders)
 	}
-	s.answerOrder(s.orders[0], msg.MoveDone)
+	s.reportOutcome(s.orders[0], msg.MoveDone)
 	if len(s.orders) != 2 {
 		t.Errorf("orders after the first move completed = %d, want 2", len(s.orders))
 	}
@@ -322,7 +325,7 @@
 // its upstream. The order must be sent once the first token is announced.
 func TestNoMoveIsOrderedDuringPrefill(t *testing.T) {
 	s := newSim(t, 3)
-	s.ask("d", 3000, 900)
+	s.requestGrant("d", 3000, 900)
 	s.find(s.granted["d"]).LeavingSince = s.now
 	s.sync()
 	s.advance(300 * time.Millisecond)
@@ -339,13 +342,13 @@
 // running generation to move. The move must be retried after a short delay and not be given up.
 func TestAMoveWithoutARunningGenerationIsRetried(t *testing.T) {
 	s := newSim(t, 3)
-	s.ask("d", 3000, 900)
+	s.requestGrant("d", 3000, 900)
 	s.advance(500 * time.Millisecond)
 	s.find(s.granted["d"]).LeavingSince = s.now
 	s.sync()
 	for range 4 {
 		last := s.orders[len(s.orders)-1]
-		s.answerOrder(last, msg.MoveNoRun)
+		s.reportOutcome(last, msg.MoveNoRun)
 		n := len(s.orders)
 		s.advance(200 * time.Millisecond)
 		if len(s.orders) == n {
@@ -376,7 +379,7 @@
 	s.list = s.list[4:]
 	s.sync()
 	for k := range 40 {
-		s.ask(fmt.Sprintf("n-%02d", k), 3000, 900)
+		s.requestGrant(fmt.Sprintf("n-%02d", k), 3000, 900)
 		s.advance(100 * time.Millisecond)
 	}
 	s.advance(4 * time.Second)
@@ -384,7 +387,7 @@
 		id := fmt.Sprintf("n-%02d", k)
 		after, refused := s.refused[id]
 		if s.prefilledAt[id].IsZero() && !refused {
-			t.Errorf("%s: neither granted nor refused", id)
+			t.Errorf("%s: neither granted nor refused, want one of these", id)
 		}
 		if refused && after <= 0 {
 			t.Errorf("%s: refused without a Retry-After, want one above 0", id)
@@ -417,11 +420,11 @@
 		t.Errorf("probes of 4 upstreams in a second without the store = %d, want 8 to 16", probes)
 	}
 	s.home.NoticeLeaving(s.now, "u02", 1500*time.Millisecond, true)
-	s.drain()
+	s.deliverMessages()
 	if len(s.orders) != 1 || s.orders[0].From != "u02" {
 		t.Fatalf("orders = %+v, want one from u02", s.orders)
 	}
-	s.ask("new", 3000, 900)
+	s.requestGrant("new", 3000, 900)
 	s.sync() // the listing does not show u02 as leaving
 	if s.granted["new"] == "u02" || len(s.orders) != 1 {
 		t.Error("after an outdated listing: u02 got a new request or a second move order, want neither, as its own notice prevails")
@@ -434,14 +437,14 @@
 	s := newSim(t, 2)
 	s.home.Unreachable(s.now, "u00")
 	for k := range 4 {
-		s.ask(fmt.Sprintf("d-%d", k), 3000, 900)
+		s.requestGrant(fmt.Sprintf("d-%d", k), 3000, 900)
 	}
 	if n := s.countOn("u00"); n != 0 {
 		t.Errorf("requests on the unreachable upstream = %d, want 0", n)
 	}
 	s.advance(unreachableBackoff + 100*time.Millisecond)
 	for k := range 6 {
-		s.ask(fmt.Sprintf("e-%d", k), 3000, 900)
+		s.requestGrant(fmt.Sprintf("e-%d", k), 3000, 900)
 	}
 	if s.countOn("u00") == 0 {
 		t.Error("requests on the upstream after unreachableBackoff = 0, want some")
@@ -467,13 +470,13 @@
 		t.Fatalf("orders = %+v, want one to u01", s.orders)
 	}
 	for k := 0; k < len(s.orders); k++ {
-		s.answerOrder(s.orders[k], msg.MoveFailed)
+		s.reportOutcome(s.orders[k], msg.MoveFailed)
 	}
 	s.find("u00").Removed = true
 	s.list = s.list[1:]
 	s.home.End(s.now, msg.GrantEnd{Pool: "pool", Attempt: "big", Upstream: "u00", Failed: true})
 	s.sync()
-	s.ask("new", 3000, 900)
+	s.requestGrant("new", 3000, 900)
 	if s.granted["new"] != "" {
 		t.Error("request granted while an abandoned copy holds the memory, want it queued")
 	}
@@ -482,7 +485,7 @@
 		s.home.Tick(s.now)
 		s.sync()
 	}
-	s.ask("later", 3000, 900)
+	s.requestGrant("later", 3000, 900)
 	if s.granted["later"] == "" {
 		t.Error("request not granted after the copy expired, want granted")
 	}
@@ -494,7 +497,7 @@
 // the same one after a short delay.
 func TestADestinationWithoutRoomIsSkipped(t *testing.T) {
 	s := newSim(t, 4)
-	s.ask("d", 3000, 900)
+	s.requestGrant("d", 3000, 900)
 	from := s.granted["d"]
 	s.advance(time.Second)
 	s.find(from).LeavingSince = s.now
@@ -506,7 +509,7 @@
 			t.Fatalf("%s: second order at once after it had no room, want another destination", o.To)
 		}
 		tried[o.To] = true
-		s.answerOrder(o, msg.MoveNoRoom)
+		s.reportOutcome(o, msg.MoveNoRoom)
 	}
 	if len(tried) != 3 {
 		t.Fatalf("destinations tried = %d, want 3", len(tried))
--- a/internal/core/pool/upstreams.go
+++ b/internal/core/pool/upstreams.go
@@ -17,7 +17,8 @@
 
 // Listing is the state of the pool according to the store.
 type Listing struct {
-	// Answered is when the last query that the store answered was sent.
+	// Answered is the time as of which the store last confirmed the list: when the query was sent
+	// to which the store replied.
 	Answered  time.Time
 	Upstreams []*roster.Upstream
 	Cordons   cordon.Set
@@ -64,9 +65,9 @@
 	}
 }
 
-// NoticeLeaving processes an upstream's own notice that it is leaving. in is the time until it
-// stops, if known is set.
-func (h *Home) NoticeLeaving(now time.Time, id string, in time.Duration, known bool) {
+// NoticeLeaving processes an upstream's own notice that it is leaving. stopsIn is the time until
+// the upstream stops; it is valid only if hasStopsIn is set.
+func (h *Home) NoticeLeaving(now time.Time, id string, stopsIn time.Duration, hasStopsIn bool) {
 	u := h.upstreams[id]
 	if u == nil {
 		return
@@ -76,9 +77,9 @@
 		h.ownNotices[id] = now
 	}
 	h.report(now, u)
-	if e := h.evacuations[id]; e != nil && known {
-		e.stopsAt = now.Add(in)
-		h.note("upstream_leaves", "upstream", id, "in", in)
+	if e := h.evacuations[id]; e != nil && hasStopsIn {
+		e.stopsAt = now.Add(stopsIn)
+		h.note("upstream_leaves", "upstream", id, "in", stopsIn)
 	}
 	h.evacuate(now)
 }
--- a/internal/core/request.go
+++ b/internal/core/request.go
@@ -35,7 +35,7 @@
 	// wake is the time at which onWake runs next; zero means never.
 	wake time.Time
 
-	// attempt is the id of the current attempt, tries the number of attempts so far.
+	// attempt is the id of the current attempt. tries is the number of attempts so far.
 	attempt string
 	tries   int
 	// excluded lists the upstreams on which earlier attempts failed.
@@ -58,7 +58,7 @@
 // reserveState is the state of the reservation from the organisation's budget.
 type reserveState struct {
 	home       string
-	homesAsked int
+	homesTried int
 	amount     config.Money
 	held       bool
 }
@@ -68,8 +68,8 @@
 	pools     []*config.Pool
 	poolIndex int
 	home      string
-	// requestedAt is the send time of the last grant request, repliedAt the time of the home's last
-	// reply, unanswered the number of consecutive grant requests without a reply.
+	// requestedAt is the send time of the last grant request. repliedAt is the time of the home's
+	// last reply. unanswered is the number of consecutive grant requests without a reply.
 	requestedAt time.Time
 	// requestTimes holds the send times of all grant requests; request number n is at index n-1.
 	requestTimes []time.Time
@@ -97,23 +97,24 @@
 	lastProgress time.Time
 	// link is the number of the attempt's current connection.
 	link int
-	// resumes counts consecutive resumes without a token, totalResumes all resumes.
+	// resumes counts consecutive resumes without a token. totalResumes counts all resumes.
 	resumes      int
 	totalResumes int
-	// sent is set once the attempt was dispatched, failed once it failed at its upstream.
+	// sent is set once the attempt was dispatched. failed is set once it failed at its upstream.
 	sent   bool
 	failed bool
 	// resumeAt is the end of the backoff before the next resume; zero if there is none.
 	resumeAt time.Time
-	// produced is the number of tokens that the upstream reported, valid if producedKnown is set.
+	// produced is the number of tokens that the upstream reported. It is valid only if
+	// producedKnown is set.
 	produced      int
 	producedKnown bool
 }
 
 // bookState is the state of the claim of a call that may not be repeated.
 type bookState struct {
-	// baseVersion is the version of the row that the claim requires, version the version that
-	// the claim wrote, claims the number of claims made.
+	// baseVersion is the version of the row that the claim requires. version is the version that
+	// the claim wrote. claims is the number of claims made.
 	baseVersion int64
 	version     int64
 	claims      int
--- a/internal/core/reserve.go
+++ b/internal/core/reserve.go
@@ -63,7 +63,7 @@
 
 func (i *Instance) requestReservation(now time.Time, r *request) {
 	homes := i.orgHomes(now, r.org.Name)
-	if len(homes) == 0 || r.reserve.homesAsked >= maxHomes {
+	if len(homes) == 0 || r.reserve.homesTried >= maxHomes {
 		i.refuse(now, r, Finish{
 			Status: status.ServiceUnavailable, Reason: ReasonNoBudgetHome,
 			Step: "reserve", Peer: r.reserve.home, RetryAfter: retryAfterNoHome,
@@ -71,7 +71,7 @@
 		return
 	}
 	r.reserve.home = homes[0]
-	r.reserve.homesAsked++
+	r.reserve.homesTried++
 	i.wakeAt(r, now.Add(homeTimeout))
 	i.send(r.reserve.home, msg.ReserveRequest{Request: budget.Request{
 		RequestID: r.attempt, Org: r.org.Name, Entry: i.self, Boot: i.boot,
--- a/internal/core/roster/bench_test.go
+++ b/internal/core/roster/bench_test.go
@@ -13,11 +13,11 @@
 	all := spread("large", 1000)
 	r.Replace(start, all, int64(len(all)))
 	r.Divide(start)
-	layout, divided := r.Layout()
-	return r, ListRequest{Version: r.Newest(), LayoutVersion: divided, Groups: layout.GroupsFor("large", "a", "i1", allOpen)}
+	layout, layoutVersion := r.Layout()
+	return r, ListRequest{Version: r.NewestVersion(), LayoutVersion: layoutVersion, Groups: layout.GroupsFor("large", "a", "i1", allOpen)}
 }
 
-func BenchmarkAnswerNothingNew(b *testing.B) {
+func BenchmarkRespondNothingNew(b *testing.B) {
 	r, q := largeList(b)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -25,9 +25,9 @@
 	}
 }
 
-func BenchmarkAnswerOneChange(b *testing.B) {
+func BenchmarkRespondOneChange(b *testing.B) {
 	r, q := largeList(b)
-	v := r.Newest()
+	v := r.NewestVersion()
 	removed := r.UpstreamsIn(q.Groups[0])[0].ID
 	r.Update(start, []Change{{ID: removed, Version: v + 1, Removed: true}}, v+1)
 	b.ReportAllocs()
@@ -40,7 +40,7 @@
 func BenchmarkHeartbeats(b *testing.B) {
 	r, _ := largeList(b)
 	changes := spread("large", 1000)[:1500]
-	v, now := r.Newest(), start
+	v, now := r.NewestVersion(), start
 	b.ReportAllocs()
 	for b.Loop() {
 		for k := range changes {
--- a/internal/core/roster/expiry.go
+++ b/internal/core/roster/expiry.go
@@ -10,8 +10,8 @@
 // end of the outage.
 const expiryGrace = 2 * time.Second
 
-// outageGrace is how long after an outage of the store a removed entry still counts as expired
-// by the outage: the store reports its first changes late.
+// outageGrace is how long after an outage of the store a removal is still attributed to the
+// outage: the store reports the expiries of the outage late.
 const outageGrace = 1500 * time.Millisecond
 
 // A group from which an expired entry was dropped is announced again every reannounceInterval
@@ -117,6 +117,6 @@
 // RecentlyRemoved reports whether the upstream of an entry was removed within the last
 // tombstoneTTL, in which case the entry is stale.
 func (r *Roster) RecentlyRemoved(e Entry) bool {
-	_, left := r.removedAt[e.ID]
-	return left && r.byID[e.ID] == nil
+	_, removed := r.removedAt[e.ID]
+	return removed && r.byID[e.ID] == nil
 }
--- a/internal/core/roster/group.go
+++ b/internal/core/roster/group.go
@@ -25,9 +25,9 @@
 	// Outside these bounds the number of groups is computed again.
 	maxGroupFill = 1.5
 	minGroupFill = 0.3
-	// divideDelay is how long a service must exceed these bounds before its layout changes: the
-	// homes of the new pools must rebuild their state, and a release or an outage doubles the
-	// number of entries for some seconds.
+	// divideDelay is how long the number of upstreams must require another layout before the layout
+	// changes: the homes of the new pools must rebuild their state, and a release or an outage
+	// doubles the number of entries for some seconds.
 	divideDelay = 30 * time.Second
 	// divideNowFactor is the multiple of maxUndivided above which an undivided service is
 	// divided without waiting for divideDelay.
@@ -109,8 +109,9 @@
 
 // GroupsFor returns the groups of a service over which an instance balances requests: the only
 // group of an undivided service, otherwise up to groupsPerInstance groups of the instance's data
-// centre, or of all data centres if its own has no group or is not open. Data centres for which
-// open returns false are excluded; nil means that no group remains.
+// centre. Data centres for which open returns false are excluded. If no group of the instance's
+// data centre remains, the groups that remain in all data centres are used. GroupsFor returns nil
+// if there is none.
 func (l Layout) GroupsFor(service, dataCentre, instance string, open func(dataCentre string) bool) []Group {
 	if l[service] == nil {
 		return []Group{Undivided(service)}
--- a/internal/core/roster/group_test.go
+++ b/internal/core/roster/group_test.go
@@ -38,13 +38,13 @@
 // syncFrom updates an instance's roster from that of a reader, as the responses to its requests
 // do.
 func syncFrom(r, reader *Roster, instance, dataCentre string) {
-	layout, divided := reader.Layout()
+	layout, layoutVersion := reader.Layout()
 	var own []Group
 	for service := range layout {
 		own = append(own, layout.GroupsFor(service, dataCentre, instance, allOpen)...)
 	}
-	groups := append(reader.Since(start, r.Newest(), own), reader.Copies(start, own)...)
-	r.Adopt(start, ListUpdate{Version: reader.Newest(), Layout: layout, LayoutVersion: divided, Groups: groups})
+	groups := append(reader.Since(start, r.NewestVersion(), own), reader.Copies(start, own)...)
+	r.Adopt(start, ListUpdate{Version: reader.NewestVersion(), Layout: layout, LayoutVersion: layoutVersion, Groups: groups})
 	r.Keep(own)
 }
 
@@ -97,11 +97,11 @@
 }
 
 // An outage of the store or a release doubles the entries of a service for some seconds. If the
-// service were divided and merged again meanwhile, each home would lose its pool and the next
-// home would know nothing of the running generations.
+// service were divided and merged again within these seconds, each home would lose its pool and the
+// next home would know nothing of the running generations.
 func TestABriefIncreaseDoesNotDivideAService(t *testing.T) {
 	r := newReader(t, spread("s", 20)...)
-	v := r.Newest()
+	v := r.NewestVersion()
 	var doubled, removed []Change
 	for k, c := range spread("s", 30)[:45] {
 		c.ID, c.Entry.ID = "new-"+c.ID, "new-"+c.ID
@@ -117,7 +117,7 @@
 	}
 	r.Update(at(divideDelay-time.Second), removed, v+90)
 	if r.Divide(at(divideDelay)) {
-		t.Fatal("service divided after the added upstreams were removed")
+		t.Fatal("service divided after the added upstreams were removed, want no division")
 	}
 	for k := range doubled {
 		doubled[k].Version += 100
@@ -125,7 +125,7 @@
 	r.Update(at(divideDelay), doubled, v+200)
 	r.Divide(at(divideDelay))
 	if r.Divide(at(2*divideDelay-time.Second)) || !r.Divide(at(2*divideDelay)) {
-		t.Error("Divide does not divide the service exactly divideDelay after the second increase")
+		t.Error("service divided a second before divideDelay after the second increase, or not divided at divideDelay, want a division at divideDelay")
 	}
 }
 
@@ -148,7 +148,7 @@
 	r := newReader(t, spread("s", 20)...)
 	follower := New()
 	syncFrom(follower, r, "i1", "a")
-	if _, ok := follower.Replace(at(time.Second), spread("s", 30), r.Newest()+100); !ok {
+	if _, ok := follower.Replace(at(time.Second), spread("s", 30), r.NewestVersion()+100); !ok {
 		t.Fatal("Replace rejected a list newer than the known one")
 	}
 	if follower.Divide(at(time.Second)) {
@@ -177,7 +177,7 @@
 		}
 	}
 	removed := follower.UpstreamsIn(own[0])[0]
-	v := r.Newest()
+	v := r.NewestVersion()
 	r.Update(at(time.Second), []Change{{ID: removed.ID, Version: v + 1, Removed: true}}, v+1)
 	if changed := r.Since(start, v, own); len(changed) != 1 || changed[0].Group != own[0] {
 		t.Errorf("Since returns %d of the follower's groups, want only the one that changed", len(changed))
@@ -187,10 +187,10 @@
 	}
 	syncFrom(follower, r, "i1", "b")
 	if follower.Find(removed.ID) != nil || !removed.Removed {
-		t.Error("an upstream that the reader removed is still in the follower's list")
+		t.Error("an upstream that the reader removed is still in the follower's list, want it removed")
 	}
 	if follower.Divide(start) {
-		t.Error("an instance that knows only some groups changed the layout")
+		t.Error("an instance that knows only some groups changed the layout, want no change")
 	}
 	follower.Keep(nil)
 	if len(follower.UpstreamsOf("large")) != 0 || len(follower.UpstreamsOf("small")) != 6 || follower.HasGroup(own[0]) {
@@ -209,17 +209,17 @@
 		t.Fatalf("%d upstreams of the undivided service are known, want 60", len(follower.UpstreamsOf("s")))
 	}
 	var more []Change
-	v := r.Newest()
+	v := r.NewestVersion()
 	for k, c := range spread("s", 60) {
 		c.Version = v + int64(k) + 1
 		more = append(more, c)
 	}
 	r.Update(at(time.Second), more, v+int64(len(more)))
 	if !follower.Complete() {
-		t.Error("a follower whose services are all undivided does not report a complete list")
+		t.Error("a follower whose services are all undivided has no complete list, want a complete one")
 	}
 	if !r.Divide(start) {
-		t.Fatal("a service with 180 upstreams was not divided")
+		t.Fatal("a service with 180 upstreams was not divided, want a division")
 	}
 	syncFrom(follower, r, "i1", "a")
 	layout, _ := r.Layout()
@@ -230,7 +230,7 @@
 	}
 	for _, u := range follower.UpstreamsOf("s") {
 		if u.DataCentre != "a" {
-			t.Errorf("upstream %s of a group that is not used is still known", u.ID)
+			t.Errorf("upstream %s of a group that is not used is still known, want it dropped", u.ID)
 		}
 	}
 }
@@ -250,27 +250,27 @@
 	}
 	r.Update(at(1001*time.Second), []Change{listed("u999", 1999)}, 1999)
 	if r.Find("u999") != nil {
-		t.Error("a stale update restored a removed upstream")
+		t.Error("a stale update restored a removed upstream, want it ignored")
 	}
 }
 
-// Nearly all requests in a large fleet find no change: 300 instances send 2.5 requests per
-// second each. When each of them scanned all groups, they took a fifth of a relay's processor.
-func TestAnswerWithoutChangesIsCheap(t *testing.T) {
+// Nearly all requests in a large fleet find no change: 300 instances send 2.5 requests per second
+// each. When each request scanned all groups, these requests took a fifth of a relay's processor.
+func TestResponseWithoutChangesIsCheap(t *testing.T) {
 	r := newReader(t, spread("large", 1000)...)
-	layout, divided := r.Layout()
-	q := ListRequest{Version: r.Newest(), LayoutVersion: divided, Groups: layout.GroupsFor("large", "a", "i1", allOpen)}
+	layout, layoutVersion := r.Layout()
+	q := ListRequest{Version: r.NewestVersion(), LayoutVersion: layoutVersion, Groups: layout.GroupsFor("large", "a", "i1", allOpen)}
 	if allocs := testing.AllocsPerRun(100, func() { r.Respond(start, q) }); allocs > 3 {
 		t.Errorf("Respond without changes makes %.0f allocations, want at most 3", allocs)
 	}
 }
 
-// When the relays have failed, an instance asks one that knows only the groups that it uses
-// itself. Its response would carry a newer version but lack the requester's groups: the
-// requester would consider itself up to date and send work to upstreams that have left.
-func TestAnswerFailsForUnknownGroups(t *testing.T) {
+// When the relays have failed, an instance queries another instance that knows only the groups
+// which that other instance uses. The response would carry a newer version but lack the requester's
+// groups: the requester would consider itself up to date and send work to upstreams that have left.
+func TestRespondFailsForUnknownGroups(t *testing.T) {
 	r := newReader(t, spread("large", 200)...)
-	layout, divided := r.Layout()
+	layout, layoutVersion := r.Layout()
 	follower := New()
 	syncFrom(follower, r, "i1", "b")
 	own := layout.GroupsFor("large", "b", "i1", allOpen)
@@ -280,9 +280,9 @@
 		q    ListRequest
 		ok   bool
 	}{
-		{"the follower's own groups", ListRequest{LayoutVersion: divided, Groups: own}, true},
-		{"a group unknown to the follower", ListRequest{LayoutVersion: divided, Groups: other, Missing: other}, false},
-		{"all groups", ListRequest{LayoutVersion: divided, All: true}, false},
+		{"the follower's own groups", ListRequest{LayoutVersion: layoutVersion, Groups: own}, true},
+		{"a group unknown to the follower", ListRequest{LayoutVersion: layoutVersion, Groups: other, Missing: other}, false},
+		{"all groups", ListRequest{LayoutVersion: layoutVersion, All: true}, false},
 	} {
 		if _, ok := follower.Respond(start, c.q); ok != c.ok {
 			t.Errorf("request for %s: Respond of a follower returns %v, want %v", c.name, ok, c.ok)
--- a/internal/core/roster/roster.go
+++ b/internal/core/roster/roster.go
@@ -59,8 +59,8 @@
 	ID      string
 	Version int64
 	Removed bool
-	// Valid is false for a removal and for an entry that could not be decoded. Such an entry is
-	// treated like a removal of its id.
+	// Valid is false for a removal and for an entry that could not be decoded. A change with such
+	// an entry is treated like a removal.
 	Valid bool
 	Entry Entry
 }
@@ -79,11 +79,11 @@
 	// layoutVersion is its version.
 	layout        Layout
 	layoutVersion int64
-	// pendingLayout is the layout that the numbers of upstreams call for since pendingSince;
-	// nil if that is the current one.
+	// pendingLayout is the layout computed from the numbers of upstreams since pendingSince;
+	// nil if it equals the current layout.
 	pendingLayout Layout
 	pendingSince  time.Time
-	// completeGroups holds the groups of divided services whose upstreams are all known;
+	// completeGroups holds the groups of divided services whose upstreams are all known.
 	// complete is set if the upstreams of all groups are known.
 	completeGroups map[Group]bool
 	complete       bool
@@ -115,11 +115,11 @@
 	}
 }
 
-// Confirm records that the list was current at the time asked, when a request was sent to the
-// store.
-func (r *Roster) Confirm(asked time.Time) {
-	if asked.After(r.confirmedAt) {
-		r.confirmedAt = asked
+// Confirm records that the list was current at queriedAt, the time at which a query was sent to
+// which the store has replied.
+func (r *Roster) Confirm(queriedAt time.Time) {
+	if queriedAt.After(r.confirmedAt) {
+		r.confirmedAt = queriedAt
 	}
 }
 
@@ -133,12 +133,12 @@
 	return joined
 }
 
-// Received reports whether any version of the list was received. Without a list, an instance that
-// has its configuration would refuse every request.
+// Received reports whether any version of the list was received. An instance is not ready before:
+// with a configuration but without a list, it would refuse every request.
 func (r *Roster) Received() bool { return r.newest > 0 }
 
-// Newest returns the newest version of the list received.
-func (r *Roster) Newest() int64 { return r.newest }
+// NewestVersion returns the number of the newest version of the list received.
+func (r *Roster) NewestVersion() int64 { return r.newest }
 
 // Update applies changes up to the version upTo and returns the upstreams that began to leave
 // or were removed. Changes that are not newer than the known version of their id are ignored:
--- a/internal/core/roster/roster_test.go
+++ b/internal/core/roster/roster_test.go
@@ -28,8 +28,8 @@
 	return out
 }
 
-// A list response comes from a lagging copy or arrives late: an upstream that had announced its
-// shutdown looks ready again and would receive work that is then cut. The version of an entry
+// A list response comes from a stale replica or arrives late: an upstream that had announced its
+// shutdown looks ready again and would receive work that is then broken off. The version of an entry
 // only increases, so stale updates are ignored.
 func TestStaleUpdatesAreIgnored(t *testing.T) {
 	r := New()
@@ -40,16 +40,16 @@
 		t.Fatalf("left = %v after upstream a announced its shutdown, want a", names(left))
 	}
 	r.Update(start, []Change{listed("a", 7)}, 7)
-	if r.Find("a").TakesWork() || r.Newest() != 9 {
-		t.Errorf("after a stale entry: upstream a accepts work although it is leaving, or the newest version = %d, want 9", r.Newest())
+	if r.Find("a").TakesWork() || r.NewestVersion() != 9 {
+		t.Errorf("after a stale entry: upstream a accepts work although it is leaving, or the newest version = %d, want 9", r.NewestVersion())
 	}
 	r.Update(start, []Change{{ID: "a", Version: 12, Removed: true}}, 12)
 	r.Update(start, []Change{listed("a", 10)}, 10)
 	if r.Find("a") != nil {
-		t.Error("a stale entry restored a removed upstream")
+		t.Error("a stale entry restored a removed upstream, want it ignored")
 	}
 	if _, ok := r.Replace(start, []Change{listed("a", 8)}, 8); ok {
-		t.Error("Replace accepted a copy of the list older than the known one")
+		t.Error("Replace accepted a copy of the list older than the known one, want it rejected")
 	}
 }
 
@@ -68,7 +68,7 @@
 	}
 	r.Update(at(11*time.Second), []Change{listed("a", 5)}, 5)
 	if left := r.Tick(at(11900 * time.Millisecond)); left != nil {
-		t.Fatalf("upstreams %v dropped before expiryGrace had passed", names(left))
+		t.Fatalf("upstreams %v dropped before expiryGrace had passed, want none", names(left))
 	}
 	if left := r.Tick(at(12100 * time.Millisecond)); len(left) != 1 || left[0].ID != "b" {
 		t.Fatalf("left = %v after expiryGrace, want b, whose entry was not renewed", names(left))
@@ -121,13 +121,13 @@
 	r := New()
 	r.Update(start, []Change{listed("a", 1)}, 1)
 	r.Update(start, []Change{listed("a", 2)}, 2)
-	if len(r.Since(start, 0, nil)) != 1 || len(r.Since(start, 1, nil)) != 0 || r.Newest() != 2 {
-		t.Errorf("changed since 0: %v, want the group; since 1: %v, want none; newest version = %d, want 2", r.Since(start, 0, nil), r.Since(start, 1, nil), r.Newest())
+	if len(r.Since(start, 0, nil)) != 1 || len(r.Since(start, 1, nil)) != 0 || r.NewestVersion() != 2 {
+		t.Errorf("changed since 0: %v, want the group; since 1: %v, want none; newest version = %d, want 2", r.Since(start, 0, nil), r.Since(start, 1, nil), r.NewestVersion())
 	}
 	copied := New()
-	copied.Adopt(start, ListUpdate{Version: r.Newest(), Groups: r.Since(start, 0, nil)})
-	if copied.Find("a") == nil || copied.Newest() != 2 {
-		t.Error("the list is not complete after Adopt of the changes since version 0")
+	copied.Adopt(start, ListUpdate{Version: r.NewestVersion(), Groups: r.Since(start, 0, nil)})
+	if copied.Find("a") == nil || copied.NewestVersion() != 2 {
+		t.Error("after Adopt of the changes since version 0: upstream a is missing or the newest version is not 2, want both")
 	}
 }
 
--- a/internal/core/roster/sync.go
+++ b/internal/core/roster/sync.go
@@ -164,17 +164,17 @@
 	Layout        Layout
 	LayoutVersion int64
 	Groups        []GroupCopy
-	// Complete is set if the requester asked for every group.
+	// Complete is set if the request was for every group.
 	Complete bool
 }
 
 // ListRequest is a request for the changes of the list since given versions.
 type ListRequest struct {
-	// Version is the version of the requester's list, LayoutVersion that of its layout.
+	// Version is the version of the requester's list. LayoutVersion is the version of its layout.
 	Version       int64
 	LayoutVersion int64
-	// Groups are the groups that the requester uses, Missing those of them that it has no copy of.
-	// All requests every group.
+	// Groups are the groups that the requester uses. Missing are those of them of which it has no
+	// copy. All requests every group.
 	Groups  []Group
 	Missing []Group
 	All     bool
--- a/internal/core/simulation_test.go
+++ b/internal/core/simulation_test.go
@@ -62,8 +62,8 @@
 	slowDebits bool
 	// commits and reads count the calls to the table.
 	commits int
-	// exitCount counts instances that exited after a drain; cutOff lists the requests that they
-	// left unfinished.
+	// exitCount counts the instances that exited after a drain. cutOff lists the requests that
+	// these instances left unfinished.
 	exitCount int
 	cutOff    []string
 	// resets counts connections that were reset because the peer did not reply.
@@ -94,7 +94,8 @@
 	inbox  []core.Event
 }
 
-// heldCall is a commit of a booking or debit, or a dispatch.
+// heldCall is a call that the simulation has received and not yet answered; resolveCall answers
+// it. commit is set for the commit of a booking or debit, dispatch for a call to an upstream.
 type heldCall struct {
 	owner    *simInstance
 	commit   core.Commit
--- a/internal/core/strikes.go
+++ b/internal/core/strikes.go
@@ -10,8 +10,9 @@
 const (
 	// strikeTTL is how long a crash counts against a fingerprint.
 	strikeTTL = 10 * time.Minute
-	// strikeSyncInterval is the interval at which an instance asks one other instance, in turn,
-	// for its strikes. initialStrikeSyncs is the number of instances that it asks at its start.
+	// strikeSyncInterval is the interval at which an instance requests the strikes of one other
+	// instance, in turn. initialStrikeSyncs is the number of instances that it queries at its
+	// start.
 	strikeSyncInterval = 5 * time.Second
 	initialStrikeSyncs = 3
 	// maxStrikes is the maximum number of strikes in a reply.
@@ -20,7 +21,7 @@
 
 // strikeSync is the state of fetching strikes that this instance has missed from others. Without
 // the missed strikes, each new home of a pool would allow a request two more crashes. nextIndex
-// selects the next instance to ask.
+// selects the next instance to query.
 type strikeSync struct {
 	lastSync  time.Time
 	nextIndex int
@@ -61,7 +62,7 @@
 }
 
 // otherInstances lists the other live instances in the order of their names, rotated to start after
-// this one, so that not all instances ask the same one.
+// this one, so that not all instances query the same one.
 func (i *Instance) otherInstances() []string {
 	var before, after []string
 	for _, name := range i.view.LiveInstances() {
--- a/internal/core/sweep.go
+++ b/internal/core/sweep.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// sweepPage is the number of rows per read, sweepReadInterval the interval between the reads
-	// of one sweep, and sweepInterval the time from the end of a sweep to the next one. Sweeping
-	// therefore takes at most 2 reads of the table per second.
+	// sweepPage is the number of rows per read. sweepReadInterval is the interval between the
+	// reads of one sweep. sweepInterval is the time from the end of a sweep to the start of the
+	// next one. Sweeping therefore takes at most 2 reads of the table per second.
 	sweepPage         = 200
 	sweepReadInterval = 500 * time.Millisecond
 	sweepInterval     = 10 * time.Minute
--- a/internal/core/tableops.go
+++ b/internal/core/tableops.go
@@ -7,8 +7,8 @@
 	"mulberrylug.example/mulberrylug/internal/core/table"
 )
 
-// Prefixes of operation ids. The rest of an id identifies the request, write, move, query or upstream
-// that the operation belongs to.
+// Prefixes of operation ids. The rest of an id identifies the request, write, transfer, query or
+// upstream that the operation belongs to.
 const (
 	opClaim     = "claim:"
 	opFence     = "fence:"
--- a/internal/core/target_test.go
+++ b/internal/core/target_test.go
@@ -130,7 +130,7 @@
 	h.handle(core.InstanceList{Members: s.members()})
 	h.tick(time.Second)
 	if h.inst.ConfigNumber() != 1 || h.inst.Instances() != s.instances {
-		tb.Fatalf("after the start, configuration version = %d, known instances = %d; want 1 and all", h.inst.ConfigNumber(), h.inst.Instances())
+		tb.Fatalf("after the start, configuration version = %d, known instances = %d, want 1 and all instances of the list", h.inst.ConfigNumber(), h.inst.Instances())
 	}
 	return h
 }
--- a/internal/core/verdict.go
+++ b/internal/core/verdict.go
@@ -24,8 +24,8 @@
 // verdict collects the failed attempts of an upstream until the home knows whether the upstream has
 // crashed.
 type verdict struct {
-	// openedAt is the time of the first failure, lastFailedAt that of the last one. Only a poll that
-	// was sent after lastFailedAt can show that the upstream has not crashed.
+	// openedAt is the time of the first failure. lastFailedAt is the time of the last failure. Only
+	// a poll that was sent after lastFailedAt can show that the upstream has not crashed.
 	openedAt     time.Time
 	lastFailedAt time.Time
 	// heldRequests are the grant requests of retries that wait for the verdict. heldEnds are the
