--- a/internal/core/booking/booking.go
+++ b/internal/core/booking/booking.go
@@ -14,8 +14,8 @@
 // Prefix is the table key prefix of all bookings.
 const Prefix = "booking/"
 
-// OutcomeTTL is how long the outcome of a key is stored after its claim. A repeat after that runs
-// as a new call.
+// OutcomeTTL is how long the outcome of a key is stored after its claim. A repeated call after
+// that runs as a new one.
 const OutcomeTTL = 24 * time.Hour
 
 // Row states.
@@ -153,8 +153,8 @@
 // the claim can no longer commit.
 func UndoClaim(now time.Time, row table.Row, base int64, attempt, bodyHash string) (tx table.Tx, ok bool) {
 	rec, err := Decode(row.Value)
-	landed := err == nil && rec.State == Claimed && rec.Attempt == attempt
-	if row.Version != base && !landed {
+	claimApplied := err == nil && rec.State == Claimed && rec.Attempt == attempt
+	if row.Version != base && !claimApplied {
 		return table.Tx{}, false
 	}
 	rec = NewClaim(now, attempt, bodyHash, 0)
--- a/internal/core/budget/budget.go
+++ b/internal/core/budget/budget.go
@@ -38,7 +38,7 @@
 type Request struct {
 	RequestID string
 	Org       string
-	// Entry is the requesting instance, Boot identifies its current run.
+	// Entry is the requesting instance. Boot identifies its current process run.
 	Entry string
 	Boot  string
 	// Version is the configuration version that Limits is taken from.
@@ -75,14 +75,14 @@
 type Home struct {
 	name     string
 	accounts map[string]*account
-	// boots maps each entry to its current run.
+	// boots maps each entry to the Boot value of its current process run.
 	boots     map[string]string
 	transfers int
 	storeDown bool
 }
 
-// NewHome returns a home without accounts. name must be unique to this run of the instance,
-// because the ids of transfers are derived from it.
+// NewHome returns a home without accounts. name must be unique to this process run of the
+// instance, because the ids of transfers are derived from it.
 func NewHome(name string) *Home {
 	return &Home{name: name, accounts: map[string]*account{}, boots: map[string]string{}}
 }
@@ -196,9 +196,9 @@
 	return h.serveWaiting(now, a)
 }
 
-// Tick ends the reservations of dead entries at their maximum, returns amounts that this home no
-// longer needs and drops idle accounts. alive reports whether an entry is still listed, isHome
-// whether this instance is the home of an organisation.
+// Tick ends the reservations of dead entries and charges them in full, returns amounts that this
+// home no longer needs and drops idle accounts. alive reports whether an entry is still listed.
+// isHome reports whether this instance is the home of an organisation.
 func (h *Home) Tick(now time.Time, alive, isHome func(name string) bool) []Action {
 	var actions []Action
 	for entry := range h.boots {
--- a/internal/core/budget/budget_test.go
+++ b/internal/core/budget/budget_test.go
@@ -97,7 +97,7 @@
 	second := l.reserve(1, 300, "b")
 	l.processAll()
 	if l.responses[first].Granted || !l.responses[second].Granted {
-		t.Errorf("responses = %+v and %+v, want 450 refused and 300 granted", l.responses[first], l.responses[second])
+		t.Errorf("responses to the requests of 450 and of 300 = %+v and %+v, want the first refused and the second granted", l.responses[first], l.responses[second])
 	}
 	l.configVersion, l.limits.Spend = 0, 1000
 	old := l.reserve(0, 300, "b") // from an entry that still has the old configuration
@@ -131,7 +131,7 @@
 }
 
 // An entry crashes with a reservation. The reservation must stop counting as a concurrent request
-// once the entry's next run sends a request, or once the entry is no longer listed. Its maximum
+// once the entry's next process sends a request, or once the entry is no longer listed. Its maximum
 // cost stays debited, even if a settlement arrives late.
 func TestBudgetDeadEntryLeaksNothing(t *testing.T) {
 	for _, c := range []struct {
@@ -165,11 +165,11 @@
 // which a retry may succeed.
 func TestBudgetRefusalsSetRetryAfter(t *testing.T) {
 	for _, c := range []struct {
-		name     string
-		limits   config.Limits
-		amount   config.Money
-		reason   string
-		maxRetry time.Duration
+		name          string
+		limits        config.Limits
+		amount        config.Money
+		reason        string
+		maxRetryAfter time.Duration
 	}{
 		{"spend, a running request may return a part of the limit", config.Limits{Spend: 150}, 100, budget.ReasonSpend, 5 * time.Second},
 		{"spend, no running request can return a part of the limit", config.Limits{Spend: 50}, 100, budget.ReasonSpend, time.Hour},
@@ -190,8 +190,8 @@
 			l.processAll()
 			id := l.reserve(0, c.amount, "b")
 			l.processAll()
-			if a := l.responses[id]; a.Granted || a.Reason != c.reason || a.RetryAfter <= 0 || a.RetryAfter > c.maxRetry {
-				t.Errorf("response = %+v, want a refusal with reason %s and a RetryAfter of at most %s", a, c.reason, c.maxRetry)
+			if a := l.responses[id]; a.Granted || a.Reason != c.reason || a.RetryAfter <= 0 || a.RetryAfter > c.maxRetryAfter {
+				t.Errorf("response = %+v, want a refusal with reason %s and a RetryAfter of at most %s", a, c.reason, c.maxRetryAfter)
 			}
 		})
 	}
--- a/internal/core/budget/reservations.go
+++ b/internal/core/budget/reservations.go
@@ -12,7 +12,7 @@
 	request string
 	amount  config.Money
 	epoch   int
-	// entry and boot identify the run of the instance that holds the reservation.
+	// entry and boot identify the instance that holds the reservation and its process run.
 	entry   string
 	boot    string
 	expires time.Time
--- a/internal/core/budget/transfers.go
+++ b/internal/core/budget/transfers.go
@@ -15,8 +15,8 @@
 	// maxTransferTries is the number of consecutive tries of a transfer without a response after
 	// which the waiting requests are refused.
 	maxTransferTries = 2
-	// maxRowAge is the maximum age of a cached row that a refusal may be based on: meanwhile
-	// another home may have returned a chunk.
+	// maxRowAge is the maximum age of a cached row that a refusal may be based on: since
+	// the row was read, another home may have returned a chunk.
 	maxRowAge = time.Second
 )
 
--- a/internal/core/config/parse.go
+++ b/internal/core/config/parse.go
@@ -35,7 +35,7 @@
 // ParseMoney parses a decimal amount, such as "12.50".
 func ParseMoney(s string) (Money, error) {
 	if !amountPattern.MatchString(s) {
-		return 0, fmt.Errorf("%q is not an amount such as 12.50", s)
+		return 0, fmt.Errorf("parse amount: %q is not a decimal number such as 12.50", s)
 	}
 	units, frac, _ := strings.Cut(s, ".")
 	v, err := strconv.ParseInt(units+frac+strings.Repeat("0", moneyDecimals-len(frac)), 10, 64)
--- a/internal/core/config/parse_test.go
+++ b/internal/core/config/parse_test.go
@@ -86,7 +86,7 @@
 			[]string{`f2.yaml:2: deployment: is already set at f1.yaml:1; one deployment in all files`},
 		},
 		{
-			"a name that another file already uses, with elements numbered over all files",
+			"a name that another file already uses; list indexes count the elements of all files",
 			[]string{validFile(), "upstreams:\n  - {name: e1, service: assistant, data_centre: b}\n"},
 			[]string{`f2.yaml:2: upstreams[2].name: "e1" is already used at f1.yaml:16; a unique name`},
 		},
--- a/internal/core/config/types.go
+++ b/internal/core/config/types.go
@@ -10,8 +10,8 @@
 const (
 	// KindEngine marks a service of model engines that stream tokens.
 	KindEngine = "engine"
-	// KindPlain marks a service of ordinary upstreams that answer each request with one
-	// response.
+	// KindPlain marks a service of ordinary upstreams, which send one complete response to each
+	// request.
 	KindPlain = "plain"
 )
 
@@ -71,7 +71,7 @@
 	RequestsPerSecond float64 `yaml:"requests_per_second" json:"requests_per_second" validate:"gt=0"`
 	// TokensPerSecond is the maximum rate of output tokens. Default 20000.
 	TokensPerSecond float64 `yaml:"tokens_per_second" json:"tokens_per_second" validate:"gt=0"`
-	// MaxOutputTokens is the maximum number of tokens in one answer. Default 4096.
+	// MaxOutputTokens is the maximum number of tokens in one generation. Default 4096.
 	MaxOutputTokens int `yaml:"max_output_tokens" json:"max_output_tokens" validate:"gt=0,lte=1000000"`
 	// Concurrent is the maximum number of requests in progress. Default 64.
 	Concurrent int `yaml:"concurrent" json:"concurrent" validate:"gt=0"`
--- a/internal/core/fleet/directory.go
+++ b/internal/core/fleet/directory.go
@@ -19,9 +19,9 @@
 	minNearShare = 0.25
 	// In a weighted response nearWeighted near instances are listed nearWeight times each and
 	// farWeighted instances of other data centres once. Callers choose an address at random and
-	// skip those that failed. A caller that loses its data centre also loses the instances that
-	// it could ask for other addresses, so the list is short: the caller reaches a far instance
-	// within a few attempts.
+	// skip those that failed. If the caller's data centre fails, so do the instances that the
+	// caller could query for other addresses. The list is therefore short: the caller reaches a
+	// far instance within a few attempts.
 	nearWeighted = 3
 	nearWeight   = 6
 	farWeighted  = 2
@@ -53,7 +53,7 @@
 //
 // For an identified caller the response is weighted, as described at nearWeighted.
 func (f *Fleet) Addresses(near Place, limit int) []string {
-	ready := slices.DeleteFunc(f.ready(), func(b msg.Heartbeat) bool { return !f.mayConnect(near, b.DataCentre) })
+	ready := slices.DeleteFunc(f.allServing(), func(b msg.Heartbeat) bool { return !f.mayConnect(near, b.DataCentre) })
 	for _, group := range []struct {
 		of   func(dataCentre string) string
 		near string
@@ -115,13 +115,13 @@
 	return out
 }
 
-// ready lists the instances that accept callers, including this one.
-func (f *Fleet) ready() []msg.Heartbeat {
+// allServing lists the instances that accept callers, including this one.
+func (f *Fleet) allServing() []msg.Heartbeat {
 	var out []msg.Heartbeat
 	if f.self.Ready && !f.self.Leaving {
 		out = append(out, f.self)
 	}
-	for _, m := range f.serving() {
+	for _, m := range f.othersServing() {
 		out = append(out, m.Heartbeat)
 	}
 	return out
--- a/internal/core/fleet/directory_test.go
+++ b/internal/core/fleet/directory_test.go
@@ -111,10 +111,10 @@
 	}
 }
 
-// A data centre loses power, and with it the instances that its callers could ask for
-// addresses. With its last response a caller must reach a live instance within a few
-// attempts. In normal operation nearly all of its requests must stay in its data centre, at
-// the same instances each time.
+// A data centre loses power. The instances that its callers could query for other addresses fail
+// as well. With the addresses of its last response a caller must reach a live instance within a
+// few attempts. In normal operation nearly all requests of a caller must stay in its data centre,
+// at the same instances each time.
 func TestACallerCanLeaveAFailedDataCentre(t *testing.T) {
 	f := fleetByDC(map[string]int{"a": 40, "b": 30})
 	used := map[string]int{}
@@ -142,7 +142,7 @@
 	}
 	for a, n := range used {
 		if limit := 4 * nearWeight * nearWeighted * 200 / 40; n > limit {
-			t.Errorf("%s is listed %d times, want at most four times an even share", a, n)
+			t.Errorf("%s is listed %d times, want at most 360, which is four times an even share among 40 instances", a, n)
 		}
 	}
 	if len(used) < 38 {
--- a/internal/core/fleet/fleet.go
+++ b/internal/core/fleet/fleet.go
@@ -221,9 +221,9 @@
 // Suspect excludes an instance from being a home for a few seconds.
 func (f *Fleet) Suspect(now time.Time, name string) { f.view.Suspect(now, name) }
 
-// serving lists the other live instances that accept callers: those that are ready and not
+// othersServing lists the other live instances that accept callers: those that are ready and not
 // leaving.
-func (f *Fleet) serving() []*Member {
+func (f *Fleet) othersServing() []*Member {
 	var out []*Member
 	for _, name := range f.live {
 		if m := f.members[name]; m.Ready && !m.Leaving {
@@ -234,4 +234,4 @@
 }
 
 // Alone reports whether no other live instance accepts callers.
-func (f *Fleet) Alone() bool { return len(f.serving()) == 0 }
+func (f *Fleet) Alone() bool { return len(f.othersServing()) == 0 }
--- a/internal/core/fleet/fleet_test.go
+++ b/internal/core/fleet/fleet_test.go
@@ -53,11 +53,11 @@
 		t.Errorf("lost %v, size %d; want i01 and i02 lost, size 3", lost, f.Size())
 	}
 	if f.OnHeartbeat(start.Add(2*f.deadAfter("dc")), heartbeat(1)) != Regained {
-		t.Error("heartbeat after silence is not reported as Regained")
+		t.Error("OnHeartbeat does not return Regained for a heartbeat after silence, want Regained")
 	}
 	f.Tick(start.Add(ForgetAfter + 3*f.deadAfter("dc")))
 	if f.Find("i02") != nil {
-		t.Error("instance that stayed silent is still known")
+		t.Error("instance that stayed silent is still known, want it dropped after ForgetAfter")
 	}
 }
 
@@ -83,7 +83,7 @@
 	restarted := heartbeat(1)
 	restarted.Boot = "c"
 	if f.OnHeartbeat(start, heartbeat(1)) != Known || f.OnHeartbeat(start, restarted) != Regained {
-		t.Error("OnHeartbeat does not return Known for the same run or Regained for another run, want both")
+		t.Error("OnHeartbeat does not return Known for the same Boot value or does not return Regained for another one, want Known and Regained")
 	}
 }
 
@@ -104,7 +104,7 @@
 	}
 	after := f.Readers(start)
 	if len(after) != readerCount || slices.Contains(after, before[0]) || slices.Contains(after, before[1]) {
-		t.Errorf("readers before: %v, after: %v; want two others after", before, after)
+		t.Errorf("readers before the outage: %v, after it: %v; want two readers after it, neither of which was a reader before", before, after)
 	}
 }
 
@@ -159,7 +159,7 @@
 	f := fleetOf(0, 3)
 	tried := start.Add(50 * time.Millisecond)
 	if !f.OnConnectionRefused(tried, tried, "i01") || slices.Contains(f.Live(), "i01") || len(f.Addresses(Place{}, 64)) != 2 {
-		t.Errorf("live instances %v, addresses %v; want both without i01", f.Live(), f.Addresses(Place{}, 64))
+		t.Errorf("live instances %v, addresses %v; want both lists without i01 and two addresses", f.Live(), f.Addresses(Place{}, 64))
 	}
 	if f.OnConnectionRefused(tried, tried, "i01") || f.OnConnectionRefused(tried, tried, "i99") {
 		t.Error("OnConnectionRefused reports a change for an instance that is dead already or unknown, want none")
@@ -167,7 +167,7 @@
 	restarted := heartbeat(1)
 	restarted.Boot = "c"
 	if f.OnHeartbeat(tried.Add(time.Millisecond), restarted) != Regained || f.OnConnectionRefused(tried.Add(2*time.Millisecond), tried, "i01") {
-		t.Error("the next process does not count as alive after its heartbeat")
+		t.Error("heartbeat of the next process is not reported as Regained, or the process counts as dead after it, want Regained and alive")
 	}
 }
 
@@ -189,6 +189,6 @@
 		t.Error("silent instance of this data centre counts as alive or that of another one as dead, want dead and alive")
 	}
 	if small := fleetInThreeDCs(0, 13); small.HeartbeatInterval("dc0") != minInterval || small.HeartbeatInterval("dc1") != minInterval {
-		t.Error("heartbeat interval in a small fleet is not minInterval to all data centres, want minInterval")
+		t.Error("heartbeat interval in a small fleet differs from minInterval to some data centre, want minInterval (400ms) to all")
 	}
 }
--- a/internal/core/fleet/join.go
+++ b/internal/core/fleet/join.go
@@ -23,9 +23,9 @@
 	// first responses are incomplete.
 	growthTimeout = 700 * time.Millisecond
 	growthDivisor = 8
-	// introducedFar is the number of instances of each other data centre in the response to a
+	// farInstancesInResponse is the number of instances of each other data centre in the response to a
 	// joining instance of a large fleet.
-	introducedFar = 4
+	farInstancesInResponse = 4
 	// sizeHintTTL is how long a fleet size reported by another instance is used.
 	sizeHintTTL = 5 * time.Second
 	// eligibleAge is the uptime after which an instance may act on behalf of the fleet.
@@ -62,10 +62,10 @@
 	// hasSeeds is set if the settings name seeds.
 	hasSeeds bool
 	started  time.Time
-	// asked is when the seeds were last asked; zero if they were not.
-	asked time.Time
-	// responses is the number of responses of seeds that are not isolated, known the number of known
-	// instances after the last such response.
+	// requestedAt is when the seeds were last queried; zero if they were not.
+	requestedAt time.Time
+	// responses is the number of responses of seeds that are not isolated. known is the number of
+	// known instances after the last such response.
 	responses int
 	known     int
 	// complete is set once the member list is complete.
@@ -83,8 +83,8 @@
 		return JoinDone
 	case !j.hasSeeds, age >= seedTimeout:
 		return JoinByStore
-	case j.asked.IsZero() || now.Sub(j.asked) >= seedRetryInterval:
-		j.asked = now
+	case j.requestedAt.IsZero() || now.Sub(j.requestedAt) >= seedRetryInterval:
+		j.requestedAt = now
 		return JoinAskSeeds
 	}
 	return JoinWait
@@ -93,7 +93,7 @@
 // OnResponse processes a seed's response; known is the resulting number of known instances. The
 // response of an isolated seed, which has lost contact with most instances, is ignored: the
 // seed may be on the minority side of a partition. Seeds that have just started themselves
-// are asked again until their responses hardly increase the number of known instances.
+// are queried again until their responses hardly increase the number of known instances.
 func (j *Join) OnResponse(a msg.JoinResponse, known int) {
 	if a.Isolated {
 		return
@@ -147,7 +147,7 @@
 	}
 	for _, list := range ofEach {
 		slices.SortStableFunc(list, func(a, b msg.Heartbeat) int { return cmp.Compare(b.Class, a.Class) })
-		for _, b := range list[:min(len(list), introducedFar)] {
+		for _, b := range list[:min(len(list), farInstancesInResponse)] {
 			out = append(out, b.Name)
 		}
 	}
--- a/internal/core/fleet/join_test.go
+++ b/internal/core/fleet/join_test.go
@@ -7,8 +7,8 @@
 	"mulberrylug.example/mulberrylug/internal/core/msg"
 )
 
-// seedReply is the response of a seed, and the number of known instances after it.
-type seedReply struct {
+// seedResponse is the response of a seed, and the number of known instances after it.
+type seedResponse struct {
 	msg.JoinResponse
 	known int
 }
@@ -17,7 +17,7 @@
 // response of the seeds to a request at a time after the start, or nil if they do not
 // respond. simulateJoin returns the step with which joining ended, the time that it took, and
 // the number of requests to the seeds.
-func simulateJoin(seeds bool, respond func(d time.Duration) *seedReply) (by JoinStep, at time.Duration, requests int) {
+func simulateJoin(seeds bool, respond func(d time.Duration) *seedResponse) (by JoinStep, at time.Duration, requests int) {
 	j := NewJoin(start, seeds)
 	for at = 0; at < 10*time.Second; at += 10 * time.Millisecond {
 		switch by = j.Next(start.Add(at)); by {
@@ -35,23 +35,23 @@
 }
 
 func TestJoining(t *testing.T) {
-	always := func(a msg.JoinResponse, known int) func(time.Duration) *seedReply {
-		return func(time.Duration) *seedReply { return &seedReply{a, known} }
+	always := func(a msg.JoinResponse, known int) func(time.Duration) *seedResponse {
+		return func(time.Duration) *seedResponse { return &seedResponse{a, known} }
 	}
 	// starting simulates a fleet of 200 whose instances all start within 0.3 s. The seeds respond
 	// from the given time on.
-	starting := func(seedsFrom time.Duration) func(time.Duration) *seedReply {
-		return func(d time.Duration) *seedReply {
+	starting := func(seedsFrom time.Duration) func(time.Duration) *seedResponse {
+		return func(d time.Duration) *seedResponse {
 			if d < seedsFrom {
 				return nil
 			}
-			return &seedReply{known: int(200 * min(d.Seconds()/0.3, 1))}
+			return &seedResponse{known: int(200 * min(d.Seconds()/0.3, 1))}
 		}
 	}
 	for _, c := range []struct {
 		name     string
 		seeds    bool
-		answer   func(time.Duration) *seedReply
+		respond  func(time.Duration) *seedResponse
 		by       JoinStep
 		from     time.Duration
 		to       time.Duration
@@ -60,14 +60,14 @@
 		{"replaced instance, seeds know the fleet: done at the first response", true, always(msg.JoinResponse{Eligible: true}, 200), JoinDone, 0, 20 * time.Millisecond, 1},
 		{"all start at once: done when all are known", true, starting(0), JoinDone, 300 * time.Millisecond, 500 * time.Millisecond, 4},
 		{"seeds start last: done after another request", true, starting(280 * time.Millisecond), JoinDone, 380 * time.Millisecond, 500 * time.Millisecond, 5},
-		{"known instances keep growing: done after the timeout", true, func(d time.Duration) *seedReply { return &seedReply{known: int(100 * d.Seconds())} }, JoinDone, growthTimeout, growthTimeout, 7},
+		{"known instances keep growing: done after the timeout", true, func(d time.Duration) *seedResponse { return &seedResponse{known: int(100 * d.Seconds())} }, JoinDone, growthTimeout, growthTimeout, 7},
 		{"seeds are isolated from the others: the store", true, always(msg.JoinResponse{Isolated: true, Eligible: true}, 3), JoinByStore, seedTimeout, seedTimeout, 5},
-		{"seeds do not respond: the store", true, func(time.Duration) *seedReply { return nil }, JoinByStore, seedTimeout, seedTimeout, 5},
+		{"seeds do not respond: the store", true, func(time.Duration) *seedResponse { return nil }, JoinByStore, seedTimeout, seedTimeout, 5},
 		{"no seeds: the store", false, nil, JoinByStore, 0, 0, 0},
 	} {
-		by, at, requests := simulateJoin(c.seeds, c.answer)
+		by, at, requests := simulateJoin(c.seeds, c.respond)
 		if by != c.by || at < c.from || at > c.to || requests < c.requests {
-			t.Errorf("%s: joined with step %d after %v and %d requests, want the step, the time and the minimum number of requests of this case", c.name, by, at, requests)
+			t.Errorf("%s: joining ended with JoinStep %d after %v and %d requests, want the step by, a time between from and to and at least the requests of this case", c.name, by, at, requests)
 		}
 	}
 }
@@ -91,7 +91,7 @@
 		listed[b.Name] = true
 	}
 	if len(listed) != 6 || !listed["i00"] || !listed["i04"] || listed["i05"] || !a.Eligible || a.Isolated {
-		t.Errorf("eligible %v, isolated %v, instances %v; want eligible and the six live instances", a.Eligible, a.Isolated, listed)
+		t.Errorf("eligible %v, isolated %v, instances %v; want eligible, not isolated and the six live instances", a.Eligible, a.Isolated, listed)
 	}
 	if same := f.JoinResponse(msg.JoinRequest{Digest: f.JoinRequest().Digest}, true); same.Instances != nil {
 		t.Errorf("%d instances sent to a sender that already knows them, want none", len(same.Instances))
@@ -110,6 +110,6 @@
 	f.Tick(now)
 	f.SetSelf(now, true, false, true)
 	if !f.JoinResponse(msg.JoinRequest{}, true).Isolated {
-		t.Error("seed that has lost ten of eleven other instances does not report that it is isolated")
+		t.Error("seed that has lost ten of eleven other instances does not report that it is isolated, want it reported")
 	}
 }
--- a/internal/core/fleet/liveness.go
+++ b/internal/core/fleet/liveness.go
@@ -123,9 +123,9 @@
 // refresh recomputes the live instances and updates the membership view if they changed.
 func (f *Fleet) refresh(now time.Time) {
 	live := make([]string, 0, len(f.live)+1)
-	announced := f.lastAnnounced()
+	announcedAt := f.lastAnnounced()
 	for name, m := range f.members {
-		if f.aliveAt(now, m, announced) {
+		if f.aliveAt(now, m, announcedAt) {
 			live = append(live, name)
 		}
 	}
@@ -151,9 +151,9 @@
 
 // aliveAt reports whether an instance counts as alive, given the time of the last announcement of
 // each other data centre.
-func (f *Fleet) aliveAt(now time.Time, m *Member, announced map[string]time.Time) bool {
+func (f *Fleet) aliveAt(now time.Time, m *Member, announcedAt map[string]time.Time) bool {
 	if m.LastSeen.IsZero() || now.Sub(m.LastSeen) > f.deadAfter(m.DataCentre) {
 		return false
 	}
-	return m.DataCentre == f.self.DataCentre || announced[m.DataCentre].Sub(m.LastSeen) < presenceStale
+	return m.DataCentre == f.self.DataCentre || announcedAt[m.DataCentre].Sub(m.LastSeen) < presenceStale
 }
--- a/internal/core/fleet/presence.go
+++ b/internal/core/fleet/presence.go
@@ -27,7 +27,8 @@
 	presenceFullInterval = 15 * time.Second
 	// presenceStale limits the age of an announcement relative to the latest one of the same data
 	// centre: an instance that is listed only in older announcements counts as dead. This detects
-	// a dead relay, which its successor does not list.
+	// a dead relay: its own last announcement lists it, but those of the relay that replaces it
+	// do not.
 	presenceStale = 2 * presenceInterval
 	// presenceTimeout is how long an instance of another data centre counts as alive after it was
 	// last announced. Announcements take two hops, and a failed relay is replaced within two
--- a/internal/core/fleet/sources_test.go
+++ b/internal/core/fleet/sources_test.go
@@ -39,13 +39,13 @@
 		f := fleetInThreeDCs(k, n)
 		s := f.Sources(start, false)
 		if len(s.Designated) == 0 {
-			t.Fatalf("instance %d has no source", k)
+			t.Fatalf("instance %d has no source, want at least one", k)
 		}
 		first := f.heartbeatOf(s.Designated[0])
 		switch {
 		case s.Reads:
 			if f.self.Class != 8 {
-				t.Errorf("reader %s runs on a small machine", f.self.Name)
+				t.Errorf("reader %s runs on a small machine, want one of class 8", f.self.Name)
 			}
 		case s.IsSource:
 			if !slices.Contains(f.Readers(start), s.Designated[0]) || f.self.Class != 8 || s.FromRelay {
@@ -65,7 +65,7 @@
 	}
 	for name, count := range queriedBy {
 		if count > 70/sample+3 {
-			t.Errorf("%s is queried by %d of the %d sampled instances, want at most its share", name, count, n/(sample-1))
+			t.Errorf("%s is queried by %d of the %d sampled instances, want at most 8", name, count, n/(sample-1))
 		}
 	}
 	if len(queriedBy) < 5 {
@@ -110,7 +110,7 @@
 		}
 	}
 	if f.Home(start, "pool", "nowhere") == "" {
-		t.Error("pool in a data centre without instances has no home")
+		t.Error("pool in a data centre without instances has no home, want one in another data centre")
 	}
 }
 
@@ -156,7 +156,7 @@
 		f.OnHeartbeat(start.Add(time.Millisecond), leaving)
 	}
 	if next := f.Home(start.Add(time.Millisecond), "pool/s", ""); next == home {
-		t.Errorf("%s is draining and still the home", home)
+		t.Errorf("%s is draining and still the home, want another instance", home)
 	}
 	for k := range 6 {
 		b := heartbeat(k)
@@ -164,7 +164,7 @@
 		f.OnHeartbeat(start.Add(2*time.Millisecond), b)
 	}
 	if f.SetSelf(start, true, true, true); f.Home(start.Add(2*time.Millisecond), "pool/s", "") == "" {
-		t.Error("pool has no home when all instances are draining")
+		t.Error("pool has no home when all instances are draining, want one of them")
 	}
 }
 
@@ -206,10 +206,10 @@
 		if s.Reads {
 			reads++
 		} else if len(s.Designated) == 0 {
-			t.Errorf("%s has no source", f.self.Name)
+			t.Errorf("%s has no source, want at least one", f.self.Name)
 		}
 		if late := f.Sources(start.Add(startGrace), false); !late.Reads {
-			t.Errorf("%s does not read the store although no heartbeat arrived during the grace period", f.self.Name)
+			t.Errorf("%s does not read the store although no heartbeat arrived during startGrace, want it to read the store", f.self.Name)
 		}
 	}
 	if reads > readerCount {
@@ -219,6 +219,6 @@
 	small.SetSelf(start, false, false, true)
 	small.Learn(start, heartbeat(1))
 	if !small.Sources(start, false).Reads {
-		t.Error("instance of a small fleet waits for heartbeats of the others")
+		t.Error("instance of a small fleet does not read the store before it has received heartbeats, want it to read the store")
 	}
 }
--- a/internal/core/forward/admit.go
+++ b/internal/core/forward/admit.go
@@ -15,7 +15,8 @@
 	// or passes shortly.
 	briefRetryAfter = 100 * time.Millisecond
 	// outageRetryAfter is the Retry-After while no instance can accept keys. Callers wait for at
-	// most a third of their timeout, so that bookings can still be retried.
+	// most a third of their timeout even if the Retry-After is longer, so that time remains to
+	// retry a booking.
 	outageRetryAfter = 2 * time.Second
 	// startupRetryAfter is the Retry-After of an instance that has just started. After a restart
 	// of all instances the first configuration arrives within half a second.
--- a/internal/core/forward/choose.go
+++ b/internal/core/forward/choose.go
@@ -109,7 +109,7 @@
 // lowest score is chosen.
 func (g *Gate) score(now time.Time, c *Call, u *roster.Upstream) float64 {
 	l := g.load(u)
-	score := float64(l.calls) + float64(l.tokens)/tokensPerCall
+	score := float64(l.attempts) + float64(l.tokens)/tokensPerCall
 	if now.Sub(l.reportedAt) < reportTTL {
 		score = max(score, float64(l.report.Running)) + float64(l.report.Waiting)
 	}
--- a/internal/core/forward/cold.go
+++ b/internal/core/forward/cold.go
@@ -14,7 +14,7 @@
 // A cold upstream, such as one that has just started, accepts a limited rate of requests, summed
 // over all instances, and crashes well above that rate. Pool homes enforce the rate for the work
 // that they place. Instances that choose an upstream without a grant do not see each other's
-// choices and have to divide the rate among them.
+// choices and have to divide the rate among themselves.
 const (
 	// coldPartPlain is the fraction of a cold upstream's rate that instances may use together
 	// without grants. The rest covers instances with differing views of the fleet.
--- a/internal/core/forward/cordon_test.go
+++ b/internal/core/forward/cordon_test.go
@@ -42,8 +42,8 @@
 }
 
 // An instance may receive the configuration from another instance before it receives the
-// cordons. It must not accept requests until then: operators may have cordoned a data centre
-// a minute ago.
+// cordons. It must not accept requests before it has the cordons: operators may have cordoned a
+// data centre a minute ago.
 func TestNothingIsSentBeforeTheCordonsAreKnown(t *testing.T) {
 	g := New(options())
 	g.Adopt(route.NewTable(config(3)))
@@ -103,8 +103,8 @@
 	}
 }
 
-// A generation is being moved to a data centre when that is cordoned. It may resume there
-// within a second, because it is already stopped at its source, but not later.
+// A generation is being moved to a data centre when that data centre is cordoned. The generation
+// may resume there within a second, because it is already stopped at its source, but not later.
 func TestAMoveIntoACordonMayResumeOnlyBriefly(t *testing.T) {
 	for _, c := range []struct {
 		after time.Duration
@@ -168,7 +168,7 @@
 				newest = max(newest, v)
 				c, refusal := g.Admit(now, request("/safe/1"))
 				if refusal != nil {
-					return "refused: " + string(refusal.Reason)
+					return "request refused at admission, want it admitted; reason: " + string(refusal.Reason)
 				}
 				s := g.Start(now, c)
 				inForce := cordon.NewSet(1, cordonedIn(newest))
@@ -177,11 +177,11 @@
 				}
 				switch {
 				case len(inForce.DataCentres) == len(names) && (s.Refuse == nil || s.Refuse.Reason != Cordoned):
-					return "all data centres are cordoned, but the call is not refused as cordoned"
+					return "all data centres are cordoned and the call is not refused, want a refusal with reason cordoned"
 				case len(inForce.DataCentres) < len(names) && s.Send == nil:
-					return "refused although some data centres are not cordoned"
+					return "call refused although some data centres are not cordoned, want an attempt"
 				case s.Send != nil && inForce.Has(s.Send.Entry.DataCentre):
-					return "sent to a cordoned data centre"
+					return "call sent to a cordoned data centre, want a data centre that is not cordoned"
 				}
 			}
 			return ""
--- a/internal/core/forward/forward_test.go
+++ b/internal/core/forward/forward_test.go
@@ -16,13 +16,13 @@
 var start = time.Unix(1000, 0)
 
 const (
-	revokeWithin = 5 * time.Second
-	applyWithin  = 3 * time.Second
+	keysGoodFor   = 5 * time.Second
+	configGoodFor = 3 * time.Second
 )
 
 func options() Options {
 	return Options{
-		DataCentre: "dc-a", KeysGoodFor: revokeWithin, ConfigGoodFor: applyWithin, RetryRatio: 0.2, RetrySlack: 100,
+		DataCentre: "dc-a", KeysGoodFor: keysGoodFor, ConfigGoodFor: configGoodFor, RetryRatio: 0.2, RetrySlack: 100,
 		RetryWindow: 10 * time.Second, Seed: 1,
 	}
 }
@@ -50,7 +50,7 @@
 	return gateWith(options(), upstreams)
 }
 
-// gateWith returns the same gate with the given options.
+// gateWith is like gate, with the given options.
 func gateWith(o Options, upstreams int) *Gate {
 	g := New(o)
 	g.Adopt(route.NewTable(config(3)))
@@ -80,13 +80,13 @@
 	t.Helper()
 	c, refusal := g.Admit(start, r)
 	if refusal != nil {
-		t.Fatalf("%s refused: %+v", r.Path, *refusal)
+		t.Fatalf("request for %s refused: %+v, want it admitted", r.Path, *refusal)
 	}
 	return c
 }
 
 func TestAdmission(t *testing.T) {
-	keysStale, configStale := start.Add(revokeWithin), start.Add(applyWithin+time.Millisecond)
+	keysStale, configStale := start.Add(keysGoodFor), start.Add(configGoodFor+time.Millisecond)
 	for _, c := range []struct {
 		name   string
 		gate   *Gate
@@ -119,10 +119,10 @@
 // in between: its clock includes that time.
 func TestKeysAreRefusedOnceUnconfirmed(t *testing.T) {
 	g := gate(t, 1)
-	if _, refusal := g.Admit(start.Add(revokeWithin-time.Millisecond), request("/once/1")); refusal != nil {
-		t.Errorf("request with a recent confirmation refused: %+v", refusal)
+	if _, refusal := g.Admit(start.Add(keysGoodFor-time.Millisecond), request("/once/1")); refusal != nil {
+		t.Errorf("request with a recent confirmation refused: %+v, want it admitted", refusal)
 	}
-	now := start.Add(revokeWithin)
+	now := start.Add(keysGoodFor)
 	if _, refusal := g.Admit(now, request("/once/1")); refusal == nil || refusal.RetryAfter == 0 {
 		t.Errorf("refusal %+v, want one with a Retry-After", refusal)
 	}
@@ -132,11 +132,11 @@
 	}
 	g.Confirm(start.Add(-time.Second)) // a late response to an earlier query
 	if g.KeysGood(now) {
-		t.Error("an older confirmation made keys acceptable")
+		t.Error("keys are accepted after a confirmation older than the last one, want them refused")
 	}
 	g.Confirm(now)
 	if !g.KeysGood(now) {
-		t.Error("keys are not accepted after a new confirmation")
+		t.Error("keys are refused after a new confirmation, want them accepted")
 	}
 }
 
@@ -153,8 +153,8 @@
 		now  time.Time
 		want [2]Reason
 	}{
-		{start.Add(applyWithin), [2]Reason{NoRoute, UnknownKey}},
-		{start.Add(applyWithin + time.Millisecond), [2]Reason{StaleConfig, StaleConfig}},
+		{start.Add(configGoodFor), [2]Reason{NoRoute, UnknownKey}},
+		{start.Add(configGoodFor + time.Millisecond), [2]Reason{StaleConfig, StaleConfig}},
 	} {
 		for k, r := range []Request{noRoute, unknownKey} {
 			_, refusal := g.Admit(c.now, r)
@@ -162,14 +162,14 @@
 				t.Errorf("after %v, request %d: refusal %+v, want reason %s", c.now.Sub(start), k, refusal, c.want[k])
 			}
 			if c.want[k] == StaleConfig && refusal.RetryAfter == 0 {
-				t.Errorf("request %d: refusal without a Retry-After", k)
+				t.Errorf("request %d: temporary refusal without a Retry-After, want one with it", k)
 			}
 		}
 		if _, refusal := g.Admit(c.now, request("/once/1")); refusal != nil {
-			t.Errorf("after %v: request with a known key on a known route refused: %+v", c.now.Sub(start), refusal)
+			t.Errorf("after %v: request with a known key on a known route refused: %+v, want it admitted", c.now.Sub(start), refusal)
 		}
 	}
-	now := start.Add(applyWithin + time.Second)
+	now := start.Add(configGoodFor + time.Second)
 	g.Confirm(now)
 	if _, refusal := g.Admit(now, noRoute); refusal == nil || refusal.Reason != NoRoute {
 		t.Errorf("refusal %+v for a route that the confirmed configuration lacks, want NoRoute", refusal)
@@ -184,13 +184,13 @@
 		t.Errorf("version %d in force, want 3", g.Table().Version)
 	}
 	if !g.Adopt(route.NewTable(config(9))) {
-		t.Error("a newer version was not put in force")
+		t.Error("Adopt returned false for a newer version, want it put in force")
 	}
 }
 
-// A booking is sent and its response is lost. The upstream may have run it, so it must not be
-// sent again, and the caller must not get a status that promises that it did not run: the
-// caller would retry and book twice.
+// A booking is sent and its response is lost. The upstream may have run the booking, so it must
+// not be sent again, and the caller must not get a status that promises that the booking did not
+// run: the caller would retry and book twice.
 func TestABookingWithALostResponseIsNotSentAgain(t *testing.T) {
 	for _, path := range []string{"/once/1", "/twice/1", "/stream/1"} {
 		g := gate(t, 3)
@@ -215,8 +215,8 @@
 }
 
 // The upstream is full and responds that it has not run the booking. The booking is sent to
-// another upstream if the route allows it. Otherwise the caller is refused at once, with a
-// status that promises that it has not run and a Retry-After.
+// another upstream if the route allows another attempt. Otherwise the caller is refused at once,
+// with a Retry-After and a status that promises that the booking has not run.
 func TestARejectedBooking(t *testing.T) {
 	g := gate(t, 3)
 	c := admit(t, g, request("/twice/1"))
@@ -275,7 +275,7 @@
 
 // A generation is moved and continues from its copy. Later its new upstream crashes. The
 // alternative that remains from the move must not be tried: the caller would receive the
-// events of a second run after those of the first.
+// events of a second generation after those of the first.
 func TestAlternativesOfAMoveAreNotTriedAfterACrash(t *testing.T) {
 	g := gate(t, 3)
 	c := admit(t, g, request("/stream/1"))
@@ -293,8 +293,9 @@
 	}
 }
 
-// The copy of a moved generation has been dropped when it is to be resumed, and the source, which
-// still holds its state, cannot be reached. The generation must not be started again.
+// A moved generation is to be resumed from its copy, but the copy has been dropped. The source,
+// which still holds the generation's state, cannot be reached. The generation must not be started
+// again.
 func TestAFailedMoveDoesNotRestartTheGeneration(t *testing.T) {
 	g := gate(t, 3)
 	c := admit(t, g, request("/stream/1"))
@@ -302,9 +303,9 @@
 	c.Progress(start, "1")
 	g.Redirect(c, g.Roster().Find("u2"), "u0:80/copy", &Attempt{Upstream: source.Upstream, CopyAt: "u0:80/copy"})
 	g.Ended(start, c, Cut, true)
-	back := g.Ended(start, c, Rejected, true)
-	if back.Send == nil || back.Send.Upstream != source.Upstream {
-		t.Fatalf("step %+v, want the source as the alternative", back)
+	second := g.Ended(start, c, Rejected, true)
+	if second.Send == nil || second.Send.Upstream != source.Upstream {
+		t.Fatalf("step %+v after the copy was rejected, want an attempt at the source", second)
 	}
 	if s := g.Ended(start, c, NotSent, true); !s.Abort {
 		t.Errorf("step %+v, want the response broken off", s)
@@ -320,11 +321,11 @@
 	for range 3 {
 		g.ReportFailure(start, "u1", 0)
 	}
-	g.ReportFailure(start, "u2", 99) // about another run of u2, not the listed one
+	g.ReportFailure(start, "u2", 99) // about another process run of u2 than the listed one
 	for k := range 12 {
 		c := admit(t, g, request("/once/1"))
 		if s := g.Start(start, c); s.Send.Upstream.ID == "u1" && k < 6 {
-			t.Fatalf("request %d was sent to the failing upstream", k)
+			t.Fatalf("request %d was sent to the failing upstream, want another upstream", k)
 		}
 	}
 	later := start.Add(20 * time.Second)
--- a/internal/core/forward/health.go
+++ b/internal/core/forward/health.go
@@ -11,8 +11,9 @@
 const dialBackoff = 1500 * time.Millisecond
 
 // ReportFailure records another instance's report of a failed call at an upstream. born identifies
-// the upstream's run, in Unix milliseconds; reports about other runs are ignored. An instance with
-// a bad network reports all upstreams alike, which does not affect the choice among them.
+// the upstream's process run by its start in Unix milliseconds; reports about other process runs
+// are ignored. An instance with a bad network reports all upstreams alike, which does not affect
+// the choice among them.
 func (g *Gate) ReportFailure(now time.Time, id string, born int64) {
 	if u := g.roster.Find(id); u != nil && u.Born == born {
 		g.noteFailure(now, g.load(u))
--- a/internal/core/forward/home.go
+++ b/internal/core/forward/home.go
@@ -36,13 +36,14 @@
 	return msg.GrantRequest{Pool: c.Pool, Request: req}
 }
 
-// maxPools is the maximum number of pools of a divided service that are asked for a grant of one
-// call. The pools of a data centre are usually equally full, but one may have lost its upstreams.
+// maxPools is the maximum number of pools of a divided service from which a grant for one call is
+// requested. The pools of a data centre are usually equally full, but one may have lost its
+// upstreams.
 const maxPools = 2
 
-// nextPool sets the call's pool to the next one to ask: the pool of the undivided service, or that
-// of one of the service's groups, in this data centre if possible. It reports false if no other
-// pool is left or maxPools have been asked.
+// nextPool sets the call's pool to the next one from which to request a grant: the pool of the
+// undivided service, or that of one of the service's groups, in this data centre if possible. It
+// reports false if no other pool is left or maxPools have been tried.
 func (g *Gate) nextPool(c *Call) bool {
 	layout, _ := g.roster.Layout()
 	pools := []roster.Group{roster.Undivided(c.Service)}
@@ -54,10 +55,10 @@
 		}
 	}
 	pools = slices.DeleteFunc(pools, func(p roster.Group) bool { return p.Name() == c.Pool })
-	if len(pools) == 0 || c.poolsAsked >= maxPools {
+	if len(pools) == 0 || c.poolsTried >= maxPools {
 		return false
 	}
-	c.poolsAsked++
+	c.poolsTried++
 	c.Pool = pools[g.rng.IntN(len(pools))].Name()
 	return true
 }
@@ -119,8 +120,8 @@
 // stream is not mistaken for a crash.
 func (g *Gate) Leaves(now time.Time, a *Attempt) { g.roster.MarkLeaving(now, a.Upstream) }
 
-// HomeRefused processes the home's refusal: another pool is asked, or the call is refused
-// with the Retry-After that the home gave.
+// HomeRefused processes the home's refusal: a grant is requested from another pool, or the call is
+// refused with the Retry-After that the home gave.
 func (g *Gate) HomeRefused(c *Call, reason string, retryAfter time.Duration) Step {
 	if g.nextPool(c) {
 		c.grantRetries++
--- a/internal/core/forward/load.go
+++ b/internal/core/forward/load.go
@@ -16,9 +16,10 @@
 
 // load is the known load and health of an upstream.
 type load struct {
-	// calls and tokens count this instance's own attempts in progress.
-	calls  int
-	tokens int
+	// attempts is the number of this instance's own attempts in progress, tokens the sum of their
+	// estimated work.
+	attempts int
+	tokens   int
 	// report is the last reported load.
 	report     Report
 	reportedAt time.Time
@@ -47,7 +48,7 @@
 // pruneLoads drops the loads of upstreams that are idle and not in the roster.
 func (g *Gate) pruneLoads() {
 	for u, l := range g.loads {
-		if l.calls > 0 {
+		if l.attempts > 0 {
 			continue
 		}
 		unlisted := g.unlisted[u.ID] == u
--- a/internal/core/forward/pools_test.go
+++ b/internal/core/forward/pools_test.go
@@ -38,9 +38,9 @@
 	r := roster.New()
 	r.Replace(start, all, 600)
 	r.Divide(start)
-	layout, divided := r.Layout()
+	layout, layoutVersion := r.Layout()
 	own := layout.GroupsFor("desk", o.DataCentre, o.Name, func(string) bool { return true })
-	g.Roster().Adopt(start, roster.ListUpdate{Version: 600, Layout: layout, LayoutVersion: divided, Groups: r.Copies(start, own)})
+	g.Roster().Adopt(start, roster.ListUpdate{Version: 600, Layout: layout, LayoutVersion: layoutVersion, Groups: r.Copies(start, own)})
 	return g
 }
 
@@ -73,7 +73,7 @@
 }
 
 // The pool of one group is full or has lost its upstreams, but other pools may have capacity.
-// One other pool must be asked before the caller is refused.
+// A grant must be requested from one other pool before the caller is refused.
 func TestAnotherPoolIsAskedBeforeARefusal(t *testing.T) {
 	g := largeGate(t)
 	c := admit(t, g, request("/stream/1"))
@@ -118,8 +118,8 @@
 	}
 }
 
-// A home grants an upstream that has been removed from the entry's roster meanwhile. The
-// home's roster is older, and the upstream must get no new requests.
+// A home whose roster is older than the entry's grants an upstream that the entry's roster no
+// longer lists. The upstream must get no new requests.
 func TestAGrantForARemovedUpstreamIsNotUsed(t *testing.T) {
 	g := largeGate(t)
 	c := admit(t, g, request("/stream/1"))
--- a/internal/core/forward/property_test.go
+++ b/internal/core/forward/property_test.go
@@ -18,8 +18,8 @@
 var paths = []string{"/once/1", "/twice/1", "/safe/1", "/stream/1", "/resumable/1"}
 
 // runCall runs one call through a series of attempts. Each draw selects the outcome of an
-// attempt, the time that it takes, whether it delivers an event, and whether a move was
-// ordered meanwhile. runCall returns the violated rule, or "".
+// attempt, the time that the attempt takes, whether it delivers an event, and whether a move is
+// ordered before it ends. runCall returns the violated rule, or "".
 func runCall(path string, draws []int) string {
 	g := New(options())
 	g.Adopt(route.NewTable(config(3)))
@@ -28,9 +28,9 @@
 	addUpstreams(g, 4)
 	c, refusal := g.Admit(start, request(path))
 	if refusal != nil {
-		return "refused: " + string(refusal.Reason)
+		return "request refused at admission: " + string(refusal.Reason)
 	}
-	now, ran, runs, sends, begun := start, false, 0, 0, false
+	now, ran, runs, sends, headerDelivered := start, false, 0, 0, false
 	s := g.Start(now, c)
 	for _, d := range draws {
 		if s.Send == nil {
@@ -46,7 +46,7 @@
 		o := outcomes[d%len(outcomes)]
 		if c.Route.Kind == route.Stream && d&8 != 0 && (o == Cut || o == Done) {
 			c.Progress(now, "1")
-			begun = true
+			headerDelivered = true
 		}
 		if o == Cut && d&16 != 0 {
 			g.Redirect(c, a.Upstream, "copy", &Attempt{Upstream: a.Upstream, CopyAt: "copy"})
@@ -61,14 +61,14 @@
 			}
 		}
 		now = now.Add(time.Duration(d%7) * 20 * time.Millisecond)
-		s = g.Ended(now, c, o, begun)
+		s = g.Ended(now, c, o, headerDelivered)
 	}
 	switch {
 	case runs > c.Route.MaxAttempts || sends > c.Route.MaxAttempts:
 		return "more attempts than the route allows"
 	case s.Refuse != nil && PromisesNotRun(s.Refuse.Status) && ran:
 		return "status promises that the call has not run, but it may have run"
-	case s.Refuse != nil && begun:
+	case s.Refuse != nil && headerDelivered:
 		return "refusal sent after the response header was delivered"
 	}
 	return ""
@@ -81,7 +81,7 @@
 	p := testkit.Parameters()
 	p.MinSuccessfulTests *= 3
 	props := gopter.NewProperties(p)
-	props.Property("calls are not repeated, sent too often or wrongly reported as not run", prop.ForAll(
+	props.Property("no call runs or is sent more often than its route allows, and none that may have run is reported as not run", prop.ForAll(
 		func(path int, draws []int) string { return runCall(paths[path], draws) },
 		gen.IntRange(0, len(paths)-1), gen.SliceOfN(12, gen.IntRange(0, 63)),
 	))
--- a/internal/core/forward/region_test.go
+++ b/internal/core/forward/region_test.go
@@ -35,14 +35,14 @@
 			call, refusal := g.Admit(start, request("/safe/1"))
 			if refusal != nil {
 				if refusal.Reason != c.reason {
-					t.Fatalf("%s: unexpected refusal %+v", c.name, refusal)
+					t.Fatalf("%s: refusal at admission %+v, want none, or one with the reason of the case", c.name, refusal)
 				}
 				continue
 			}
 			s := g.Start(start, call)
 			if c.reason != "" {
 				if s.Refuse == nil || s.Refuse.Reason != c.reason || s.Refuse.RetryAfter == 0 {
-					t.Fatalf("%s: step %+v, want a refusal with a Retry-After", c.name, s)
+					t.Fatalf("%s: step %+v, want a refusal with the reason of the case and a Retry-After", c.name, s)
 				}
 				continue
 			}
--- a/internal/core/forward/request.go
+++ b/internal/core/forward/request.go
@@ -161,8 +161,8 @@
 	// resumed is set from the start of a resumed attempt to its first event. Until then
 	// resumeTargets holds the alternatives.
 	resumed bool
-	// poolsAsked counts the pools that were asked for a grant.
-	poolsAsked int
+	// poolsTried counts the pools from which a grant was requested.
+	poolsTried int
 	// grantRetries counts the grant requests after the first.
 	grantRetries int
 	// sends counts the attempts, without failed dials and resumed attempts.
--- a/internal/core/forward/retry.go
+++ b/internal/core/forward/retry.go
@@ -62,7 +62,7 @@
 // remain from the move, which must not be tried any more.
 func (c *Call) Progress(now time.Time, id string) {
 	c.Events++
-	c.silence.note(now, c.Route)
+	c.silence.onEvent(now, c.Route)
 	if id != "" {
 		c.LastEvent = id
 	}
@@ -96,13 +96,13 @@
 	c.current = a
 	c.silence.begin(a.Sent, c.Route)
 	l := g.load(a.Upstream)
-	l.calls++
+	l.attempts++
 	l.tokens += a.tokens
 }
 
-// Ended processes the outcome of the current attempt and returns the next step. begun is set
-// if a response header was delivered to the caller.
-func (g *Gate) Ended(now time.Time, c *Call, o Outcome, begun bool) Step {
+// Ended processes the outcome of the current attempt and returns the next step.
+// headerDelivered is set if a response header was delivered to the caller.
+func (g *Gate) Ended(now time.Time, c *Call, o Outcome, headerDelivered bool) Step {
 	a := c.current
 	c.current = nil
 	g.recordOutcome(now, c, a, o)
@@ -119,19 +119,19 @@
 		}
 		c.dials++
 		if c.dials >= maxDials {
-			return g.failCall(c, NoUpstream, busyRetryAfter, begun)
+			return g.failCall(c, NoUpstream, busyRetryAfter, headerDelivered)
 		}
 	case Rejected, Misdirected:
 	default:
 		c.mayHaveRun = true
 	}
-	return g.retry(now, c, o, begun)
+	return g.retry(now, c, o, headerDelivered)
 }
 
 // recordOutcome removes an attempt's load from its upstream and records the outcome there.
 func (g *Gate) recordOutcome(now time.Time, c *Call, a *Attempt, o Outcome) {
 	l := g.load(a.Upstream)
-	l.calls--
+	l.attempts--
 	l.tokens -= a.tokens
 	switch o {
 	case Done:
@@ -146,40 +146,40 @@
 }
 
 // retry retries the call if the route, the retry budget and the buffered body allow it.
-func (g *Gate) retry(now time.Time, c *Call, o Outcome, begun bool) Step {
+func (g *Gate) retry(now time.Time, c *Call, o Outcome, headerDelivered bool) Step {
 	switch {
 	case c.mayHaveRun && !c.Route.Repeatable():
 		// This also applies if the last failure was a failed dial to a copy of the generation.
-		return g.failAttempt(c, o, Unrepeatable, begun)
+		return g.failAttempt(c, o, Unrepeatable, headerDelivered)
 	case !c.Replayable && o != NotSent:
-		return g.failAttempt(c, o, NotReplayable, begun)
+		return g.failAttempt(c, o, NotReplayable, headerDelivered)
 	case c.sends >= c.Route.MaxAttempts || g.options.Without.Has(mechanism.Retries) && o != NotSent:
-		return g.failAttempt(c, o, NoAttempts, begun)
+		return g.failAttempt(c, o, NoAttempts, headerDelivered)
 	case o != NotSent && !g.retryAllowed(now, c.Service):
-		return g.failAttempt(c, o, NoBudget, begun)
+		return g.failAttempt(c, o, NoBudget, headerDelivered)
 	}
 	c.grantRetries++
 	s := g.nextStep(now, c)
 	if s.Send == nil && !s.RequestGrant {
-		return g.failAttempt(c, o, s.Why, begun)
+		return g.failAttempt(c, o, s.Why, headerDelivered)
 	}
 	return s
 }
 
 // failAttempt ends a call after a failed attempt. The error response of an upstream is forwarded.
-func (g *Gate) failAttempt(c *Call, o Outcome, why Reason, begun bool) Step {
-	if o == Failed && !begun {
+func (g *Gate) failAttempt(c *Call, o Outcome, why Reason, headerDelivered bool) Step {
+	if o == Failed && !headerDelivered {
 		return Step{Relay: true, Why: why}
 	}
 	if o == Rejected && why == NoAttempts {
 		why = PoolFull
 	}
-	return g.failCall(c, why, retryAfterFor(why, busyRetryAfter), begun)
+	return g.failCall(c, why, retryAfterFor(why, busyRetryAfter), headerDelivered)
 }
 
-// failCall ends a call: it refuses the call, or breaks off a response that has begun.
-func (g *Gate) failCall(c *Call, why Reason, retryAfter time.Duration, begun bool) Step {
-	if begun {
+// failCall ends a call: it refuses the call, or breaks off a response whose header was delivered.
+func (g *Gate) failCall(c *Call, why Reason, retryAfter time.Duration, headerDelivered bool) Step {
+	if headerDelivered {
 		return Step{Abort: true, Why: why}
 	}
 	return g.refuse(c, why, retryAfter)
@@ -198,11 +198,11 @@
 }
 
 // Expired ends a call whose deadline passed during an attempt.
-func (g *Gate) Expired(now time.Time, c *Call, begun bool) Step {
+func (g *Gate) Expired(now time.Time, c *Call, headerDelivered bool) Step {
 	if a := c.current; a != nil {
 		c.current = nil
 		c.mayHaveRun = true
 		g.recordOutcome(now, c, a, Lost)
 	}
-	return g.failCall(c, OutOfTime, 0, begun)
+	return g.failCall(c, OutOfTime, 0, headerDelivered)
 }
--- a/internal/core/forward/silence.go
+++ b/internal/core/forward/silence.go
@@ -56,11 +56,11 @@
 
 // silence tracks how long an attempt's stream has delivered no event, and the queries about it.
 type silence struct {
-	// lastEvent is the time of the last event, or of the attempt's start before the first event;
-	// begun is set after the first event.
+	// lastEvent is the time of the last event, or of the attempt's start before the first event.
+	// hasEvent is set after the first event.
 	lastEvent time.Time
-	begun     bool
-	// nextQuery is the time of the next query, queries the number of queries since the last
+	hasEvent  bool
+	// nextQuery is the time of the next query. queries is the number of queries since the last
 	// event.
 	nextQuery time.Time
 	queries   int
@@ -74,9 +74,9 @@
 	*s = silence{lastEvent: now, nextQuery: now.Add(first)}
 }
 
-// note records the arrival of an event.
-func (s *silence) note(now time.Time, r *route.Route) {
-	*s = silence{lastEvent: now, begun: true, nextQuery: now.Add(max(silenceFactor*r.MaxGap, minSilence))}
+// onEvent records the arrival of an event.
+func (s *silence) onEvent(now time.Time, r *route.Route) {
+	*s = silence{lastEvent: now, hasEvent: true, nextQuery: now.Add(max(silenceFactor*r.MaxGap, minSilence))}
 }
 
 // QueryDue reports whether a query to the upstream is due about a stream that has been silent
--- a/internal/core/forward/silence_test.go
+++ b/internal/core/forward/silence_test.go
@@ -7,8 +7,8 @@
 	"mulberrylug.example/mulberrylug/internal/core/route"
 )
 
-// silentStream returns a gate with one call, whose stream has delivered five events, the last
-// at the time start, and the call's attempt.
+// silentStream returns a gate, its only call and the call's attempt. The stream has delivered five
+// events, all at the time start.
 func silentStream(t *testing.T, path string) (*Gate, *Call, *Attempt) {
 	t.Helper()
 	g := gate(t, 3)
@@ -77,7 +77,7 @@
 		}
 	}
 	if len(at) < 4 || len(at) > 9 || at[0] != minSilence || at[1]-at[0] != queryInterval {
-		t.Errorf("queries after %v, want 4 to 9, the first after the minimum silence", at)
+		t.Errorf("queries after %v, want 4 to 9 queries, the first after minSilence and the second after another queryInterval", at)
 	}
 	if last := len(at) - 1; at[last]-at[last-1] != maxQueryInterval {
 		t.Errorf("queries after %v, want %v between the last two", at, maxQueryInterval)
--- a/internal/core/mechanism/mechanism.go
+++ b/internal/core/mechanism/mechanism.go
@@ -1,6 +1,6 @@
 // Package mechanism names the mechanisms of an instance that can be disabled to measure their
 // value, and the decisions that can be made in several ways. No mechanism is needed to keep a
-// promise: safeguards that must always hold cannot be disabled.
+// guarantee: safeguards that must always hold cannot be disabled.
 package mechanism
 
 import (
@@ -14,7 +14,7 @@
 
 // The mechanisms. Each comment describes the behaviour while the mechanism is disabled.
 const (
-	// Homes: each entry places generations without asking a home.
+	// Homes: each entry places generations without a grant of a home.
 	Homes Mechanism = iota
 	// Moves: generations stay on leaving upstreams.
 	Moves
@@ -26,7 +26,7 @@
 	// CopyMemory: copies do not count as used memory until their generations run at the
 	// destination.
 	CopyMemory
-	// LeaveProbes: upstreams with running generations are not asked whether they are leaving.
+	// LeaveProbes: upstreams with running generations are not queried whether they are leaving.
 	LeaveProbes
 	// Near: homes do not prefer upstreams in the entry's data centre.
 	Near
--- a/internal/core/membership/view.go
+++ b/internal/core/membership/view.go
@@ -17,14 +17,14 @@
 // its service.
 const RoleEntry = "entry"
 
-// suspectDuration is how long an instance that did not answer is suspected: View.Homes prefers
+// suspectDuration is how long an instance that did not respond is suspected: View.Homes prefers
 // other instances of the same rank. It exceeds the usual lag of the instance list, so that a
-// dead instance is not asked again before the list has dropped it.
+// dead instance is not queried again before the list has dropped it.
 const suspectDuration = 5 * time.Second
 
 // leavingDuration is how long an instance counts as leaving after its last announcement that it
 // leaves. It exceeds the lag of the instance list, which still shows the instance as live: if
-// the instance were named to callers meanwhile, they would try to reach it after it has exited.
+// callers still received its address, they would try to reach it after it has exited.
 const leavingDuration = 15 * time.Second
 
 // Member is one row of the instance list.
@@ -123,7 +123,7 @@
 	}
 }
 
-// Suspected reports whether an instance failed to answer within the last suspectDuration.
+// Suspected reports whether an instance failed to respond within the last suspectDuration.
 func (v *View) Suspected(now time.Time, name string) bool { return now.Before(v.suspects[name]) }
 
 // Member returns the member with the given name.
@@ -132,7 +132,7 @@
 	return m, ok
 }
 
-// Suspect marks an instance that failed to answer. For suspectDuration, Homes prefers other
+// Suspect marks an instance that failed to respond. For suspectDuration, Homes prefers other
 // instances of the same rank.
 func (v *View) Suspect(now time.Time, name string) {
 	if name != v.self.Name {
--- a/internal/core/membership/view_test.go
+++ b/internal/core/membership/view_test.go
@@ -31,7 +31,7 @@
 			v.Update(start, []Member{entry("other", "old")})
 			v.MarkLeaving(start, "other")
 			if slices.Contains(v.LiveInstances(), "other") {
-				t.Error("instance is still an entry right after MarkLeaving")
+				t.Error("instance is still an entry right after MarkLeaving, want no entry")
 			}
 			now := start.Add(c.after)
 			v.Update(now, []Member{entry("other", c.address)})
--- a/internal/core/msg/config.go
+++ b/internal/core/msg/config.go
@@ -22,11 +22,11 @@
 	// ConfirmedAge is the time, as of sending, since the sender last confirmed that no newer
 	// version was in force.
 	ConfirmedAge time.Duration
-	// Request is the number of the ConfigRequest that this message answers; 0 if it was sent
-	// without a request.
+	// Request is the number of the ConfigRequest to which this message is the response; 0 if the
+	// message was sent without a request.
 	Request int64
-	// TableDown is set while the sender receives no response from the table, nor from an instance
-	// that does.
+	// TableDown is set while the sender receives no response from the table, nor from any instance
+	// that receives responses from the table.
 	TableDown bool
 }
 
@@ -54,8 +54,8 @@
 	Data   []byte
 }
 
-// Leaving announces that the sender drains: it must no longer be named to callers or chosen as
-// a home. The message is repeated until the sender exits.
+// Leaving announces that the sender drains: its address must no longer be given to callers, and it
+// must no longer be chosen as a home. The message is repeated until the sender exits.
 type Leaving struct{}
 
 // Kind implements Message.
--- a/internal/core/msg/fleet.go
+++ b/internal/core/msg/fleet.go
@@ -29,7 +29,8 @@
 	DataCentre    string
 	CallerAddress string
 	PeerAddress   string
-	// Boot identifies the run of the instance: runs with the same name have different values.
+	// Boot identifies the process run of the instance: two process runs under the same name have
+	// different values.
 	Boot string
 	// Ready is set if callers may be sent to the sender.
 	Ready bool
@@ -47,8 +48,8 @@
 	// bandwidth in Mbit/s can be halved until it is less than 1. Instances of the highest class
 	// are preferred for work on behalf of others.
 	Class uint8
-	// WantsResponse asks the receiver to send a heartbeat back, because the sender has just started
-	// and must find the live instances.
+	// WantsResponse is set to request a heartbeat from the receiver, because the sender has just
+	// started and must find the live instances.
 	WantsResponse bool
 }
 
@@ -101,8 +102,8 @@
 type PresenceRequest struct{ Sources []string }
 
 // SyncRequest requests, from an instance that reads the platform's store, all updates newer than
-// the requester's versions. It is answered as soon as there is an update or after a short time,
-// because a response also confirms that there is no update.
+// the requester's versions. The response is sent as soon as there is an update or after a short
+// time, because a response also confirms that there is no update.
 type SyncRequest struct {
 	// Number identifies the request; Config is the version of the requester's configuration.
 	Number int64
@@ -179,7 +180,7 @@
 // response. Without it, each instance would detect the failure at the cost of its own callers.
 type UpstreamFailing struct {
 	Upstream string
-	// Born identifies the run of the upstream.
+	// Born identifies the process run of the upstream.
 	Born int64
 }
 
--- a/internal/core/msg/msg.go
+++ b/internal/core/msg/msg.go
@@ -70,8 +70,8 @@
 	// FailedUpstream is the upstream whose failure caused this attempt. The home checks whether it
 	// has crashed before it grants the attempt.
 	FailedUpstream string
-	// FailedBoot identifies the run of that upstream on which the previous attempt failed. It
-	// is empty if the request cannot have reached the upstream.
+	// FailedBoot identifies the process run of that upstream in which the previous attempt failed.
+	// It is empty if the request cannot have reached the upstream.
 	FailedBoot string
 	// Number counts the requests for the attempt to this home, from 1.
 	Number int
@@ -86,7 +86,7 @@
 	Address string
 	// Entry is the upstream's entry in the list; nil if the receiver is expected to have it.
 	Entry *roster.Entry
-	// Boot identifies the upstream's run, as of its last report.
+	// Boot identifies the upstream's process run, as of its last report.
 	Boot string
 	// TTL is how long the grant may be used, counted from when the request was sent; Number is
 	// the number of that request.
@@ -101,7 +101,7 @@
 	Tokens  int
 	// Failed is set if the upstream broke off the attempt: the home keeps the grant until it is
 	// known whether the upstream has crashed. Upstream and Boot identify the upstream and its
-	// run, Fingerprint the request.
+	// process run, Fingerprint the request.
 	Failed      bool
 	Upstream    string
 	Boot        string
@@ -131,7 +131,7 @@
 type Strike struct {
 	Fingerprint uint64
 	Upstream    string
-	// Boot identifies the run of the upstream that ended in the crash.
+	// Boot identifies the process run of the upstream that ended in the crash.
 	Boot string
 	// Age is the time since the crash. It is relative because instances do not share a clock.
 	Age time.Duration
@@ -151,7 +151,7 @@
 	Attempt string
 }
 
-// FollowRequest lists attempts and asks an instance which of them it follows for a caller. A home
+// FollowRequest lists attempts and requests which of them the receiver follows for a caller. A home
 // sends it to every instance before it cancels a generation that no entry announces.
 type FollowRequest struct {
 	Pool     string
--- a/internal/core/msg/packed.go
+++ b/internal/core/msg/packed.go
@@ -20,7 +20,7 @@
 	minCompressBytes = 1 << 10
 )
 
-// The first byte of a packed configuration specifies its form.
+// The first byte of a packed configuration specifies its encoding.
 const (
 	packedPlain   = 0
 	packedDeflate = 1
@@ -29,13 +29,13 @@
 // Errors returned by PackedConfig.Unpack.
 var (
 	ErrConfigTooLarge = errors.New("unpacked configuration exceeds the maximum size")
-	ErrConfigForm     = errors.New("packed configuration is empty or has an unknown form byte")
+	ErrConfigEncoding = errors.New("packed configuration is empty or its first byte specifies an unknown encoding")
 )
 
-// PackedConfig is a configuration encoded for transfer: one byte for the form, then msgpack,
-// compressed with DEFLATE if it is large. A relay packs each version once for all receivers.
-// Without compression, 1,900 routes take 180 KB, which occupy a link of 10 Mbit/s for 140 ms
-// per receiver.
+// PackedConfig is a configuration encoded for transfer: one byte that specifies the encoding, then
+// msgpack, compressed with DEFLATE if it is large. A relay packs each version once for all
+// receivers. Without compression, 1,900 routes take 180 KB, which occupy a link of 10 Mbit/s for
+// 140 ms per receiver.
 type PackedConfig []byte
 
 // PackConfig encodes a configuration for transfer.
@@ -83,7 +83,7 @@
 	case len(p) > 0 && p[0] == packedPlain:
 		return p[1:], nil
 	case len(p) == 0 || p[0] != packedDeflate:
-		return nil, ErrConfigForm
+		return nil, ErrConfigEncoding
 	}
 	encoded, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(p[1:])), maxConfigBytes+1))
 	if err == nil && len(encoded) > maxConfigBytes {
--- a/internal/core/msg/packed_test.go
+++ b/internal/core/msg/packed_test.go
@@ -94,7 +94,7 @@
 		t.Fatal(err)
 	}
 	for name, p := range map[string]PackedConfig{
-		"empty": {}, "truncated": good[:len(good)/2], "truncated without compression": small[:len(small)/2], "unknown form": []byte("no configuration"), "too large": tooLarge.Bytes(),
+		"empty": {}, "truncated": good[:len(good)/2], "truncated without compression": small[:len(small)/2], "unknown encoding": []byte("no configuration"), "too large": tooLarge.Bytes(),
 	} {
 		c, err := p.Unpack()
 		if err == nil {
--- a/internal/core/order/machine.go
+++ b/internal/core/order/machine.go
@@ -19,8 +19,8 @@
 	draining
 	// reading: the row was requested.
 	reading
-	// waitingQuiet: another home's order may still be sent or be in transit.
-	waitingQuiet
+	// awaitingQuietPeriod: another home's order may still be sent or be in transit.
+	awaitingQuietPeriod
 	// writing: the order is being written to the row.
 	writing
 	// confirming: the order was sent; a report will show that it took effect.
@@ -43,12 +43,12 @@
 	actualVersion string
 	// running is the number of running generations that the upstream reported.
 	running int
-	// stepStart is when the current step started, resumeAt the earliest time of the next action.
+	// stepStart is when the current step started. resumeAt is the earliest time of the next action.
 	stepStart time.Time
 	resumeAt  time.Time
 
-	// row is the table row as last read or written, stored its decoded value. seenVersion is the
-	// row's version, first seen here at seenAt.
+	// row is the table row as last read or written; stored is its decoded value. seenVersion is the
+	// row's version, which this machine first saw at seenAt.
 	row         table.Row
 	stored      Row
 	seenVersion int64
@@ -56,14 +56,14 @@
 	// pending is the latest order of this machine, which may be sent before sendBefore.
 	pending    Row
 	sendBefore time.Time
-	// answered is set once the upstream has answered the pending order.
-	answered bool
+	// responded is set once the upstream has responded to the pending order.
+	responded bool
 	// orderCount is the number of orders written, used for their ids.
 	orderCount int
 }
 
-// NewMachine returns a machine for an upstream. sender must be unique to this run of the
-// instance, because the ids of orders are derived from it.
+// NewMachine returns a machine for an upstream. sender must be unique to this process run of
+// the instance, because the ids of orders are derived from it.
 func NewMachine(upstream, sender string, checksFencing bool) *Machine {
 	return &Machine{upstream: upstream, sender: sender, checksFencing: checksFencing}
 }
@@ -102,7 +102,7 @@
 			return nil
 		}
 		return m.readRow(now)
-	case waitingQuiet:
+	case awaitingQuietPeriod:
 		return m.writeOrder(now)
 	case requestingTurn, reading, writing, recording:
 		// An overdue response is assumed to be lost: start again.
@@ -119,11 +119,11 @@
 }
 
 // tookEffect reports whether the pending order is complete. If the upstream ignores fencing
-// numbers, it is not enough that it runs the ordered version: another home's order may have
-// brought the version about while this order is still in transit, and this order would then undo
-// the next one. An order that the upstream has answered is no longer in transit.
+// numbers, it is not enough that it runs the ordered version: it may have loaded the version
+// because of another home's order while this order is still in transit, and this order would then
+// undo the next one. An order to which the upstream has responded is no longer in transit.
 func (m *Machine) tookEffect() bool {
-	return m.actualVersion == m.pending.Value && (m.checksFencing || m.answered)
+	return m.actualVersion == m.pending.Value && (m.checksFencing || m.responded)
 }
 
 func (m *Machine) setStep(now time.Time, s step) {
@@ -171,7 +171,7 @@
 		m.setStep(now, idle)
 		return nil
 	}
-	m.setStep(now, waitingQuiet)
+	m.setStep(now, awaitingQuietPeriod)
 	m.resumeAt = m.earliestWrite(now)
 	return m.Tick(now)
 }
@@ -186,8 +186,8 @@
 
 // earliestWrite returns the earliest time at which the next order may be written. An upstream
 // that ignores fencing numbers would execute a paused sender's old order after a newer one. Once
-// QuietPeriod has passed since the row was first seen, the old order's lease has expired and every
-// message with it has ended.
+// QuietPeriod has passed since the row was first seen, the lease of the old order has expired, and
+// every call that carried that order has returned or was cancelled.
 func (m *Machine) earliestWrite(now time.Time) time.Time {
 	if m.checksFencing || m.row.Version == 0 || m.stored.Confirmed {
 		return now
@@ -207,7 +207,7 @@
 		Fence: m.stored.Fence + 1, ID: fmt.Sprintf("%s/%d", m.sender, m.orderCount), Value: m.wantedVersion,
 	}
 	m.sendBefore = now.Add(Lease)
-	m.answered = false
+	m.responded = false
 	return []Action{{Commit: m.updateTx(m.pending)}}
 }
 
@@ -230,7 +230,7 @@
 		return m.sendOrder(now)
 	case recording:
 		m.setStep(now, idle)
-	case idle, requestingTurn, draining, reading, waitingQuiet, confirming:
+	case idle, requestingTurn, draining, reading, awaitingQuietPeriod, confirming:
 		// The result belongs to a step that was abandoned.
 	}
 	return nil
@@ -253,7 +253,7 @@
 	if fence != m.pending.Fence {
 		return // response to an earlier order
 	}
-	m.answered = true
+	m.responded = true
 	if m.step == confirming && refused {
 		m.setStep(now, idle)
 		m.backOff(now)
--- a/internal/core/order/order.go
+++ b/internal/core/order/order.go
@@ -21,8 +21,8 @@
 	// its connection closed.
 	MessageTimeout = 2 * time.Second
 	// QuietPeriod is how long a home waits after it first saw another home's row. No clocks are
-	// compared: the row was written before it was seen, so that the lease and the last message
-	// have ended by then.
+	// compared: the row was written before it was seen, so that by the end of QuietPeriod the
+	// lease has expired and every call that carried the order has returned or was cancelled.
 	QuietPeriod = Lease + MessageTimeout + clockMargin
 	// clockMargin covers clocks that run at different speeds.
 	clockMargin = 500 * time.Millisecond
--- a/internal/core/order/order_property_test.go
+++ b/internal/core/order/order_property_test.go
@@ -164,9 +164,9 @@
 	return true
 }
 
-// Two homes send orders to one upstream at the same time, run late, lose responses of the table
-// and of the upstream, and their messages overtake each other. An order must never take effect
-// after a newer one, whether the upstream checks fencing numbers or ignores them.
+// Two homes send orders to one upstream at the same time, perform actions late and lose responses
+// of the table and of the upstream, and their messages overtake each other. An order must never
+// take effect after a newer one, whether the upstream checks fencing numbers or ignores them.
 func TestOrderPropertyNeverOvertaken(t *testing.T) {
 	for _, checksFencing := range []bool{true, false} {
 		params := testkit.Parameters()
@@ -189,15 +189,15 @@
 		))
 		properties.TestingRun(t)
 		if applied == 0 {
-			t.Errorf("checksFencing=%t: no order took effect in any run, want some: nothing was tested", checksFencing)
+			t.Errorf("checksFencing=%t: no order took effect in any sequence, want some: otherwise nothing is tested", checksFencing)
 		}
 		t.Logf("checksFencing=%t: %d orders took effect", checksFencing, applied)
 	}
 }
 
 // overtakenSequences are sequences of steps that made an order take effect after a newer one:
-// the row was marked as confirmed because another home's order had brought the version about,
-// while this home's own order was still in transit.
+// the row was marked as confirmed because the upstream had loaded the version by another home's
+// order, while this home's own order was still in transit.
 var overtakenSequences = [][]int{
 	{172, 47, 94, 136, 10, 25, 52, 61, 129, 110, 50, 220, 52, 115, 94, 89, 10, 115, 31, 199, 40, 103},
 	{193, 71, 31, 115, 172, 115, 31, 131, 152, 136, 199, 10, 10, 94, 40, 61},
@@ -210,7 +210,7 @@
 			sim.step(commandMix[s%len(commandMix)], s/len(commandMix))
 		}
 		if !sim.inOrder() {
-			t.Errorf("sequence %d: orders took effect out of order: %+v", n, sim.applied)
+			t.Errorf("sequence %d: orders took effect out of order: %+v, want increasing fencing numbers", n, sim.applied)
 		}
 	}
 }
--- a/internal/core/route/route.go
+++ b/internal/core/route/route.go
@@ -17,10 +17,10 @@
 const (
 	// Idempotent requests may run more than once.
 	Idempotent Kind = "idempotent"
-	// Once is the kind of requests that run at most once for each attempt of a caller.
+	// Once is the kind of requests that run at most once each time that a caller sends them.
 	Once Kind = "once"
-	// Stream is the kind of requests that are answered with a stream of events. They run at
-	// most once unless the route is resumable.
+	// Stream is the kind of requests whose response is a stream of events. They run at most
+	// once unless the route is resumable.
 	Stream Kind = "stream"
 )
 
--- a/internal/core/stream/handle.go
+++ b/internal/core/stream/handle.go
@@ -23,12 +23,12 @@
 // table.
 type Handle struct {
 	// Request is the request whose entry signed the handle. An instance that adopts the
-	// generation notifies that entry, which then releases it.
+	// generation notifies that entry, which then ends that request.
 	Request      string
 	Organisation string
 	Service      string
 	Upstream     string
-	// Boot is the run of the upstream that runs the generation.
+	// Boot identifies the process run of the upstream that runs the generation.
 	Boot       string
 	Generation string
 	// BudgetHome is the instance that holds the reservation of Reserved millionths of the
--- a/internal/core/stream/sequencer.go
+++ b/internal/core/stream/sequencer.go
@@ -19,13 +19,13 @@
 	Foreign
 )
 
-// Generation identifies an answer being produced. An engine that restarts may run a request
+// Generation identifies one generation. An engine that restarts may run a request
 // again under the same id. Its tokens then differ from those already delivered, so the id alone
-// does not identify the answer.
+// does not identify the generation.
 type Generation struct {
 	// ID is the id of the attempt.
 	ID string
-	// Boot is the run of the engine; "" for engines that do not report it.
+	// Boot identifies the process run of the engine; "" for engines that do not report it.
 	Boot string
 }
 
--- a/internal/core/stream/stream_test.go
+++ b/internal/core/stream/stream_test.go
@@ -13,7 +13,7 @@
 )
 
 // Tokens of three generations arrive in any order, with repeats and gaps. Two of the generations
-// have the same id but come from different runs of an engine. The delivered tokens must have
+// have the same id but come from different process runs of an engine. The delivered tokens must have
 // consecutive indices from 0 and belong to one generation.
 func TestPromise1PropertySequencerDeliversOneGeneration(t *testing.T) {
 	generations := []Generation{{"a", "1"}, {"a", "2"}, {"b", "1"}}
--- a/internal/core/suspect/suspect.go
+++ b/internal/core/suspect/suspect.go
@@ -35,7 +35,7 @@
 	repeatTolerance = 5 * time.Second
 )
 
-// Crash identifies one crash of an upstream; Boot is the run that it ended.
+// Crash identifies one crash of an upstream. Boot identifies the process run that the crash ended.
 type Crash struct {
 	Upstream string
 	Boot     string
--- a/internal/core/suspect/suspect_test.go
+++ b/internal/core/suspect/suspect_test.go
@@ -15,17 +15,17 @@
 		t.Error("Strike does not report the first strike as new, or reports its repetition as new, want only the first as new")
 	}
 	if v := l.Verdict(now, 7); v != Suspected {
-		t.Errorf("verdict after one crash = %d, want Suspected", v)
+		t.Errorf("verdict after one crash = %d, want 1 (Suspected)", v)
 	}
 	l.Strike(now, Strike{7, Crash{Upstream: "engine-1", Boot: "b"}, now})
 	if v := l.Verdict(now, 7); v != Refused {
-		t.Errorf("verdict after a second crash of the same upstream = %d, want Refused", v)
+		t.Errorf("verdict after a second crash of the same upstream = %d, want 2 (Refused)", v)
 	}
 	for later := now; later.Before(now.Add(time.Hour)); later = later.Add(time.Second) {
 		l.Strike(later, Strike{7, crash, now.Add(time.Second)}) // the old strike is received again each second
 	}
 	if v := l.Verdict(now.Add(time.Hour), 7); v != Clean {
-		t.Errorf("verdict after an hour of repeated old strikes = %d, want Clean", v)
+		t.Errorf("verdict after an hour of repeated old strikes = %d, want 0 (Clean)", v)
 	}
 	for n := range uint64(3 * maxFingerprints) {
 		l.Strike(now, Strike{n, crash, now.Add(time.Duration(n))})
--- a/internal/core/watch/watch.go
+++ b/internal/core/watch/watch.go
@@ -59,8 +59,8 @@
 
 // Choice lists the sources that an instance may use.
 type Choice struct {
-	// Reads is set if the instance is a reader, which reads the store for all others; Standby if
-	// it takes over when a reader fails.
+	// Reads is set if the instance is a reader, which reads the store for all others. Standby is
+	// set if the instance takes over when a reader fails.
 	Reads   bool
 	Standby bool
 	// Large is set in a large fleet, where only a few instances may read the store.
