--- a/client/client_test.go
+++ b/client/client_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// entry is a fake instance. It lists itself as the only entry and answers
+// entry is a fake instance. It lists itself as the only entry and responds to
 // requests with the handlers given to startEntry.
 type entry struct {
 	*httptest.Server
@@ -50,7 +50,7 @@
 	fmt.Fprintf(w, "event: end\ndata: {\"outcome\":%q}\n\n", outcome)
 }
 
-// refuse answers not_run with a retry time of after seconds.
+// refuse responds with outcome not_run and a retry time; after is in seconds.
 func refuse(w http.ResponseWriter, after float64) {
 	w.WriteHeader(http.StatusServiceUnavailable)
 	fmt.Fprintf(w, `{"outcome":"not_run","reason":"busy","retry_after_seconds":%g}`, after)
@@ -84,9 +84,10 @@
 }
 
 // The connection breaks after three tokens. The first request to resume is
-// refused, the second is answered with a gap in the tokens, the third with
-// tokens that the client has already received. The caller must get each token
-// once, and the client must not send the request as a new one.
+// refused, the response to the second has a gap in the tokens, and the response
+// to the third repeats tokens that the client has already received. The caller
+// must get each token once, and the client must not send the request as a new
+// one.
 func TestPromise1ClientResumesExactlyOnce(t *testing.T) {
 	e, c := startEntry(t,
 		func(_ int64, w http.ResponseWriter, _ *http.Request) { tokens(w, 0, 3); panic(http.ErrAbortHandler) },
--- a/client/notrun_test.go
+++ b/client/notrun_test.go
@@ -12,9 +12,10 @@
 )
 
 // The connection breaks after an entry has received a request, which may
-// therefore run. The client sends the request again, and that try is refused
-// with not_run, which is true only of that try. The client must report unknown.
-// Without a lost try before it, the client must report the refusal unchanged.
+// therefore run. The client sends the request again, and the second request is
+// refused with not_run, which says nothing about the first: the client must
+// report unknown. If no earlier request was lost, the client must report the
+// refusal unchanged.
 func TestPromise3ClientRemembersALostTry(t *testing.T) {
 	ctx := context.Background()
 	calls := map[string]func(c *client.Client) error{
@@ -33,7 +34,7 @@
 			var p *client.Problem
 			err := do(client.New(client.Options{Seeds: []string{entry.Listener.Addr().String()}}))
 			if !errors.As(err, &p) || p.Outcome != want {
-				t.Errorf("%s after %d lost tries: error = %v, want outcome %s", name, lost, err, want)
+				t.Errorf("%s after %d lost requests: error = %v, want outcome %s", name, lost, err, want)
 			}
 			entry.Close()
 		}
--- a/client/stream.go
+++ b/client/stream.go
@@ -89,9 +89,9 @@
 }
 
 var (
-	// errCut means that the connection ended before the last event, or that an
-	// event was incomplete or out of order.
-	errCut = errors.New("stream interrupted")
+	// errInterrupted means that the connection ended before the last event, or
+	// that an event was incomplete or out of order.
+	errInterrupted = errors.New("stream interrupted")
 	// errNotSent means that no connection was established, so that the request
 	// was not sent.
 	errNotSent = errors.New("could not connect")
@@ -105,7 +105,7 @@
 		before := s.result.Tokens
 		err := s.connect(ctx, body)
 		s.result.Text = s.text.String()
-		if err = s.reconcile(err); err == nil || !errors.Is(err, errCut) {
+		if err = s.reconcile(err); err == nil || !errors.Is(err, errInterrupted) {
 			return err
 		}
 		if s.result.Tokens > before {
@@ -124,8 +124,9 @@
 	}
 }
 
-// reconcile corrects the outcome of a refusal for the requests before it. A
-// refusal reports on the last HTTP request only, not on the generation.
+// reconcile changes the outcome of a refusal to take into account earlier
+// requests, which may have run. A refusal reports only on the last HTTP request,
+// not on the generation.
 func (s *stream) reconcile(err error) error {
 	var p *Problem
 	if !errors.As(err, &p) || p.Outcome != NotRun && p.Outcome != Unknown {
@@ -140,20 +141,20 @@
 	return p
 }
 
-// resumeRefused returns the error for a refused resume: errCut, after which the
-// resume is retried, if the refusal has a RetryAfter, otherwise a Partial
-// outcome. The request is not sent as a new one, since that would mix the
-// tokens of two generations.
+// resumeRefused returns the error for a refused resume: errInterrupted, after
+// which the resume is retried, if the refusal has a RetryAfter, otherwise a
+// Partial outcome. The request is not sent as a new one, since that would mix
+// the tokens of two generations.
 func resumeRefused(p *Problem) error {
 	if p.RetryAfter > 0 {
-		return fmt.Errorf("%w: %w", errCut, p)
+		return fmt.Errorf("%w: %w", errInterrupted, p)
 	}
 	p.Outcome = Partial
 	return p
 }
 
-// connectionLost returns the problem for a stream that is given up after
-// connections that broke.
+// connectionLost returns the problem for a stream whose connection broke and
+// that is not resumed again.
 func (s *stream) connectionLost() error {
 	p := &Problem{Outcome: Unknown, Reason: reasonLost, Step: "stream", RequestID: s.result.RequestID}
 	switch {
@@ -193,7 +194,7 @@
 	}
 	if err != nil {
 		s.c.avoid(address)
-		return fmt.Errorf("%w: %w", errCut, err)
+		return fmt.Errorf("%w: %w", errInterrupted, err)
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
@@ -205,7 +206,7 @@
 	}
 	s.result.RequestID = resp.Header.Get("X-Request-Id")
 	err = s.read(resp, func() { idleTimer.Reset(idleTimeout) })
-	if errors.Is(err, errCut) {
+	if errors.Is(err, errInterrupted) {
 		s.c.avoid(address)
 	}
 	return err
@@ -262,11 +263,11 @@
 			}
 		}
 	}
-	return errCut
+	return errInterrupted
 }
 
 // onToken handles a token event. It ignores a token that was received before
-// and returns errCut if a token is missing before this one.
+// and returns errInterrupted if a token is missing before this one.
 func (s *stream) onToken(id, data string) error {
 	var ev struct {
 		Choices []struct {
@@ -274,12 +275,12 @@
 		} `json:"choices"`
 	}
 	if json.Unmarshal([]byte(data), &ev) != nil || len(ev.Choices) == 0 {
-		return errCut // incomplete line
+		return errInterrupted // incomplete line
 	}
 	index, err := strconv.Atoi(id[strings.LastIndexByte(id, '.')+1:])
 	switch {
 	case err != nil || index > s.result.Tokens:
-		return errCut
+		return errInterrupted
 	case index < s.result.Tokens:
 		return nil
 	}
@@ -296,7 +297,7 @@
 func (s *stream) onEnd(data string) error {
 	var w wireProblem
 	if json.Unmarshal([]byte(data), &w) != nil {
-		return errCut
+		return errInterrupted
 	}
 	if w.Outcome == Done {
 		return nil
--- a/internal/apply/apply.go
+++ b/internal/apply/apply.go
@@ -22,7 +22,7 @@
 	Files    []config.File `json:"files"`
 	Operator string        `json:"operator"`
 	// ApplyID is unique to this apply. It identifies the apply after a lost
-	// reply.
+	// response.
 	ApplyID string `json:"apply_id"`
 	// Base is the version that the change is based on, or -1 for any version
 	// that is in force.
@@ -39,14 +39,14 @@
 
 // Error implements error.
 func (c *Conflict) Error() string {
-	return fmt.Sprintf("nothing was applied: version %d by %q (apply %s) is in force; compare with diff and apply on -base %d",
+	return fmt.Sprintf("nothing was changed: version %d by %q (apply %s) is in force; for an apply, compare with diff and set -base %d",
 		c.Number, c.Operator, c.ApplyID, c.Number)
 }
 
 // Undecided is the error for an apply that may or may not have taken effect: its
-// write was sent, and either neither a reply nor the version row could be read,
-// or the write may still be in transit. Repeating the same apply with its id and
-// base resolves the outcome.
+// write was sent, and either neither a response nor the version row could be
+// read, or the write may still be in transit. Repeating the same apply with its
+// id and base resolves the outcome.
 type Undecided struct {
 	ApplyID string
 	Base    int64
@@ -76,13 +76,14 @@
 	// operator keeps repeating an apply of unknown outcome.
 	maxRecentApplies = 256
 	// readBackTries and readBackInterval limit the wait for the table after a
-	// lost reply.
+	// lost response.
 	readBackTries    = 3
 	readBackInterval = 300 * time.Millisecond
 )
 
-// errNoReply is the cause of an Undecided if the version row is still unchanged.
-var errNoReply = errors.New("the table did not answer, and the write may still take effect")
+// errNoResponse is the cause of an Undecided if the version row is still
+// unchanged.
+var errNoResponse = errors.New("the table did not respond, and the write may still take effect")
 
 // Apply validates and publishes a configuration. It returns config.Problems for
 // an invalid configuration, a *Conflict if another change came first and an
@@ -135,14 +136,14 @@
 	return readBack(ctx, s, next)
 }
 
-// readBack determines the outcome of a write after a conflict or a lost reply:
-// it looks up the apply id in the record.
+// readBack determines the outcome of a write after a conflict or a lost
+// response: it looks up the apply id in the record.
 //
-// A write whose reply was lost may be applied by the table after the read-back.
-// That does no harm: the write is conditional on the row's version, so that
+// A write whose response was lost may be applied by the table after the
+// read-back. That does no harm: the write is conditional on the row's version, so that
 // either it or a repeat of the apply succeeds, but not both.
 func readBack(ctx context.Context, s Store, next core.ConfigPointer) (core.ConfigPointer, error) {
-	undecided := &Undecided{ApplyID: next.ApplyID, Base: next.Number - 1, Err: errNoReply}
+	undecided := &Undecided{ApplyID: next.ApplyID, Base: next.Number - 1, Err: errNoResponse}
 	for range readBackTries {
 		now, err := readState(ctx, s)
 		if err != nil {
@@ -152,7 +153,7 @@
 		} else if now.pointer.Number >= next.Number {
 			return core.ConfigPointer{}, now.conflict()
 		} else {
-			undecided.Err = errNoReply
+			undecided.Err = errNoResponse
 		}
 		select {
 		case <-ctx.Done():
@@ -198,11 +199,11 @@
 	recent = recent[max(0, len(recent)-maxRecentApplies):]
 	record, err := json.Marshal(recent)
 	if err != nil {
-		return table.Tx{}, fmt.Errorf("nothing was applied: encode record of applies: %w", err)
+		return table.Tx{}, fmt.Errorf("nothing was changed: encode record of applies: %w", err)
 	}
 	value, err := json.Marshal(next)
 	if err != nil {
-		return table.Tx{}, fmt.Errorf("nothing was applied: encode version row: %w", err)
+		return table.Tx{}, fmt.Errorf("nothing was changed: encode version row: %w", err)
 	}
 	return table.Tx{
 		Conds: []table.Cond{
--- a/internal/apply/apply_test.go
+++ b/internal/apply/apply_test.go
@@ -20,11 +20,11 @@
 // The behaviours of a store on a commit. All but the first report the outcome
 // as unknown.
 const (
-	commits      = iota // the transaction is executed and its result returned
-	losesReply          // the transaction is executed, but its result is lost
-	losesWrite          // the transaction is not executed
-	appliesLater        // the transaction is executed later, by applyLateWrites
-	outage              // the transaction is executed, and reads fail until down is reset
+	commits       = iota // the transaction is executed and its result returned
+	losesResponse        // the transaction is executed, but its result is lost
+	losesWrite           // the transaction is not executed
+	appliesLater         // the transaction is executed later, by applyLateWrites
+	outage               // the transaction is executed, and reads fail until down is reset
 	behaviourCount
 )
 
@@ -53,7 +53,7 @@
 		behaviour, s.script = s.script[0], s.script[1:]
 	}
 	switch behaviour {
-	case losesReply:
+	case losesResponse:
 		s.commit(tx)
 	case outage:
 		s.commit(tx)
@@ -130,8 +130,8 @@
 	return Request{Files: []config.File{{Name: "t.yaml", Data: []byte(text)}}, Operator: "op-" + id, ApplyID: id, Base: base}
 }
 
-// Three operators apply concurrently, replies are lost, writes are applied late
-// and operators repeat their applies. Every reported outcome must be true: an
+// Three operators apply concurrently, responses are lost, writes are applied
+// late and operators repeat their applies. Every reported outcome must be true: an
 // apply reported as applied took effect exactly once, an apply reported as a
 // conflict never takes effect, and no repeat restores an older configuration.
 func TestPromise7PropertyReportedApplyOutcomesAreTrue(t *testing.T) {
@@ -198,7 +198,7 @@
 	return ""
 }
 
-// An apply takes effect but its reply is lost, and another operator applies
+// An apply takes effect but its response is lost, and another operator applies
 // afterwards. The first operator then repeats the apply, as the error message
 // instructs. The repeat must report that the apply took effect, and must leave
 // the other operator's configuration in force.
@@ -240,12 +240,12 @@
 	}
 }
 
-// Cordon changes and applies alternate, and replies and writes are lost. No change may undo
+// Cordon changes and applies alternate, and responses and writes are lost. No change may undo
 // another, a repeated id must not make a second change, and applying a configuration must leave
 // the cordons as they are.
 func TestPromise7CordonsAndAppliesLeaveEachOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newStore(commits, commits, losesReply, commits, losesWrite)
+		s := newStore(commits, commits, losesResponse, commits, losesWrite)
 		if _, err := Cordon(t.Context(), s, CordonRequest{DataCentre: "a", ApplyID: "early"}); !errors.Is(err, errNoConfig) {
 			t.Errorf("cordon before the first configuration: error = %v, want errNoConfig", err)
 		}
--- a/internal/apply/cordon.go
+++ b/internal/apply/cordon.go
@@ -16,7 +16,7 @@
 	// Lift is true to lift the cordon, false to cordon.
 	Lift     bool   `json:"lift"`
 	Operator string `json:"operator"`
-	// ApplyID is unique to this change. It identifies the change after a lost reply.
+	// ApplyID is unique to this change. It identifies the change after a lost response.
 	ApplyID string `json:"apply_id"`
 }
 
--- a/internal/apply/remote.go
+++ b/internal/apply/remote.go
@@ -19,7 +19,7 @@
 	Problems  config.Problems     `json:"problems,omitempty"`
 	Conflict  *Conflict           `json:"conflict,omitempty"`
 	Undecided *UndecidedResult    `json:"undecided,omitempty"`
-	// Failed is the reason why nothing was applied.
+	// Failed is the reason why nothing was changed.
 	Failed string `json:"failed,omitempty"`
 }
 
@@ -85,15 +85,15 @@
 func post(ctx context.Context, address, path string, req any, undecided Undecided) (core.ConfigPointer, error) {
 	body, err := json.Marshal(req)
 	if err != nil {
-		return core.ConfigPointer{}, fmt.Errorf("nothing was applied: encode request: %w", err)
+		return core.ConfigPointer{}, fmt.Errorf("nothing was changed: encode request: %w", err)
 	}
 	noResponse := func(err error) (core.ConfigPointer, error) {
-		undecided.Err = fmt.Errorf("apply through %s: %w", address, err)
+		undecided.Err = fmt.Errorf("send change through %s: %w", address, err)
 		return core.ConfigPointer{}, &undecided
 	}
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+path, bytes.NewReader(body))
 	if err != nil {
-		return core.ConfigPointer{}, fmt.Errorf("nothing was applied: apply through %s: %w", address, err)
+		return core.ConfigPointer{}, fmt.Errorf("nothing was changed: send change through %s: %w", address, err)
 	}
 	resp, err := http.DefaultClient.Do(r)
 	if err != nil {
--- a/internal/cli/experiment.go
+++ b/internal/cli/experiment.go
@@ -18,7 +18,7 @@
 	// plots is the directory for plots; empty for none.
 	plots string
 	// ablate replaces the file's variants by the system's own placement policy:
-	// with all its mechanisms, and without each one of them.
+	// with all its mechanisms, and with each one disabled in turn.
 	ablate bool
 	// ways replaces the file's variants by the system's own placement policy:
 	// with the default way of each decision, and with each alternative way.
@@ -41,8 +41,8 @@
 func (c *experimentCmd) SetFlags(f *flag.FlagSet) {
 	f.StringVar(&c.file, "f", "", "experiment file")
 	f.IntVar(&c.seeds, "seeds", 5, "number of seeds")
-	f.BoolVar(&c.ablate, "ablate", false, "instead of the file's variants, simulate the system's own policy with all mechanisms and without each of them")
-	f.BoolVar(&c.ways, "ways", false, "instead of the file's variants, simulate the system's own policy with the default and with each alternative way of its decisions")
+	f.BoolVar(&c.ablate, "ablate", false, "instead of the file's variants, simulate the system's own policy with all mechanisms and with each one disabled in turn")
+	f.BoolVar(&c.ways, "ways", false, "instead of the file's variants, simulate the system's own policy with all decisions made the default way and with each alternative way in turn")
 	f.StringVar(&c.plots, "plots", "", "directory for plots; none if empty")
 }
 
--- a/internal/cli/operate.go
+++ b/internal/cli/operate.go
@@ -72,7 +72,7 @@
 func (*explainCmd) Name() string     { return "explain" }
 func (*explainCmd) Synopsis() string { return "print the decisions on a request" }
 func (*explainCmd) Usage() string {
-	return "explain [-operator-address HOST:PORT] REQUEST-ID:\n  Print the decisions on a request, oldest first. Every instance can answer.\n"
+	return "explain [-operator-address HOST:PORT] REQUEST-ID:\n  Print the decisions on a request, oldest first. Every instance can respond.\n"
 }
 func (c *explainCmd) SetFlags(f *flag.FlagSet) { setOperatorFlag(f, &c.address) }
 
--- a/internal/cli/serve.go
+++ b/internal/cli/serve.go
@@ -82,8 +82,8 @@
 	return exitOK
 }
 
-// drainOnSignal drains the instance at the first signal, which ends the context
-// first, and stops it at the second.
+// drainOnSignal waits for the first signal, which ends the context first, and
+// drains the instance. At a second signal it stops the instance.
 func drainOnSignal(first context.Context, d *daemon.Daemon, stop func()) {
 	<-first.Done()
 	d.Drain()
--- a/internal/conn/exchange.go
+++ b/internal/conn/exchange.go
@@ -49,7 +49,7 @@
 
 func writeHead(w *bufio.Writer, r *Request) error {
 	if strings.ContainsAny(r.Target, " \r\n") || strings.ContainsAny(r.Method, " \r\n") || strings.ContainsAny(r.Host, " \r\n") {
-		return fmt.Errorf("request line %q: %w", r.Target, ErrNotHTTP)
+		return fmt.Errorf("request for target %q has a space or line break in its method, target or host: %w", r.Target, ErrNotHTTP)
 	}
 	for _, s := range []string{r.Method, " ", r.Target, " HTTP/1.1\r\nHost: ", r.Host, "\r\n"} {
 		if _, err := w.WriteString(s); err != nil {
--- a/internal/daemon/actions.go
+++ b/internal/daemon/actions.go
@@ -54,7 +54,7 @@
 	case core.Log:
 		d.log.Info(a.Event, a.Pairs...)
 	case core.ExplainResult:
-		d.explains.reply(a.ID, a.Lines)
+		d.explains.respond(a.ID, a.Lines)
 	case core.Exit:
 		d.exitOnce.Do(func() { close(d.exited) })
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -54,7 +54,7 @@
 type Daemon struct {
 	settings Settings
 	self     membership.Member
-	boot     string // identifies this run of the instance
+	boot     string // identifies this boot of the instance
 	log      hclog.Logger
 
 	platform  Platform
@@ -71,7 +71,7 @@
 	killed           atomic.Bool   // set by Kill
 	exited           chan struct{} // closed once the instance has drained
 	exitOnce         sync.Once
-	advertise        func(listened string) string // returns the address to announce to callers
+	announcedAddress func(listened string) string // maps the listen address to the address announced to callers
 }
 
 // Option configures an instance that New creates.
@@ -81,7 +81,7 @@
 // it listens, for example the address of a proxy. f receives the listen address as host:port and
 // returns the address to announce.
 func Advertise(f func(listened string) string) Option {
-	return func(d *Daemon) { d.advertise = f }
+	return func(d *Daemon) { d.announcedAddress = f }
 }
 
 // New creates an instance and opens its listening addresses. Serve runs it.
@@ -89,8 +89,8 @@
 	d := &Daemon{
 		settings: s, platform: p, boot: fmt.Sprintf("%08x", rand.Uint32()), log: log,
 		metrics: metrics.NewMetrics(), sinks: sinks{byID: map[string]*Sink{}}, exited: make(chan struct{}),
-		explains:  pendingExplains{replies: map[uint64]chan []string{}},
-		advertise: func(listened string) string { return listened },
+		explains:         pendingExplains{responses: map[uint64]chan []string{}},
+		announcedAddress: func(listened string) string { return listened },
 	}
 	for _, o := range options {
 		o(d)
@@ -100,7 +100,7 @@
 	}
 	d.self = membership.Member{
 		Name: s.Name, Role: membership.RoleEntry, DataCentre: s.DataCentre, State: membership.Live,
-		Address: d.advertise(d.CallerAddress()), PeerAddress: d.peers.Address(),
+		Address: d.announcedAddress(d.CallerAddress()), PeerAddress: d.peers.Address(),
 	}
 	without, err := mechanism.Parse(s.Without)
 	if err != nil {
--- a/internal/daemon/daemon_test.go
+++ b/internal/daemon/daemon_test.go
@@ -174,7 +174,7 @@
 	select {
 	case body := <-got:
 		if body != "first last <nil>" {
-			t.Errorf("the caller received %q, want the complete response", body)
+			t.Errorf("the caller received %q, want \"first last\" and no error", body)
 		}
 	case <-time.After(testTimeout):
 		t.Error("the caller did not receive the end of the response within the timeout")
--- a/internal/daemon/loop.go
+++ b/internal/daemon/loop.go
@@ -18,7 +18,7 @@
 	tickInterval = 20 * time.Millisecond
 )
 
-// errStopped is returned to callers of an instance that has stopped.
+// errStopped is returned by calls to an instance that has stopped.
 var errStopped = errors.New("the instance has stopped")
 
 // loop passes events to the instance one at a time and starts the actions that the instance
--- a/internal/daemon/metrics_test.go
+++ b/internal/daemon/metrics_test.go
@@ -42,7 +42,7 @@
 	unit := regexp.MustCompile(`(_total|_seconds|_bytes|_events|^open_callers|^goroutines)$`)
 	for name := range all {
 		if !unit.MatchString(name) {
-			t.Errorf("metric %s does not end in its unit", name)
+			t.Errorf("metric %s does not end in its unit, want _total, _seconds, _bytes or _events", name)
 		}
 	}
 }
--- a/internal/daemon/requests.go
+++ b/internal/daemon/requests.go
@@ -11,7 +11,7 @@
 )
 
 // newRequestID returns a request id that contains this instance's name and is unique in the
-// deployment: the boot id in it differs between runs of an instance under the same name.
+// deployment: the boot id in it differs between boots of an instance under the same name.
 func (d *Daemon) newRequestID() string {
 	return fmt.Sprintf("%s:%s:%d", d.settings.Name, d.boot, d.lastRequest.Add(1))
 }
@@ -34,7 +34,7 @@
 	return id, s
 }
 
-// Leave removes a request's sink. If the request has no outcome yet, or the caller was cut off,
+// Leave removes a request's sink. If the request has no outcome yet, or the caller fell behind,
 // Leave notifies the core that the caller has disconnected.
 func (d *Daemon) Leave(id string, s *Sink) {
 	d.sinks.remove(id)
@@ -104,7 +104,7 @@
 	d.loop.submit(core.ConfigApplied{Pointer: p, Object: object})
 }
 
-// Drain makes the instance leave once its requests have ended. No request is cut off.
+// Drain makes the instance leave once its requests have ended. No request is interrupted.
 func (d *Daemon) Drain() { d.loop.submit(core.Drain{}) }
 
 // Exited returns a channel that is closed when the instance has drained.
@@ -124,12 +124,12 @@
 // simulate a process that was killed.
 func (d *Daemon) Kill() { d.killed.Store(true) }
 
-// pendingExplains holds the operators' explain requests that wait for an instance's reply.
-// replies is keyed by the request's id.
+// pendingExplains holds the operators' explain requests that wait for an instance's response.
+// responses holds, by the request's id, the channel that receives the response.
 type pendingExplains struct {
-	mu      sync.Mutex
-	lastID  uint64
-	replies map[uint64]chan []string
+	mu        sync.Mutex
+	lastID    uint64
+	responses map[uint64]chan []string
 }
 
 func (e *pendingExplains) open() (uint64, chan []string) {
@@ -137,22 +137,22 @@
 	defer e.mu.Unlock()
 	e.lastID++
 	ch := make(chan []string, 1)
-	e.replies[e.lastID] = ch
+	e.responses[e.lastID] = ch
 	return e.lastID, ch
 }
 
 func (e *pendingExplains) close(id uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	delete(e.replies, id)
+	delete(e.responses, id)
 }
 
-func (e *pendingExplains) reply(id uint64, lines []string) {
+func (e *pendingExplains) respond(id uint64, lines []string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if ch := e.replies[id]; ch != nil {
+	if ch := e.responses[id]; ch != nil {
 		ch <- lines
-		delete(e.replies, id)
+		delete(e.responses, id)
 	}
 }
 
@@ -171,6 +171,6 @@
 	case lines := <-ch:
 		return lines, nil
 	case <-ctx.Done():
-		return nil, fmt.Errorf("explain %s: no reply from the instance named in the request id: %w", request, ctx.Err())
+		return nil, fmt.Errorf("explain %s: no response from the instance named in the request id: %w", request, ctx.Err())
 	}
 }
--- a/internal/daemon/sink.go
+++ b/internal/daemon/sink.go
@@ -11,8 +11,8 @@
 const maxBacklogTokens = 4096
 
 // Sink buffers the tokens and the outcome of one request for its caller. It never blocks the
-// loop. A caller that falls behind by maxBacklogTokens tokens is cut off, so that its backlog
-// can't use unlimited memory. It may resume from the last event that it read.
+// loop. If the caller falls behind by maxBacklogTokens tokens, its response is broken off, so that
+// the backlog can't use unlimited memory. The caller may resume from the last event that it read.
 type Sink struct {
 	// Ready receives a value when Take has new tokens or the outcome to return.
 	Ready chan struct{}
--- a/internal/daemon/sink_test.go
+++ b/internal/daemon/sink_test.go
@@ -7,8 +7,8 @@
 )
 
 // A caller that stops reading while its stream continues would make the sink's backlog grow
-// without limit. At maxBacklogTokens the caller must be cut off: the sink must not return tokens
-// after a gap, nor let the stream end with the outcome "done".
+// without limit. At maxBacklogTokens the response must be broken off: the sink must not return
+// tokens after a gap, nor let the stream end with the outcome "done".
 func TestPromise1SlowCallerIsCutOff(t *testing.T) {
 	s := newSink()
 	for n := range maxBacklogTokens {
--- a/internal/hosted/answer.go
+++ b/internal/hosted/answer.go
@@ -83,8 +83,9 @@
 // errTooLarge reports a response larger than maxBufferedResponse.
 var errTooLarge = errors.New("response is too large to be buffered")
 
-// bufferResponse reads the body of a response into memory. It returns the bytes read also with an
-// error: errTooLarge after one byte more than maxBufferedResponse, or the error of the read.
+// bufferResponse reads the body of a response into memory. With an error it returns the bytes that
+// were read before. The error is that of the read, or errTooLarge if the body is longer than
+// maxBufferedResponse; one byte beyond this size has then been read.
 func bufferResponse(resp *http.Response, ans Response) (*bufferedResponse, error) {
 	h := &bufferedResponse{status: resp.StatusCode, header: resp.Header, signed: ans.Signed}
 	var err error
@@ -95,9 +96,9 @@
 	return h, err
 }
 
-// writeBuffered forwards a buffered response. If the status promises that the request was not
-// run, 502 is sent instead: responses with the upstream's own statement that it did not run the
-// request are not forwarded.
+// writeBuffered forwards a buffered response. If the status tells the caller that the request was
+// not run, 502 is sent instead. The upstream has not stated that: responses with its own statement
+// that it did not run the request are not forwarded.
 func (x *exchange) writeBuffered(h *bufferedResponse) {
 	if forward.PromisesNotRun(h.status) {
 		h = &bufferedResponse{status: http.StatusBadGateway, header: http.Header{}, body: nil}
--- a/internal/hosted/endpoints.go
+++ b/internal/hosted/endpoints.go
@@ -40,7 +40,7 @@
 	return out
 }
 
-// handleReady answers the platform's readiness check.
+// handleReady responds to the platform's readiness check.
 func (i *Instance) handleReady(w http.ResponseWriter, _ *http.Request) {
 	if !i.ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -60,7 +60,7 @@
 
 // handleDirectory returns the addresses of instances that a caller may connect to. Every
 // instance serves every route, so that the response depends only on the caller's location and
-// on the regions allowed for the host that it asks for.
+// on the regions allowed for the host that its request names.
 func (i *Instance) handleDirectory(w http.ResponseWriter, req *http.Request) {
 	location, host := i.wire.DirectoryRequest(req)
 	i.server.decide(func(_ time.Time, g *forward.Gate) {
--- a/internal/hosted/exchange.go
+++ b/internal/hosted/exchange.go
@@ -38,8 +38,8 @@
 	// attempt, or "".
 	grants chan msg.GrantResponse
 	home   string
-	// upstream is the last attempt's upstream, listAge the age of the list at admission; both
-	// are logged.
+	// upstream is the last attempt's upstream. listAge is the age of the list of upstreams at
+	// admission. Both are logged.
 	upstream string
 	listAge  time.Duration
 	// eventTokens is the number of tokens per event; 0 if the service has no engine.
--- a/internal/hosted/fleet.go
+++ b/internal/hosted/fleet.go
@@ -17,7 +17,7 @@
 // redialTimeout limits each dial to an instance whose connection ended.
 const redialTimeout = 300 * time.Millisecond
 
-// redialDelays are the delays before the successive dials to such an instance.
+// redialDelays are the delays before the successive dials to an instance whose connection ended.
 var redialDelays = []time.Duration{0, 50 * time.Millisecond, 200 * time.Millisecond}
 
 // peers maintains this instance's view of the other instances and sends messages to them.
@@ -36,10 +36,10 @@
 	// this instance's own address among them, or "".
 	seeds       []string
 	seedAddress string
-	// joinReplies receives the responses to this instance's join requests.
-	joinReplies chan msg.JoinResponse
-	// joinDone is closed once the members are known, or once neither a seed nor the store has
-	// returned them; joinOnce ensures that this happens only once.
+	// joinResponses receives the responses to this instance's join requests.
+	joinResponses chan msg.JoinResponse
+	// joinDone is closed once the members are known, or once all seeds and the store have
+	// failed to return them; joinOnce ensures that it is closed only once.
 	joinDone chan struct{}
 	joinOnce sync.Once
 
--- a/internal/hosted/fleet_test.go
+++ b/internal/hosted/fleet_test.go
@@ -45,7 +45,7 @@
 	self := testRow("self").Heartbeat
 	return &peers{
 		store: store, transport: transport, metrics: metrics.NewMetrics(), log: hclog.NewNullLogger(), onPeerLost: func() {},
-		state: func() (bool, bool, bool) { return true, false, true }, fleet: fleet.New(boottime.Now(), self, nil, 0), heartbeatsSentAt: map[string]time.Time{}, joinDone: make(chan struct{}), joinReplies: make(chan msg.JoinResponse, 1),
+		state: func() (bool, bool, bool) { return true, false, true }, fleet: fleet.New(boottime.Now(), self, nil, 0), heartbeatsSentAt: map[string]time.Time{}, joinDone: make(chan struct{}), joinResponses: make(chan msg.JoinResponse, 1),
 	}
 }
 
@@ -70,7 +70,7 @@
 	}
 	f.with(func(_ time.Time, v *fleet.Fleet) {
 		if v.Find("other") == nil {
-			t.Error("the instance \"other\" is not a member after its row was read again")
+			t.Error("the instance \"other\" is not a member after its row was read again, want it added")
 		}
 	})
 }
@@ -84,9 +84,9 @@
 	if err := newTestPeers(t, store).tryRegister(t.Context()); err != nil || store.writes != 0 {
 		t.Errorf("tryRegister with an up-to-date row: error %v, %d writes, want no error and no write", err, store.writes)
 	}
-	moved := testRow("self")
-	moved.CallerAddress = "elsewhere:80"
-	for _, list := range [][]fleet.Row{nil, {moved}, {testRow("other")}} {
+	changed := testRow("self")
+	changed.CallerAddress = "elsewhere:80"
+	for _, list := range [][]fleet.Row{nil, {changed}, {testRow("other")}} {
 		store := &memberStore{list: list}
 		if err := newTestPeers(t, store).tryRegister(t.Context()); err != nil || store.writes != 1 {
 			t.Errorf("tryRegister without an up-to-date row: error %v, %d writes, want no error and 1 write", err, store.writes)
--- a/internal/hosted/follow.go
+++ b/internal/hosted/follow.go
@@ -21,7 +21,7 @@
 const (
 	// configInterval is the maximum interval between reads of the configuration, and so the
 	// maximum delay until a new configuration is in force at the instance that reads it.
-	// Operators are promised two seconds.
+	// At all instances the guaranteed maximum is two seconds.
 	configInterval = 600 * time.Millisecond
 	// readsPerValidity is the number of reads of the configuration within the time for which
 	// keys are accepted after a confirmation. For the instances that poll the reader, a hold of
@@ -146,7 +146,7 @@
 		return
 	}
 	f.configVersion = read.Version
-	f.sourceAnswered(watch.Store, 0)
+	f.sourceResponded(watch.Store, 0)
 	f.adopt(sentAt, update{config: read.Config, cordons: f.changedCordons(read)}, "store")
 }
 
--- a/internal/hosted/gaps.go
+++ b/internal/hosted/gaps.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// paceWindow is the number of latest intervals from which a pace is estimated,
-	// minPaceSamples the minimum number.
+	// paceWindow is the number of latest intervals from which a pace is estimated.
+	// minPaceSamples is the number of intervals below which no pace is estimated.
 	paceWindow     = 16
 	minPaceSamples = 8
 )
@@ -15,7 +15,7 @@
 // gaps measures the intervals between the events of a stream when they are forwarded. The caller
 // observes the same intervals, plus the delays of its own network link.
 type gaps struct {
-	// last is the time of the last event, longest the longest interval so far.
+	// last is the time of the last event; longest is the longest interval so far.
 	last    time.Time
 	longest time.Duration
 	// recent holds the latest intervals of the current attempt; count is the number of all its
--- a/internal/hosted/home.go
+++ b/internal/hosted/home.go
@@ -21,7 +21,7 @@
 
 // homes runs the homes of the pools for which this instance receives messages. It creates a home
 // whether or not this instance considers itself the home of the pool: two homes of a pool at the
-// same time overcommit slightly and break no promise.
+// same time overcommit slightly and violate no guarantee.
 type homes struct {
 	server  *server
 	metrics *metrics.Metrics
@@ -32,8 +32,8 @@
 	send func(to string, m msg.Message)
 	// dataCentreOf returns an instance's data centre, or "" if it is unknown.
 	dataCentreOf func(instance string) string
-	// onBegin is called after a home was created.
-	onBegin func()
+	// onCreated is called after a home was created.
+	onCreated func()
 	// without lists disabled mechanisms.
 	without mechanism.Set
 	ways    mechanism.Ways
@@ -61,7 +61,7 @@
 	if view.service == nil || view.service.Engine == nil {
 		return // the service is not known here yet; the entry chooses an upstream itself
 	}
-	began := false
+	created := false
 	h.mu.Lock()
 	p := h.pools[name]
 	if p == nil && !view.inLayout {
@@ -71,17 +71,17 @@
 	if p == nil {
 		p = pool.NewHome(name, *view.service.Engine, h.without, h.ways)
 		h.pools[name] = p
-		began = true
+		created = true
 		p.Sync(now, view.Listing)
 		h.log.Info("home_began", "pool", name, "upstreams", len(view.Upstreams))
 	}
 	h.usedAt[name] = now
 	f(now, p)
-	done := h.takeOutput(name, p)
+	output := h.takeOutput(name, p)
 	h.mu.Unlock()
-	h.deliver(done)
-	if began {
-		h.onBegin() // this instance may not know all of the pool's upstreams yet
+	h.deliver(output)
+	if created {
+		h.onCreated() // this instance may not know all of the pool's upstreams yet
 	}
 }
 
@@ -145,15 +145,15 @@
 }
 
 // deliver sends the messages of a home, logs its notes and starts its probes.
-func (h *homes) deliver(c homeOutput) {
-	for _, q := range c.probes {
-		go h.probe(c.pool, q)
+func (h *homes) deliver(output homeOutput) {
+	for _, q := range output.probes {
+		go h.probe(output.pool, q)
 	}
-	for _, n := range c.notes {
+	for _, n := range output.notes {
 		h.metrics.Count("home_decisions_total", n.Event)
 		h.log.Info(n.Event, n.Pairs...)
 	}
-	for _, o := range c.messages {
+	for _, o := range output.messages {
 		if o.To == h.self {
 			h.deliverLocal(h.self, o.Msg)
 		} else {
@@ -196,12 +196,12 @@
 			p.Sync(now, view.Listing)
 		}
 		p.Tick(now)
-		done := h.takeOutput(name, p)
+		output := h.takeOutput(name, p)
 		if now.Sub(h.usedAt[name]) > homeIdleTimeout {
 			delete(h.pools, name)
 		}
 		h.mu.Unlock()
-		h.deliver(done)
+		h.deliver(output)
 	}
 }
 
--- a/internal/hosted/instance.go
+++ b/internal/hosted/instance.go
@@ -46,8 +46,9 @@
 	// the time for which configurations allow a connection to be reused, so that no request is
 	// sent on a connection that is being closed.
 	idleTimeout = 3 * time.Minute
-	// idleCheckInterval is the interval between checks of idle upstream connections, tickInterval
-	// that between checks for due heartbeats and expired entries of the list.
+	// idleCheckInterval is the interval between checks of idle upstream connections.
+	// tickInterval is the interval between checks for due heartbeats and expired entries of
+	// the list.
 	idleCheckInterval = time.Second
 	tickInterval      = 100 * time.Millisecond
 	// directoryTTL is the lifetime of a directory response. Callers lose up to that time on a dead
@@ -96,7 +97,7 @@
 	}
 	i.peers = &peers{
 		store: store, metrics: m, log: log, state: i.state, onPeerLost: srv.announceRunning, heartbeatsSentAt: map[string]time.Time{},
-		seeds: s.Seeds, seedAddress: s.SeedAddress, joinReplies: make(chan msg.JoinResponse, 16), joinDone: make(chan struct{}),
+		seeds: s.Seeds, seedAddress: s.SeedAddress, joinResponses: make(chan msg.JoinResponse, 16), joinDone: make(chan struct{}),
 		fleet: fleet.New(boottime.Now(), i.ownHeartbeat(), s.Regions, s.Without),
 	}
 	i.relay = &relay{
@@ -113,8 +114,8 @@
 		pools: map[string]*pool.Home{}, usedAt: map[string]time.Time{},
 	}
 	srv.homes = homeLink{homeOf: i.homeOf, send: i.sendAny, reportSilent: i.suspectHome, broadcast: i.broadcast}
-	i.poller = &syncPoller{follower: i.follower, replies: make(chan syncReply, 16), wake: make(chan struct{}, 1), neededGroups: i.neededGroups}
-	i.homes.onBegin = i.poller.wakeUp
+	i.poller = &syncPoller{follower: i.follower, responses: make(chan syncResponse, 16), wake: make(chan struct{}, 1), neededGroups: i.neededGroups}
+	i.homes.onCreated = i.poller.wakeUp
 	return i
 }
 
--- a/internal/hosted/join.go
+++ b/internal/hosted/join.go
@@ -42,19 +42,19 @@
 			return f.maintainMembership(ctx)
 		case fleet.JoinWait:
 		}
-		f.awaitReply(ctx, j)
+		f.awaitResponse(ctx, j)
 	}
 	return ctx.Err()
 }
 
-// awaitReply waits for a seed's response, at most until the next step is due.
-func (f *peers) awaitReply(ctx context.Context, j *fleet.Join) {
+// awaitResponse waits for a seed's response, at most until the next step is due.
+func (f *peers) awaitResponse(ctx context.Context, j *fleet.Join) {
 	t := time.NewTimer(joinStepInterval)
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
 	case <-t.C:
-	case a := <-f.joinReplies:
+	case a := <-f.joinResponses:
 		f.with(func(_ time.Time, v *fleet.Fleet) { j.OnResponse(a, v.Size()) })
 	}
 }
@@ -117,7 +117,7 @@
 	return req
 }
 
-// onJoinRequest answers a request for the members that this instance knows.
+// onJoinRequest responds to a request for the members that this instance knows.
 func (f *peers) onJoinRequest(m msg.JoinRequest) {
 	m.Sender.ReceivesYours = true // a join request does not state whether our heartbeats arrive
 	f.onHeartbeat(m.Sender)
@@ -132,7 +132,7 @@
 	f.with(func(now time.Time, v *fleet.Fleet) { v.SetSizeHint(now, m.Size) })
 	f.addMembers("instance "+from, m.Instances, (*fleet.Fleet).Introduce)
 	select {
-	case f.joinReplies <- m:
+	case f.joinResponses <- m:
 	default: // the queue is full: this instance has joined, or has responses left to process
 	}
 }
--- a/internal/hosted/move.go
+++ b/internal/hosted/move.go
@@ -27,21 +27,21 @@
 
 // onMoveOrder starts a move that the pool's home has ordered, and sends its outcome to the home.
 func (s *server) onMoveOrder(from string, m msg.MoveOrder) {
-	reply := func(o msg.MoveOutcome) {
+	sendOutcome := func(o msg.MoveOutcome) {
 		s.homes.send(from, msg.MoveResult{Pool: m.Pool, Attempt: m.Attempt, Number: m.Number, Outcome: o})
 	}
 	x := s.findExchange(requestOf(m.Attempt))
 	if x == nil {
-		reply(msg.MoveEnded)
+		sendOutcome(msg.MoveEnded)
 		return
 	}
 	mv, source := x.beginMove(m)
 	if source == nil {
-		reply(msg.MoveNoRun)
+		sendOutcome(msg.MoveNoRun)
 		return
 	}
 	s.decide(func(now time.Time, g *forward.Gate) { g.Leaves(now, source) })
-	go func() { reply(x.runMove(mv, source, x.copyThenStop)) }()
+	go func() { sendOutcome(x.runMove(mv, source, x.copyThenStop)) }()
 }
 
 // beginMove registers a move. It returns no source if another move is in progress, if the
--- a/internal/hosted/peers.go
+++ b/internal/hosted/peers.go
@@ -68,7 +68,7 @@
 		i.relay.handlePoll(from, m)
 	case msg.SyncResponse:
 		select {
-		case i.poller.replies <- syncReply{from: from, SyncResponse: m}:
+		case i.poller.responses <- syncResponse{from: from, SyncResponse: m}:
 		default: // the queue is full, as the requester no longer waits for this response
 		}
 	default:
--- a/internal/hosted/place.go
+++ b/internal/hosted/place.go
@@ -29,7 +29,7 @@
 	message msg.GrantRequest
 	home    string
 	// firstSentAt and lastSentAt are the times at which the request was first and last sent. The
-	// validity of a grant counts from the transmission that may have led to it.
+	// validity of a grant counts from the transmission of the request that may have led to it.
 	firstSentAt, lastSentAt time.Time
 }
 
--- a/internal/hosted/relay.go
+++ b/internal/hosted/relay.go
@@ -17,7 +17,7 @@
 // the home's state, and so the delay until the home detects an outage.
 const homeHold = 150 * time.Millisecond
 
-// relay answers the polls of instances that do not read the store.
+// relay responds to the polls of instances that do not read the store.
 type relay struct {
 	server *server
 	send   func(to string, m msg.Message)
@@ -55,17 +55,18 @@
 	return s.packed, s.err
 }
 
-// heldPoll is a poll that is answered as soon as there is an update, and at until otherwise.
+// heldPoll is a poll that waits for an update. If there is none before the time until, the
+// response is sent then.
 type heldPoll struct {
 	message msg.SyncRequest
 	until   time.Time
 }
 
-// handlePoll answers a poll immediately if there is an update, or if it must not be held.
+// handlePoll responds to a poll immediately if there is an update, or if it must not be held.
 // Otherwise it holds the poll.
 func (r *relay) handlePoll(from string, m msg.SyncRequest) {
-	if reply, updated := r.reply(m); updated {
-		r.send(from, reply)
+	if response, updated := r.response(m); updated {
+		r.send(from, response)
 		return
 	}
 	if !r.mayHold() {
@@ -88,7 +89,7 @@
 	return ok || r.mayBeSource()
 }
 
-// tick answers held polls for which there is an update or whose time has passed.
+// tick responds to held polls for which there is an update or whose time has passed.
 func (r *relay) tick() {
 	r.mu.Lock()
 	waiting := make(map[string]heldPoll, len(r.held))
@@ -97,7 +98,7 @@
 	}
 	r.mu.Unlock()
 	for name, w := range waiting {
-		reply, updated := r.reply(w.message)
+		response, updated := r.response(w.message)
 		if !updated && time.Now().Before(w.until) {
 			continue
 		}
@@ -106,12 +107,12 @@
 			delete(r.held, name)
 		}
 		r.mu.Unlock()
-		r.send(name, reply)
+		r.send(name, response)
 	}
 }
 
-// reply returns the updates since the requester's versions and reports whether there are any.
-func (r *relay) reply(m msg.SyncRequest) (a msg.SyncResponse, updated bool) {
+// response returns the updates since the requester's versions and reports whether there are any.
+func (r *relay) response(m msg.SyncRequest) (a msg.SyncResponse, updated bool) {
 	a = msg.SyncResponse{Number: m.Number, ConfigAge: -1}
 	var newer *sharedConfig
 	r.server.decide(func(now time.Time, g *forward.Gate) {
@@ -120,7 +121,7 @@
 		}
 		if version := g.Table().Version; version > m.Config {
 			if r.config == nil || r.config.config.Version != version {
-				return // just adopted, and r.config is not set yet: the reply must not confirm the requester's version
+				return // just adopted, and r.config is not set yet: the response must not confirm the requester's version
 			}
 			newer, updated = r.config, true
 		}
@@ -142,7 +143,7 @@
 	var err error
 	if a.Config, err = newer.packOnce(); err != nil {
 		r.server.log.Error("configuration_not_packed", "version", newer.config.Version, "error", err)
-		// Without the configuration, the reply must not confirm the requester's older one.
+		// Without the configuration, the response must not confirm the requester's older one.
 		return msg.SyncResponse{Number: m.Number, ConfigAge: -1}, true
 	}
 	return a, true
@@ -150,18 +151,18 @@
 
 // syncPoller polls another instance for updates while this one does not read the store.
 type syncPoller struct {
-	follower *follower
-	replies  chan syncReply
+	follower  *follower
+	responses chan syncResponse
 	// neededGroups returns the groups of divided services that this instance needs.
 	neededGroups func(*forward.Gate) []roster.Group
 	// wake interrupts a poll when another group is needed.
 	wake chan struct{}
-	// lastNumber is the number of the latest poll, by which its reply is recognised.
+	// lastNumber is the number of the latest poll, by which its response is recognised.
 	lastNumber int64
 }
 
-// syncReply is a reply to a poll and the instance that sent it.
-type syncReply struct {
+// syncResponse is a response to a poll and the instance that sent it.
+type syncResponse struct {
 	from string
 	msg.SyncResponse
 }
@@ -188,8 +189,8 @@
 	}
 }
 
-// poll polls one instance and applies its reply, which confirms the state as of the time at which
-// the poll was sent.
+// poll polls one instance and applies its response, which confirms the state as of the time at
+// which the poll was sent.
 func (a *syncPoller) poll(ctx context.Context, source string) {
 	a.lastNumber++
 	full := a.follower.isSource()
@@ -217,9 +218,9 @@
 		case <-timeout.C:
 			a.follower.sourceFailed(source, "no answer")
 			return
-		case got := <-a.replies:
+		case got := <-a.responses:
 			if got.from != source || got.Number != q.Number {
-				continue // late reply to an earlier poll
+				continue // late response to an earlier poll
 			}
 			a.apply(ctx, source, sentAt, got.SyncResponse, full)
 			return
@@ -227,11 +228,11 @@
 	}
 }
 
-// apply applies a source's reply; sentAt is the time at which the poll was sent, and full is set if
-// the poll requested the full list.
+// apply applies a source's response; sentAt is the time at which the poll was sent, and full is
+// set if the poll requested the full list.
 func (a *syncPoller) apply(ctx context.Context, source string, sentAt time.Time, m msg.SyncResponse, full bool) {
 	f := a.follower
-	if !f.sourceAnswered(source, m.ConfigAge) {
+	if !f.sourceResponded(source, m.ConfigAge) {
 		// During an outage the state of every instance is old. Other instances may be polled,
 		// with a backoff.
 		defer sleep(ctx, staleBackoff)
--- a/internal/hosted/relay_test.go
+++ b/internal/hosted/relay_test.go
@@ -27,26 +27,26 @@
 	}
 }
 
-// A new configuration is in force shortly before it can be sent to other instances. A reply at
+// A new configuration is in force shortly before it can be sent to other instances. A response at
 // that time must not confirm the older version that the requester has.
-func TestAReplyBeforeANewConfigurationCanBeSentConfirmsNothing(t *testing.T) {
+func TestAResponseBeforeANewConfigurationCanBeSentConfirmsNothing(t *testing.T) {
 	r := newTestRelay(4)
 	for name, c := range map[string]*sharedConfig{"missing": nil, "older than the one in force": {config: &route.Config{Version: 3}}} {
 		r.config = c
-		if a, _ := r.reply(msg.SyncRequest{Number: 1, Config: 3}); a.ConfigAge >= 0 || a.Config != nil {
-			t.Errorf("reply with the configuration to send %s = %+v, want neither a confirmation nor a configuration", name, a)
+		if a, _ := r.response(msg.SyncRequest{Number: 1, Config: 3}); a.ConfigAge >= 0 || a.Config != nil {
+			t.Errorf("response while the configuration to send is %s = %+v, want neither a confirmation nor a configuration", name, a)
 		}
 	}
 	r.config = &sharedConfig{config: &route.Config{Version: 4}}
-	a, updated := r.reply(msg.SyncRequest{Number: 2, Config: 3})
+	a, updated := r.response(msg.SyncRequest{Number: 2, Config: 3})
 	if !updated || a.ConfigAge < 0 {
-		t.Fatalf("reply to a requester with version 3 = %+v, updated = %v; want a confirmation and an update", a, updated)
+		t.Fatalf("response to a requester with version 3 = %+v, updated = %v; want a confirmation and an update", a, updated)
 	}
 	if c, err := a.Config.Unpack(); err != nil || c.Version != 4 {
-		t.Errorf("configuration in the reply = %+v, error %v; want version 4", c, err)
+		t.Errorf("configuration in the response = %+v, error %v; want version 4", c, err)
 	}
-	if a, updated := r.reply(msg.SyncRequest{Number: 3, Config: 4, Cordons: 1}); updated || a.ConfigAge < 0 || a.Config != nil {
-		t.Errorf("reply to a requester with version 4 = %+v, want a confirmation and no update", a)
+	if a, updated := r.response(msg.SyncRequest{Number: 3, Config: 4, Cordons: 1}); updated || a.ConfigAge < 0 || a.Config != nil {
+		t.Errorf("response to a requester with version 4 = %+v, want a confirmation and no update", a)
 	}
 }
 
@@ -65,8 +65,8 @@
 	for name, shared := range map[string]*sharedConfig{"read from the store": {config: c}, "received": {config: c, packed: received}} {
 		r := newTestRelay(4)
 		r.config = shared
-		first, _ := r.reply(msg.SyncRequest{Number: 1})
-		second, _ := r.reply(msg.SyncRequest{Number: 2})
+		first, _ := r.response(msg.SyncRequest{Number: 1})
+		second, _ := r.response(msg.SyncRequest{Number: 2})
 		if len(first.Config) == 0 || &first.Config[0] != &second.Config[0] {
 			t.Errorf("configuration %s: two receivers got different packed forms or an empty one, want one shared form", name)
 		}
--- a/internal/hosted/rows.go
+++ b/internal/hosted/rows.go
@@ -16,8 +16,8 @@
 	// start at the same time do not retry at the same time.
 	joinBackoff      = 500 * time.Millisecond
 	maxJoinDoublings = 3
-	// rowsInterval is the interval between reads of the rows by a relay, rowsDelayAlone the mean
-	// time without live peers after which any instance reads them.
+	// rowsInterval is the interval between reads of the rows by a relay. rowsDelayAlone is the
+	// mean time without live peers after which any instance reads the rows.
 	rowsInterval   = 2 * time.Minute
 	rowsDelayAlone = 8 * time.Second
 )
@@ -40,8 +40,9 @@
 
 // rowSchedule schedules reads of the instances' rows and writes of this instance's own row.
 type rowSchedule struct {
-	// lastRead is the time of the last access, aloneSince the time since which no peer is alive;
-	// zero for none.
+	// lastRead is the time of the last access to the rows, or zero if there was none. aloneSince
+	// is the time since which no peer is alive, counted anew after each access, or zero if a
+	// peer is alive.
 	lastRead   time.Time
 	aloneSince time.Time
 	// aloneTimeout is the time without live peers after which the rows are read.
--- a/internal/hosted/server.go
+++ b/internal/hosted/server.go
@@ -32,7 +32,8 @@
 	// to other instances.
 	leaving bool
 	// running holds the requests in progress by id. announcedAt is the time of the last
-	// announcement, announcedTo holds the instance to which it was sent by pool.
+	// announcement of running generations. announcedTo holds, by pool, the instance to which
+	// the announcement was sent.
 	running     map[string]*exchange
 	announcedAt time.Time
 	announcedTo map[string]string
--- a/internal/hosted/settings.go
+++ b/internal/hosted/settings.go
@@ -19,8 +19,8 @@
 	// Regions maps each data centre to its region.
 	Regions map[string]string
 	IP      string
-	// CallerAddress serves requests, ReadyAddress the platform's checks, DirectoryAddress
-	// directory requests.
+	// CallerAddress is the address for callers' requests, ReadyAddress that for the platform's
+	// readiness checks and DirectoryAddress that for directory requests.
 	CallerAddress    string
 	ReadyAddress     string
 	DirectoryAddress string
--- a/internal/hosted/source.go
+++ b/internal/hosted/source.go
@@ -68,9 +68,9 @@
 	return !f.watch.Skipped(boottime.Now(), watch.Store)
 }
 
-// sourceAnswered records the age of the state that a source confirms and reports whether the
+// sourceResponded records the age of the state that a source confirms and reports whether the
 // state is recent enough.
-func (f *follower) sourceAnswered(source string, age time.Duration) bool {
+func (f *follower) sourceResponded(source string, age time.Duration) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.watch.OnResponse(boottime.Now(), source, age, f.sources.FromRelay)
--- a/internal/peer/transport_test.go
+++ b/internal/peer/transport_test.go
@@ -77,7 +77,7 @@
 
 // A device between two instances has lost its state of their connection: the connection stays
 // open and discards all data, while new connections work. The sender can't detect this. The code
-// that waits for the reply resets the link, and the next message must arrive.
+// that waits for the response resets the link, and the next message must arrive.
 func TestResetReplacesSilentConnection(t *testing.T) {
 	a, b := newTestTransport(t, "a"), newTestTransport(t, "b")
 	r, err := relay.Start(b.Address())
@@ -128,7 +128,7 @@
 	b.next(t)
 }
 
-// A peer has ended. Frames queued for it must be dropped, as they would be too late later, and
+// A peer has ended. Frames queued for it must be dropped, as they would arrive too late, and
 // counted as lost. A peer that restarts under the same name must receive later messages.
 func TestDeadPeerCountsLostFrames(t *testing.T) {
 	a, b := newTestTransport(t, "a"), newTestTransport(t, "b")
--- a/internal/server/callers.go
+++ b/internal/server/callers.go
@@ -45,11 +45,12 @@
 	reasonWrongMethod = "wrong_method"
 )
 
-type callers struct{ d *daemon.Daemon }
+// callerAPI contains the HTTP handlers for callers.
+type callerAPI struct{ d *daemon.Daemon }
 
 // Callers returns the HTTP handler for callers.
 func Callers(d *daemon.Daemon) http.Handler {
-	s := &callers{d: d}
+	s := &callerAPI{d: d}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/entries", s.entries)
 	mux.HandleFunc("POST /v1/chat/completions", s.completions)
@@ -73,7 +74,7 @@
 	KeepSeconds float64 `json:"keep_seconds"`
 }
 
-func (s *callers) entries(w http.ResponseWriter, r *http.Request) {
+func (s *callerAPI) entries(w http.ResponseWriter, r *http.Request) {
 	e, err := s.d.Entries(r.Context(), apiKey(r))
 	if err != nil {
 		return // the caller has disconnected
@@ -81,23 +82,23 @@
 	writeJSON(w, http.StatusOK, entriesResponse{Addresses: e.Addresses, KeepSeconds: e.TTL.Seconds()})
 }
 
-func (s *callers) unknownPath(w http.ResponseWriter, _ *http.Request) {
+func (s *callerAPI) unknownPath(w http.ResponseWriter, _ *http.Request) {
 	s.refuse(w, http.StatusNotFound, reasonUnknownPath, "no such path; see GET /v1/entries, POST /v1/chat/completions, POST /v1/completions, GET /v1/stream, POST /v1/services/{service}/…")
 }
 
-func (s *callers) wrongMethod(allowed string) http.HandlerFunc {
+func (s *callerAPI) wrongMethod(allowed string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Allow", allowed)
 		s.refuse(w, http.StatusMethodNotAllowed, reasonWrongMethod, "this path takes "+allowed+" only")
 	}
 }
 
-func (s *callers) refuse(w http.ResponseWriter, status int, reason, detail string) {
+func (s *callerAPI) refuse(w http.ResponseWriter, status int, reason, detail string) {
 	s.d.Metrics().Count("refusals_total", reason)
 	writeProblem(w, problem{Status: status, Outcome: string(core.NotRun), Reason: reason, Step: "parse", Detail: detail})
 }
 
-func (s *callers) readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
+func (s *callerAPI) readBody(w http.ResponseWriter, r *http.Request) ([]byte, bool) {
 	rc := http.NewResponseController(w)
 	// A caller that stops in the middle of its body must not occupy a
 	// connection for ever. The zero time removes the read deadline after the body.
@@ -115,7 +116,7 @@
 }
 
 // completions handles POST /v1/completions and POST /v1/chat/completions.
-func (s *callers) completions(w http.ResponseWriter, r *http.Request) {
+func (s *callerAPI) completions(w http.ResponseWriter, r *http.Request) {
 	body, ok := s.readBody(w, r)
 	if !ok {
 		return
@@ -138,12 +139,12 @@
 	s.respond(w, r, id, sink, p.Stream)
 }
 
-func (s *callers) resume(w http.ResponseWriter, r *http.Request) {
+func (s *callerAPI) resume(w http.ResponseWriter, r *http.Request) {
 	id, sink := s.d.Resume(apiKey(r), r.Header.Get("Last-Event-ID"))
 	s.respond(w, r, id, sink, true)
 }
 
-func (s *callers) callService(w http.ResponseWriter, r *http.Request) {
+func (s *callerAPI) callService(w http.ResponseWriter, r *http.Request) {
 	body, ok := s.readBody(w, r)
 	if !ok {
 		return
--- a/internal/server/operators.go
+++ b/internal/server/operators.go
@@ -24,7 +24,8 @@
 	maxCordonBody = 64 << 10
 )
 
-type operators struct {
+// operatorAPI contains the HTTP handlers for operators.
+type operatorAPI struct {
 	d     *daemon.Daemon
 	store apply.Store
 }
@@ -32,7 +33,7 @@
 // Operators returns the HTTP handler for operators: metrics, status, explain, configuration,
 // apply, cordons and drain.
 func Operators(d *daemon.Daemon, store apply.Store) http.Handler {
-	s := &operators{d: d, store: store}
+	s := &operatorAPI{d: d, store: store}
 	mux := http.NewServeMux()
 	mux.Handle("GET /debug/vars", d.Metrics())
 	mux.HandleFunc("GET /v1/status", s.status)
@@ -45,7 +46,7 @@
 	return mux
 }
 
-func (s *operators) status(w http.ResponseWriter, r *http.Request) {
+func (s *operatorAPI) status(w http.ResponseWriter, r *http.Request) {
 	st, err := s.d.Status(r.Context())
 	if err != nil {
 		return // the operator has disconnected
@@ -53,7 +54,7 @@
 	writeJSON(w, http.StatusOK, st)
 }
 
-func (s *operators) explain(w http.ResponseWriter, r *http.Request) {
+func (s *operatorAPI) explain(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), operatorTimeout)
 	defer cancel()
 	lines, err := s.d.Explain(ctx, r.PathValue("request"))
@@ -64,7 +65,7 @@
 	writeJSON(w, http.StatusOK, lines)
 }
 
-func (s *operators) apply(w http.ResponseWriter, r *http.Request) {
+func (s *operatorAPI) apply(w http.ResponseWriter, r *http.Request) {
 	var req apply.Request
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxConfigBody)).Decode(&req); err != nil {
 		writeJSON(w, http.StatusBadRequest, apply.Result{Failed: "nothing was applied: decode request: " + err.Error()})
@@ -83,7 +84,7 @@
 // applyLocally passes an accepted configuration change to this instance at once. If the apply
 // request was a repeat, a newer configuration may be in force by now; the instance compares the
 // numbers.
-func (s *operators) applyLocally(p core.ConfigPointer, files []config.File) {
+func (s *operatorAPI) applyLocally(p core.ConfigPointer, files []config.File) {
 	cfg, err := config.Parse(files)
 	if err != nil {
 		return // apply has already refused files that don't parse
@@ -95,7 +96,7 @@
 
 // cordon handles a request to change the cordons. Accepted changes are announced to the other
 // instances at once.
-func (s *operators) cordon(w http.ResponseWriter, r *http.Request) {
+func (s *operatorAPI) cordon(w http.ResponseWriter, r *http.Request) {
 	var req apply.CordonRequest
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxCordonBody)).Decode(&req); err != nil {
 		writeJSON(w, http.StatusBadRequest, apply.Result{Failed: "nothing was changed: decode request: " + err.Error()})
@@ -112,7 +113,7 @@
 }
 
 // cordons returns this instance's view of the cordoned data centres.
-func (s *operators) cordons(w http.ResponseWriter, r *http.Request) {
+func (s *operatorAPI) cordons(w http.ResponseWriter, r *http.Request) {
 	st, err := s.d.Status(r.Context())
 	if err != nil {
 		return // the operator has disconnected
@@ -120,7 +121,7 @@
 	writeJSON(w, http.StatusOK, st.Cordons)
 }
 
-func (s *operators) config(w http.ResponseWriter, r *http.Request) {
+func (s *operatorAPI) config(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), operatorTimeout)
 	defer cancel()
 	number, cfg, err := apply.Current(ctx, s.store)
@@ -131,7 +132,7 @@
 	writeJSON(w, http.StatusOK, apply.InForce{Number: number, Config: cfg})
 }
 
-func (s *operators) drain(w http.ResponseWriter, _ *http.Request) {
+func (s *operatorAPI) drain(w http.ResponseWriter, _ *http.Request) {
 	s.d.Drain()
 	w.WriteHeader(http.StatusAccepted)
 }
--- a/internal/server/stream.go
+++ b/internal/server/stream.go
@@ -21,7 +21,7 @@
 
 // respond writes the request's tokens and outcome to the caller until the request ends or the
 // caller disconnects.
-func (s *callers) respond(w http.ResponseWriter, r *http.Request, id string, sink *daemon.Sink, stream bool) {
+func (s *callerAPI) respond(w http.ResponseWriter, r *http.Request, id string, sink *daemon.Sink, stream bool) {
 	defer s.d.Leave(id, sink)
 	w.Header().Set(HeaderRequestID, id)
 	out := &streamWriter{w: w, rc: http.NewResponseController(w), id: id}
@@ -41,7 +41,7 @@
 		}
 		tokens, finish := sink.Take()
 		if sink.Overflowed() {
-			return // cut off: the caller may resume after the last event that it read
+			return // the response is broken off; the caller may resume after the last event that it read
 		}
 		for _, t := range tokens {
 			if out.token(t) != nil {
@@ -60,7 +60,7 @@
 
 // writeOutcome sends the end of a response: as the terminal event of a stream, as a problem
 // document or as a complete JSON response.
-func (s *callers) writeOutcome(w http.ResponseWriter, out *streamWriter, id string, f *core.Finish, stream bool) {
+func (s *callerAPI) writeOutcome(w http.ResponseWriter, out *streamWriter, id string, f *core.Finish, stream bool) {
 	switch {
 	case out.headerSent || stream && f.Outcome == core.Done:
 		_ = out.end(f) // an error means that the caller has disconnected
--- a/internal/upstream/order.go
+++ b/internal/upstream/order.go
@@ -41,7 +41,7 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+o.Address+"/orders", bytes.NewReader(body))
 	if err != nil {
-		return false, fmt.Errorf("make order for %s: %w", o.Upstream, err)
+		return false, fmt.Errorf("make request for order to %s: %w", o.Upstream, err)
 	}
 	req.GetBody = nil
 	// The process may have been paused since the core issued the order. An order
--- a/internal/upstream/upstream.go
+++ b/internal/upstream/upstream.go
@@ -23,7 +23,7 @@
 )
 
 const (
-	// pollTimeout is the timeout of a load poll, cancelTimeout that of a cancel.
+	// pollTimeout is the timeout of a load poll, cancelTimeout that of a request to cancel.
 	pollTimeout   = 600 * time.Millisecond
 	cancelTimeout = 2 * time.Second
 	// maxResponse is the maximum number of bytes read from the response body of a plain service.
@@ -59,7 +59,7 @@
 // trackedCall is a call in progress that can be cancelled.
 type trackedCall struct{ cancel context.CancelFunc }
 
-// NewClient returns a caller that passes its events to sink.
+// NewClient returns a client that passes its events to sink.
 func NewClient(sink func(core.Event)) *Client {
 	dialer := conn.Dialer()
 	return &Client{
@@ -143,8 +143,8 @@
 	}
 }
 
-// Cancel requests an engine to stop a generation. If the request is lost, the pool's home makes
-// up for it: it cancels generations that no entry announces.
+// Cancel requests an engine to stop a generation. If the request is lost, the pool's home
+// cancels the generation, as it does with every generation that no entry announces.
 func (c *Client) Cancel(ctx context.Context, address, attempt string) error {
 	ctx, cancel := context.WithTimeout(ctx, cancelTimeout)
 	defer cancel()
