--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -35,6 +35,6 @@
 		t.Errorf("Report.Clean() = false, want true: %s", r.Line())
 	}
 	if got := r.Done + r.NotRun + r.Partial + r.Unknown; got != r.Requests {
-		t.Errorf("outcomes = %d, want %d, one for each request", got, r.Requests)
+		t.Errorf("number of outcomes = %d, want %d, one for each request", got, r.Requests)
 	}
 }
--- a/internal/demo/faults.go
+++ b/internal/demo/faults.go
@@ -43,9 +43,9 @@
 	}
 }
 
-// startFaults injects the faults while requests run. The function that it returns waits
-// until all are injected, or the context ends, and returns the descriptions of the injected
-// ones.
+// startFaults injects the faults while requests run. It returns a function that waits until
+// all faults are injected or the context ends, and then returns the descriptions of the
+// injected faults.
 func startFaults(ctx context.Context, f *Fleet, o Options) func() []string {
 	span := time.Duration(o.Requests) * meanArrivalInterval
 	var injected []string
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -1,4 +1,4 @@
-// Package demo starts a whole deployment on loopback TCP inside one process,
+// Package demo starts a complete deployment on loopback TCP inside one process,
 // sends a mix of generations and bookings through the public client, and compares
 // the results that the callers got with the records of the stand-ins.
 package demo
@@ -34,7 +34,7 @@
 	readyTimeout = 10 * time.Second
 )
 
-// Fleet is a whole deployment in one process.
+// Fleet is a complete deployment in one process.
 type Fleet struct {
 	Platform  *platform.Platform
 	Engines   []*Engine
@@ -87,7 +87,7 @@
 	// Engine holds the settings of all engines; each gets its own Name and OnCrash.
 	Engine engine.Settings
 	// Relays puts a relay in front of each engine and each instance, so that their
-	// connections can be cut and silenced.
+	// connections can be broken off and silenced.
 	Relays bool
 	// Log receives the instances' log. Nil discards it.
 	Log hclog.Logger
@@ -185,8 +185,8 @@
 	return listened
 }
 
-// Kill stops an instance without a shutdown, as far as possible within one process, and
-// waits until it has stopped.
+// Kill stops an instance without an orderly shutdown, as far as possible within one process,
+// and waits until the instance has stopped.
 func (i *Instance) Kill() {
 	i.Daemon.Kill()
 	i.cancel()
--- a/internal/demo/report.go
+++ b/internal/demo/report.go
@@ -10,8 +10,9 @@
 	"mulberrylug.example/mulberrylug/internal/standin/engine"
 )
 
-// Report is the result of a demo run. Outcomes and reasons are those that the callers got;
-// the other counts compare the callers' results with the stand-ins' records.
+// Report is the result of a demo run. Done, NotRun, Partial, Unknown and Reasons are the
+// outcomes and reasons that the callers got. The other counts come from a comparison of the
+// callers' results with the stand-ins' records.
 type Report struct {
 	Requests         int            `json:"requests"`
 	Done             int            `json:"done"`
@@ -83,7 +84,7 @@
 // records holds the work that the stand-ins executed.
 type records struct {
 	generations []engine.Record
-	// byHash maps the hash at the start of each token's text to its generation.
+	// byHash maps the hash at the start of each token's text to the token's generation.
 	byHash map[string]engine.Record
 	// prompts holds the number of generations by prompt text.
 	prompts map[string]int
@@ -118,15 +119,15 @@
 // verifyBooking checks that the booking was executed at most once, not at all if the
 // outcome is not_run, and that the caller got its own response.
 func (r *Report) verifyBooking(a result, recs records) {
-	runs := recs.bookings[a.key]
+	executions := recs.bookings[a.key]
 	r.BookingsAsked++
-	if runs > 0 {
+	if executions > 0 {
 		r.BookingsRun++
 	}
-	if runs > 1 {
+	if executions > 1 {
 		r.BookingsRunTwice++
 	}
-	if runs > 0 && a.outcome == client.NotRun {
+	if executions > 0 && a.outcome == client.NotRun {
 		r.NotRunButRan++
 	}
 	if a.outcome == client.Done && recs.keyByResponse[string(a.body)] != a.key {
--- a/internal/demo/run.go
+++ b/internal/demo/run.go
@@ -21,8 +21,8 @@
 	// unstreamedShare is the fraction of the generations that are requested as one
 	// response. The others are streamed.
 	unstreamedShare = 0.2
-	// tightInterval is n where every n-th request is a streamed generation of the
-	// organisation with the tight limit, whatever the fractions above say.
+	// tightInterval is the number n for which every n-th request is a streamed generation
+	// of the organisation with the tight limit, regardless of the fractions above.
 	tightInterval = 25
 	// meanArrivalInterval is the mean time between the starts of two requests.
 	meanArrivalInterval = 15 * time.Millisecond
@@ -54,7 +54,7 @@
 type result struct {
 	// booking is set for a booking. The request is a generation otherwise.
 	booking bool
-	// key is the key of a booking.
+	// key is the idempotency key of a booking.
 	key string
 	// prompt is the prompt of a generation.
 	prompt string
@@ -90,19 +90,19 @@
 	return r, err
 }
 
-// callers holds the clients of the demo's organisations.
-type callers struct {
+// clients holds the clients of the demo's organisations.
+type clients struct {
 	ample, tight *client.Client
 	// seeds holds the addresses of the instances, for requests without the client.
 	seeds []string
 }
 
-func newCallers(f *Fleet) *callers {
+func newClients(f *Fleet) *clients {
 	seeds := f.Seeds()
-	return &callers{
+	return &clients{
 		ample: client.New(client.Options{Seeds: seeds, APIKey: ample.key, Retries: maxRetries}),
-		// No retries: a refusal for a used-up spend limit permits a retry only in the
-		// next accounting period, after the end of the run.
+		// This client does not retry: a refusal for a used-up spend limit permits a retry
+		// only in the next accounting period, after the end of the run.
 		tight: client.New(client.Options{Seeds: seeds, APIKey: tight.key}),
 		seeds: seeds,
 	}
@@ -129,10 +129,10 @@
 	return jobs
 }
 
-// drive sends the requests at the times that the seed determines and returns their results
-// by request number.
+// drive sends the requests at the times that the seed determines and returns the results of
+// the requests by request number.
 func drive(ctx context.Context, f *Fleet, o Options) []result {
-	c := newCallers(f)
+	c := newClients(f)
 	results := make([]result, o.Requests)
 	var wg sync.WaitGroup
 	var mu sync.Mutex
@@ -156,7 +156,7 @@
 }
 
 // send sends one request and returns its result.
-func (c *callers) send(ctx context.Context, j job) result {
+func (c *clients) send(ctx context.Context, j job) result {
 	switch {
 	case j.n%tightInterval == tightInterval-1:
 		return generate(ctx, c.tight, tight, j)
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -21,13 +21,13 @@
 // confidence is the confidence level of the interval of a difference.
 const confidence = 0.95
 
-// Paired compares a figure of one variant with that of another on the same seeds.
+// Paired is the comparison of a figure of two variants on the same seeds.
 type Paired struct {
-	// Mean is the mean of the second variant's figures.
+	// Mean is the mean of the figures of the second variant.
 	Mean float64
-	// Diff is the mean of the differences, the second variant's figure minus the first's for
-	// each seed. Margin is half the width of the confidence interval of Diff, infinite for a
-	// single pair.
+	// Diff is the mean over the seeds of the second variant's figure minus the first variant's
+	// figure. Margin is half the width of the confidence interval of Diff; it is infinite for
+	// a single pair.
 	Diff    float64
 	Margin  float64
 	Verdict Verdict
--- a/internal/experiment/compare_test.go
+++ b/internal/experiment/compare_test.go
@@ -30,12 +30,12 @@
 func TestMarginOfAPairedDifference(t *testing.T) {
 	p := Compare([]float64{0, 0, 0}, []float64{1, 2, 3}, true)
 	if want := 4.3027 / math.Sqrt(3); p.Diff != 2 || math.Abs(p.Margin-want) > 1e-3 {
-		t.Errorf("got %+v, want a difference of 2 +- %.4f", p, want)
+		t.Errorf("differences 1, 2 and 3: got %+v, want a mean difference of 2 and a margin of %.4f", p, want)
 	}
 }
 
 func TestSinglePairShowsNoDifference(t *testing.T) {
 	if p := Compare([]float64{1}, []float64{2}, true); p.Verdict != NoDifference || !math.IsInf(p.Margin, 1) {
-		t.Errorf("got %+v, want no difference and an infinite margin", p)
+		t.Errorf("single pair: got %+v, want verdict NoDifference and an infinite margin", p)
 	}
 }
--- a/internal/experiment/experiment.go
+++ b/internal/experiment/experiment.go
@@ -1,5 +1,5 @@
 // Package experiment compares placement policies in virtual time on a workload that a YAML
-// file describes, and writes their figures as tables and plots.
+// file describes, and writes the measured results as tables and plots.
 package experiment
 
 import (
@@ -22,17 +22,18 @@
 	Name string `yaml:"name" validate:"required"`
 	// Variants run on the same workload; each is compared with the first.
 	Variants []Variant `yaml:"variants" validate:"required,min=1,dive"`
-	// Length is how long requests arrive, Rate their number per second.
+	// Length is how long requests arrive, Rate the number of requests per second.
 	Length time.Duration `yaml:"length" validate:"gt=0"`
 	Rate   float64       `yaml:"rate" validate:"gt=0"`
 	// Entries is the number of instances that callers are connected to.
 	Entries int `yaml:"entries" validate:"gt=0"`
 	// Organisations is the number of organisations that send requests of all kinds; a few of
-	// them send most. If it is 0, each kind of request is an organisation.
+	// them send most of the requests. If it is 0, each kind of request has its own
+	// organisation.
 	Organisations int `yaml:"organisations" validate:"gte=0"`
 	// MaxWait is the longest time that a request may queue. MaxOutput limits each response in
 	// tokens. HintSigma is the sigma of the log-normal error of the callers' estimates of
-	// their outputs; 0 means that they give none.
+	// their outputs; 0 means that the callers give no estimates.
 	MaxWait   time.Duration `yaml:"max_wait" validate:"gt=0"`
 	MaxOutput int           `yaml:"max_output" validate:"gt=0"`
 	HintSigma float64       `yaml:"hint_sigma" validate:"gte=0"`
@@ -53,7 +54,7 @@
 	// Name is the name of the policy by default.
 	Name   string `yaml:"name"`
 	Policy string `yaml:"policy" validate:"required"`
-	// Without lists the mechanisms of the home to disable. Default none.
+	// Without lists the mechanisms of the home to disable. By default none is disabled.
 	Without mechanisms `yaml:"without"`
 	// Ways lists decision=way for decisions that the home makes in a way other than the
 	// default.
@@ -95,7 +96,7 @@
 type Engines struct {
 	Count int `yaml:"count" validate:"gt=0"`
 	// Capacity is the memory of an engine in tokens, Batch the maximum number of generations
-	// that run together, Chunk the maximum number of prompt tokens computed in one step.
+	// that run together, and Chunk the maximum number of prompt tokens that one step computes.
 	Capacity int `yaml:"capacity" validate:"gt=0"`
 	Batch    int `yaml:"batch" validate:"gt=0"`
 	Chunk    int `yaml:"chunk" validate:"gt=0"`
@@ -104,8 +105,8 @@
 	Step           time.Duration `yaml:"step" validate:"gt=0"`
 	PerGeneration  time.Duration `yaml:"per_generation"`
 	PerPromptToken time.Duration `yaml:"per_prompt_token"`
-	// Slowness lists factors for the durations, which the engines get in rotation. An empty
-	// list means 1 for all.
+	// Slowness lists factors for the durations. The engines get the factors in rotation. An
+	// empty list means 1 for all engines.
 	Slowness []float64 `yaml:"slowness"`
 }
 
@@ -128,11 +129,11 @@
 	Worth       float64       `yaml:"worth"`
 	LateShare   float64       `yaml:"late_share" validate:"gte=0,lte=1"`
 	FirstTarget time.Duration `yaml:"first_target"`
-	// Repeatable makes requests be sent once more if they are lost.
+	// Repeatable is set if requests are sent once more when they are lost.
 	Repeatable bool `yaml:"repeatable"`
 }
 
-// Slowing makes engines slow for a while, see trial.Slowing. Every 0 means never.
+// Slowing makes engines slow for a while, see trial.Slowing. If Every is 0, it never happens.
 type Slowing struct {
 	First  time.Duration `yaml:"first"`
 	Every  time.Duration `yaml:"every"`
@@ -141,29 +142,31 @@
 	Factor float64       `yaml:"factor"`
 }
 
-// Shutdown ends all instances at the same time; they are back after Down. At 0 means never.
+// Shutdown ends all instances at the same time; they are back after Down. If At is 0, it never
+// happens.
 type Shutdown struct {
 	At   time.Duration `yaml:"at"`
 	Down time.Duration `yaml:"down"`
 }
 
-// EntryLoss makes a fraction of the instances lose power for Down. At 0 means never.
+// EntryLoss makes a fraction of the instances lose power for Down. If At is 0, it never happens.
 type EntryLoss struct {
 	At    time.Duration `yaml:"at"`
 	Share float64       `yaml:"share" validate:"gte=0,lt=1"`
 	Down  time.Duration `yaml:"down"`
 }
 
-// Cordoning cordons the first data centre for a while; For 0 means never. With Restart the
-// data centre's engines are replaced when the cordon is lifted, and generations that still run
-// on them are lost.
+// Cordoning cordons the first data centre for a while; if For is 0, it never happens. If
+// Restart is set, the data centre's engines are replaced when the cordon is lifted, and
+// generations that still run on them are lost.
 type Cordoning struct {
 	First   time.Duration `yaml:"first"`
 	For     time.Duration `yaml:"for"`
 	Restart bool          `yaml:"restart"`
 }
 
-// Leaving makes engines leave at short notice, see trial.Leaving. Every 0 means never.
+// Leaving makes engines leave at short notice, see trial.Leaving. If Every is 0, it never
+// happens.
 type Leaving struct {
 	First   time.Duration `yaml:"first"`
 	Every   time.Duration `yaml:"every"`
@@ -174,7 +177,7 @@
 }
 
 // Failing makes engines fail a fraction of their requests while their health checks pass, see
-// trial.Failing. Every 0 means never.
+// trial.Failing. If Every is 0, it never happens.
 type Failing struct {
 	First time.Duration `yaml:"first"`
 	Every time.Duration `yaml:"every"`
@@ -184,7 +187,7 @@
 	After time.Duration `yaml:"after"`
 }
 
-// Crashes makes engines end without notice, see trial.Crashes. Every 0 means never.
+// Crashes makes engines end without notice, see trial.Crashes. If Every is 0, it never happens.
 type Crashes struct {
 	First   time.Duration `yaml:"first"`
 	Every   time.Duration `yaml:"every"`
@@ -213,7 +216,7 @@
 // homePolicy is the name of the policy that runs the production home of a pool.
 const homePolicy = "home"
 
-// maker returns the policy of a variant.
+// maker returns the Maker of a variant's policy.
 func (v Variant) maker() (trial.Maker, error) {
 	name := cmp.Or(v.Name, v.Policy)
 	if v.Policy == homePolicy {
@@ -253,7 +256,8 @@
 	return f, nil
 }
 
-// makers returns the policies of the variants. Two variants of the same name are an error.
+// makers returns the Makers of the variants' policies. Two variants of the same name are an
+// error.
 func (f *File) makers() ([]trial.Maker, error) {
 	var out []trial.Maker
 	for _, v := range f.Variants {
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -26,10 +26,10 @@
 }
 
 // Two of twelve engines leave every 3.3 s with 1.7 s of notice, under eleven requests per
-// second. Without moves one response in nine breaks off. Moves that all entries make at the same
-// time queue on the links, and streams pause for seconds. One home that orders the moves must
-// save nearly all responses, with gaps that no reader notices. The limits leave room for the
-// variation between seeds.
+// second. Without moves one response in nine is broken off. Moves that all entries make at the
+// same time queue on the links, and streams pause for seconds. One home that orders the moves
+// must save nearly all responses, with gaps that no user notices. The limits leave room for
+// the variation between seeds.
 func TestOrderedMovesSaveGenerationsOfLeavingEngines(t *testing.T) {
 	rows, err := loadExample(t).Run(3, func(int, int) {})
 	if err != nil {
@@ -42,7 +42,7 @@
 	}
 	stay, atOnce, home, homeStay := byVariant["alone_stay"], byVariant["alone_all_at_once"], byVariant["home"], byVariant["home_stay"]
 	if stay.Lost < 0.08 || homeStay.Lost < 0.08 {
-		t.Errorf("fraction lost without moves = %.3f and %.3f, want at least 0.08: the workload does not test moves", stay.Lost, homeStay.Lost)
+		t.Errorf("fraction lost: alone_stay = %.3f, home_stay = %.3f; want both at least 0.08, otherwise the workload does not test moves", stay.Lost, homeStay.Lost)
 	}
 	if home.Lost > 0.01 || home.InTime < 0.97 {
 		t.Errorf("home: fraction lost = %.3f, want at most 0.01; in time = %.3f, want at least 0.97", home.Lost, home.InTime)
@@ -51,17 +51,17 @@
 		t.Errorf("home: p99 of longest gaps = %v, want at most 100 ms", home.Result.LongestP99)
 	}
 	if atOnce.Result.LongestP99 < 5*home.Result.LongestP99 || atOnce.Lost > stay.Lost {
-		t.Errorf("all at once: p99 of longest gaps = %v, want at least 5 times that of home; fraction lost = %.3f, want at most that of alone_stay", atOnce.Result.LongestP99, atOnce.Lost)
+		t.Errorf("alone_all_at_once: p99 of longest gaps = %v, want at least 5 times that of home; fraction lost = %.3f, want at most that of alone_stay", atOnce.Result.LongestP99, atOnce.Lost)
 	}
 	if herd := byVariant["herd_stay"]; herd.InTime > stay.InTime-0.1 {
-		t.Errorf("fraction in time by delayed reports = %.3f, by own counts = %.3f; want the first lower by at least 0.1", herd.InTime, stay.InTime)
+		t.Errorf("fraction in time: herd_stay = %.3f, alone_stay = %.3f; want herd_stay lower by at least 0.1", herd.InTime, stay.InTime)
 	}
 }
 
 // Two of twelve engines at a time fail two in five requests half a second after receipt, while
 // their health checks pass. A failed request frees its engine, which then looks idle. Entries
 // that place by running requests send these engines more than their share of a sixth and lose
-// about 0.06 of all requests. The home counts failures and loses half of that.
+// about 0.06 of all requests. The home counts failures and loses half as many.
 func TestHomeAvoidsFailingEngines(t *testing.T) {
 	rows, err := loadFile(t, "../../examples/experiments/failing-engines.yaml").Run(3, func(int, int) {})
 	if err != nil {
@@ -73,12 +73,12 @@
 		t.Logf("%-18s in time %.3f lost %.3f", r.Variant, r.InTime, r.Lost)
 	}
 	if alone := byVariant["alone_stay"].Lost; alone < 0.05 || byVariant["home"].Lost > 0.65*alone {
-		t.Errorf("fraction lost by entries alone = %.3f, want at least 0.05; by the home = %.3f, want at most 0.65 of the former", alone, byVariant["home"].Lost)
+		t.Errorf("fraction lost: alone_stay = %.3f, want at least 0.05; home = %.3f, want at most 0.65 of that of alone_stay", alone, byVariant["home"].Lost)
 	}
 }
 
-// An engine crashes every three seconds, without notice. Only the requests that run on it may
-// be lost, under either policy, and each request must have an outcome.
+// An engine crashes every three seconds, without notice. Under either policy, only the requests
+// that run on the engine may be lost, and each request must have an outcome.
 func TestCrashesLoseOnlyRunningRequests(t *testing.T) {
 	f := loadExample(t)
 	f.Leaving, f.Variants = Leaving{}, []Variant{{Policy: "alone_stay"}, {Policy: "home"}}
@@ -127,15 +127,15 @@
 	}
 	files, err := Plots(filepath.Join(t.TempDir(), "plots"), f.Name, rows)
 	if err != nil || len(files) != 5 {
-		t.Fatalf("Plots = %v, %v; want 5 files", files, err)
+		t.Fatalf("Plots = %v, error %v; want 5 files and no error", files, err)
 	}
 	for _, file := range files {
 		if info, err := os.Stat(file); err != nil || info.Size() < 1000 {
-			t.Errorf("%s: want a file of at least 1000 bytes, error %v", file, err)
+			t.Errorf("%s: error = %v, want a file of at least 1000 bytes", file, err)
 		}
 	}
 	var b strings.Builder
 	if err := Table(&b, rows); err != nil || strings.Count(b.String(), "\n") != 7 {
-		t.Errorf("table = %q, error %v; want 7 lines", b.String(), err)
+		t.Errorf("table = %q, error %v; want 7 lines and no error", b.String(), err)
 	}
 }
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -15,8 +15,8 @@
 	barWidth   = 70
 )
 
-// Plots writes one PNG bar chart for each figure into a directory, which it creates if needed,
-// and returns the paths of the files.
+// Plots writes one bar chart for each of several measured values, as PNG files, into a directory,
+// which it creates if needed. It returns the paths of the files.
 func Plots(dir, name string, rows []Row) ([]string, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, fmt.Errorf("create directory for plots: %w", err)
--- a/internal/experiment/run.go
+++ b/internal/experiment/run.go
@@ -10,18 +10,18 @@
 	"mulberrylug.example/mulberrylug/internal/trial"
 )
 
-// Row holds the figures of one variant. Figures are medians over the seeds unless stated
+// Row holds the measured results of one variant: medians over the seeds unless stated
 // otherwise.
 type Row struct {
 	Variant string
-	// Sent is the number of requests, InTime the fraction that was answered completely and on
-	// time, Lost the fraction that broke off.
+	// Sent is the number of requests, InTime the fraction of them with a complete response on
+	// time, and Lost the fraction whose response was broken off.
 	Sent   int
 	InTime float64
 	Lost   float64
 	Result trial.Result
 	// Earned is the mean fraction of the value that callers received, LostWorth the mean
-	// fraction lost by each fate.
+	// fraction of the value lost by each fate.
 	Earned    float64
 	LostWorth map[trial.Fate]float64
 	// Gain and Exposure compare Earned and the time in flight in seconds with those of the
@@ -30,8 +30,8 @@
 	Exposure Paired
 }
 
-// Run runs each variant with seeds 1 to seeds, on all processors. After each run it calls
-// progress with the numbers of completed and of all runs.
+// Run runs each variant with the seeds from 1 to the number seeds, on all processors. After
+// each run it calls progress with the number of completed runs and the number of all runs.
 func (f *File) Run(seeds int, progress func(done, all int)) ([]Row, error) {
 	makers, err := f.makers()
 	if err != nil {
@@ -78,7 +78,7 @@
 	return out
 }
 
-// values returns one figure of each result.
+// values returns one figure for each result.
 func values(list []trial.Result, of func(trial.Result) float64) []float64 {
 	var out []float64
 	for _, r := range list {
@@ -87,7 +87,8 @@
 	return out
 }
 
-// sentRequests returns the number of requests in a run, without those refused for good.
+// sentRequests returns the number of requests in a run, without the requests that were refused
+// and not sent again.
 func sentRequests(r trial.Result) int { return r.Done + r.Partial + r.Unanswered }
 
 // medianShare returns the median over the runs of a count as a fraction of the requests sent.
@@ -97,8 +98,8 @@
 	return parts[len(parts)/2]
 }
 
-// Table writes two tables with a line for each row: the figures, and the percentage of the
-// value lost by each fate.
+// Table writes two tables with a line for each row: the measured results, and the percentage
+// of the value lost by each fate.
 func Table(out io.Writer, rows []Row) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "variant\tsent\tworth %\tin flight s\tin time %\tlost %\tms a token\tmoved\tno run\tpreempted\tstall s\tfirst p50/p99 ms\tgap p99/longest p99 ms\trefused\t")
@@ -128,7 +129,7 @@
 	return nil
 }
 
-// Verdicts writes, for each variant but the first, how it compares with the first.
+// Verdicts writes, for each variant but the first, how it compares with the first variant.
 func Verdicts(out io.Writer, rows []Row) error {
 	for _, r := range rows[1:] {
 		_, err := fmt.Fprintf(out, "%s against %s: worth %s (%+.2f points, 95 %% between %+.2f and %+.2f), time in flight %s (%+.2f s, %+.2f to %+.2f)\n",
--- a/internal/proctest/deployment_test.go
+++ b/internal/proctest/deployment_test.go
@@ -27,7 +27,7 @@
 	engineCount   = 3
 	dataCentre    = "kochi-a"
 	// medianTokens is the median length of a generation. At 10 ms per token, streams take
-	// seconds, longer than callers cache the list of instances.
+	// seconds, which is longer than callers cache the list of instances.
 	medianTokens = "250"
 )
 
@@ -121,7 +121,7 @@
 	return p
 }
 
-// waitReady waits until each instance has a configuration and has discovered all others.
+// waitReady waits until each instance has a configuration and lists all instances.
 func (d *deployment) waitReady(t *testing.T) {
 	t.Helper()
 	for _, p := range d.instances {
--- a/internal/proctest/hosted_cordon_test.go
+++ b/internal/proctest/hosted_cordon_test.go
@@ -25,7 +25,8 @@
 	stop chan struct{}
 	wg   sync.WaitGroup
 	mu   sync.Mutex
-	// slowestRefusal is the longest wait for a refusal; statuses counts responses by status.
+	// slowestRefusal is the longest wait for a refusal; statuses holds the number of responses
+	// by status.
 	slowestRefusal time.Duration
 	statuses       map[int]int
 }
@@ -33,7 +34,7 @@
 // trafficCount makes the request ids of each traffic unique.
 var trafficCount atomic.Int64
 
-// startTraffic starts one caller per instance, each with a request per interval.
+// startTraffic starts one caller per instance. Each caller sends a request per interval.
 func (f *fixture) startTraffic(interval time.Duration) *traffic {
 	l := &traffic{stop: make(chan struct{}), statuses: map[int]int{}}
 	run := trafficCount.Add(1)
@@ -72,8 +73,8 @@
 	l.wg.Wait()
 }
 
-// arrivalsAfter returns the requests that arrived in a data centre more than within after since, and the
-// time from since to the last arrival there.
+// arrivalsAfter returns the requests that arrived in a data centre later than within after the time
+// since, and how long after since the last request arrived there.
 func (f *fixture) arrivalsAfter(dc string, since time.Time, within time.Duration) (late []hosting.Arrival, last time.Duration) {
 	for _, k := range append(append([]*hosting.Worker{}, f.pool...), f.desk...) {
 		if k.Zone != dc {
@@ -92,13 +93,14 @@
 
 // A data centre is cordoned under load while the store has no faults, is slow, stops responding, has
 // lost its history or refuses some instances, and while all instances are killed right after. After
-// 2 s no request may reach the data centre, whatever the source of an instance's state; requests that
-// run there must complete; and it must be used again once the cordon is lifted.
+// 2 s no request may reach the data centre, whatever the source of an instance's state. Requests that
+// run there must complete, and the data centre must be used again once the cordon is lifted.
 func TestHostedCordon(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
 		name string
-		// before is called right before the row is written, after once an instance has read it.
+		// before is called right before the cordon's row is written, after once an instance has
+		// applied the cordon.
 		before, after func(*testing.T, *fixture)
 	}{
 		{name: "store without faults"},
@@ -152,7 +154,7 @@
 				generations.Wait()
 				for _, r := range results {
 					if r.status != http.StatusOK || r.truncated {
-						t.Errorf("a generation that ran at the cordon ended with status %d, truncated %v; want it complete", r.status, r.truncated)
+						t.Errorf("a generation that ran at the cordon ended with status %d, truncated %v; want status 200 and a complete stream", r.status, r.truncated)
 					}
 				}
 			}
@@ -202,9 +204,9 @@
 	}
 }
 
-// An operator's tool writes a row of an unknown form, and one for a data centre that does not exist.
-// The first must cordon the data centre in its key, and the second must change nothing. Both must be
-// logged once.
+// An operator's tool writes a row of an unknown form, and a row for a data centre that does not
+// exist. The first row must cordon the data centre in its key, and the second must change nothing.
+// Both must be logged, the first one at most once by each instance.
 func TestHostedInvalidCordons(t *testing.T) {
 	t.Parallel()
 	f := newFixtureWithDataCentres(t, threeDataCentres, 1, nil)
@@ -215,7 +217,7 @@
 	})
 	time.Sleep(time.Second)
 	if n := len(logLines(f.procs, "event=cordon_unreadable")); n < 1 {
-		t.Error("no instance logged the row that can't be decoded")
+		t.Error("no instance logged the row that can't be decoded, want at least one")
 	}
 	for _, p := range f.procs {
 		if n := len(logLines([]*process{p}, "event=cordon_unreadable")); n > 1 {
@@ -223,11 +225,11 @@
 		}
 	}
 	if n := len(logLines(f.procs, "event=cordon_of_unknown_data_centre")); n < 1 {
-		t.Error("no instance logged the data centre that does not exist")
+		t.Error("no instance logged the data centre that does not exist, want at least one")
 	}
 	for k, m := range f.machines {
 		if r := f.do(m, lookUp(fmt.Sprintf("l%d", k))); r.status != http.StatusOK {
-			t.Errorf("status %d of a look-up, want 200", r.status)
+			t.Errorf("look-up after the invalid cordons: status %d, want 200", r.status)
 		}
 	}
 }
@@ -273,17 +275,17 @@
 	}
 	for _, k := range f.pool {
 		if k.Overrun() {
-			t.Errorf("%s crashed under more requests than it accepts while cold, want no crash", k.ID)
+			t.Errorf("%s crashed because more requests arrived than it sustains while cold, want no crash", k.ID)
 		}
 	}
 	if cold == 0 {
-		t.Error("no request reached a cold engine, so the test checks nothing")
+		t.Error("no request reached a cold engine, want at least one: otherwise the test checks nothing")
 	}
 }
 
-// Two regions with three data centres each. Requests restricted to one region must reach upstreams
-// there only, and callers elsewhere must be directed to instances in that region or in their own.
-// When the region is lost, such requests must be refused at once.
+// There are two regions with three data centres each. Requests restricted to one region must reach
+// upstreams only in that region, and callers elsewhere must be directed to instances in that region
+// or in their own. When the region is lost, requests restricted to it must be refused at once.
 func TestHostedRegions(t *testing.T) {
 	t.Parallel()
 	regionOf := map[string]string{"n1": "north", "n2": "north", "n3": "north", "s1": "south", "s2": "south", "s3": "south"}
@@ -299,7 +301,7 @@
 	for k, m := range f.machines {
 		for _, c := range []call{generation(fmt.Sprintf("d%d", k)), booking(fmt.Sprintf("b%d", k)), lookUp(fmt.Sprintf("l%d", k))} {
 			if r := f.do(m, c); r.status != http.StatusOK || r.truncated {
-				t.Errorf("%s at %s: %+v, want a success", c.id, m.Zone, r)
+				t.Errorf("%s at an instance in %s: %+v, want a success", c.id, m.Zone, r)
 			}
 		}
 	}
@@ -338,15 +340,15 @@
 		for _, address := range f.resolveFrom(m, region, dc) {
 			for _, o := range f.machines {
 				if o.Callers == address && !strings.Contains(strings.Join(regions, ","), regionOf[o.Zone]) {
-					t.Errorf("%s directs to %s in %s for a caller in %s, want instances in the allowed regions only", m.Name, o.Name, o.Zone, dc)
+					t.Errorf("%s directs a caller to %s in %s, want only instances in the allowed regions of callers in %s", m.Name, o.Name, o.Zone, dc)
 				}
 			}
 		}
 	}
 }
 
-// Instances end in three ways: killed, stopped without closing connections, and drained. Three
-// seconds later no directory response may name them.
+// Instances end in three ways: one is killed, one is stopped without closing its connections, and
+// one is drained. Three seconds later no directory response may list them.
 func TestHostedDirectoryDropsDeadInstances(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t)
@@ -369,7 +371,7 @@
 		for range 20 {
 			for _, address := range f.resolve(m) {
 				if state := dead[address]; state != "" {
-					t.Fatalf("%s still names an instance that was %s three seconds ago", m.Name, state)
+					t.Fatalf("the directory of %s still lists an instance that was %s three seconds ago, want it dropped", m.Name, state)
 				}
 			}
 		}
--- a/internal/proctest/hosted_large_test.go
+++ b/internal/proctest/hosted_large_test.go
@@ -11,11 +11,11 @@
 	"mulberrylug.example/mulberrylug/internal/testkit"
 )
 
-// A service grows to more upstreams than every instance can track. It is divided into groups, each
-// with its own home, and an entry uses an upstream that is not in its own list if the home grants it.
-// Meanwhile generations run and some upstreams leave: each generation must run once, and its caller
-// must receive every event. The home of the undivided service must not treat upstreams that now
-// belong to groups as removed and evacuate them.
+// A service grows to more upstreams than a single instance can track. The service is divided into
+// groups, each with its own home, and an entry uses an upstream that is not in its own list if the
+// home grants that upstream. Meanwhile generations run and some upstreams leave: each generation
+// must run once, and its caller must receive every event. The home of the undivided service must
+// not treat upstreams that now belong to groups as removed and evacuate them.
 func TestHostedServiceIsDivided(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t)
@@ -57,7 +57,7 @@
 	}
 	for _, line := range logLines(f.procs, "event=evacuation_began") {
 		if strings.HasSuffix(strings.TrimSpace(line), " pool="+hosting.Pool) && !strings.Contains(line, " running=0 ") {
-			t.Errorf("the home of the undivided service evacuates upstreams of its groups: %s", line)
+			t.Errorf("the home of the undivided service evacuates upstreams of its groups, want no evacuation: %s", line)
 		}
 	}
 	testkit.Eventually(t, waitTimeout, "an instance has dropped the groups that it does not use", func() bool {
--- a/internal/proctest/hosted_move_test.go
+++ b/internal/proctest/hosted_move_test.go
@@ -49,13 +49,13 @@
 			return k
 		}
 	}
-	t.Fatal("no instance has logged that it is the pool's home")
+	t.Fatal("no instance has logged that it is the pool's home, want one")
 	return 0
 }
 
 // check waits for all generations. Each must have been started once, and its caller must have
 // received every event once and in order, to the end or to a truncation that the caller can detect.
-// It returns the number of complete ones.
+// It returns the number of complete generations.
 func (m *moveFixture) check(t *testing.T) (complete int) {
 	t.Helper()
 	m.wg.Wait()
@@ -74,7 +74,7 @@
 			produced += a.Events
 		}
 		if produced > streamEvents+maxRepeatedEvents {
-			t.Errorf("%s: engines produced %d events for a stream of %d, so it ran on two engines at once", id, produced, streamEvents)
+			t.Errorf("%s: engines produced %d events for a stream of %d, so the generation ran on two engines at once; want it on one engine at a time", id, produced, streamEvents)
 		}
 		switch {
 		case r.status == http.StatusOK && !r.truncated && r.body == streamBody(id):
@@ -86,14 +86,14 @@
 	return complete
 }
 
-// maxRepeatedEvents is the maximum number of events that two engines both produce: those that the
-// source had produced and the entry had not received when the connection ended.
+// maxRepeatedEvents is the maximum number of events that two engines both produce: the events that
+// the source had produced and the entry had not received when the connection ended.
 const maxRepeatedEvents = 2
 
 // An engine announces that it leaves, and the home is paused for longer than the notice while it
 // orders moves. Another instance becomes home, receives from the entries the generations that run on
-// that engine, and moves them. When the first home resumes, both give orders. No generation may run twice, and
-// most must be complete.
+// that engine, and moves them. When the first home resumes, both homes send orders. No generation may
+// run twice, and most must be complete.
 func TestHostedHomePausedDuringMove(t *testing.T) {
 	t.Parallel()
 	m := startGenerations(t, 12)
@@ -114,8 +114,8 @@
 }
 
 // Two engines announce that they leave just as the store fails, and crash 1.5 s later. The list of
-// upstreams is late or missing, so the home asks the engines. Every generation must be complete in
-// each kind of outage.
+// upstreams is late or missing, so the home queries the engines. Every generation must be complete
+// in each kind of outage.
 func TestHostedUpstreamsLeaveDuringStoreOutage(t *testing.T) {
 	t.Parallel()
 	for name, fail := range map[string]func(*hosting.Table){
@@ -141,7 +141,7 @@
 }
 
 // Engines announce that they leave but stay, as in a cancelled scale-in. Their generations are moved
-// or end there, and none may be cut.
+// or end on these engines, and none may be broken off.
 func TestHostedEnginesAnnounceLeavingButStay(t *testing.T) {
 	t.Parallel()
 	m := startGenerations(t, 12)
@@ -154,8 +154,8 @@
 }
 
 // The home drains, and half a second later two engines announce that they leave. The successor has
-// been informed of the running generations and must move all of them; those whose entry is the
-// draining instance end there.
+// been informed of the running generations and must move all of them. Generations whose entry is the
+// draining instance end on the engines where they run.
 func TestHostedHomeDrainsBeforeUpstreamsLeave(t *testing.T) {
 	t.Parallel()
 	m := startGenerations(t, 12)
@@ -189,7 +189,7 @@
 
 // An entry is paused during a move: the generation has been copied and perhaps stopped, and its caller
 // receives nothing for a while. When the entry resumes, the engine has crashed. Copied generations
-// must continue, others end as truncated, and none may run twice.
+// must continue, the streams of the others end truncated, and none may run twice.
 func TestHostedEntryPausedDuringMove(t *testing.T) {
 	t.Parallel()
 	m := startGenerations(t, 12)
@@ -246,9 +246,9 @@
 	}
 }
 
-// A process is killed. Callers are directed to it until its peers detect that, which takes 1.3 s by
-// missed heartbeats. As its connections end and new ones are refused, it must be detected within
-// 0.9 s.
+// The process of an instance is killed. Callers are directed to it until its peers detect the end,
+// which takes 1.3 s if only heartbeats are missing. As its connections end and new connections are
+// refused, the peers must detect the end within 0.9 s.
 func TestHostedDirectoryDropsKilledInstance(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t)
@@ -256,15 +256,15 @@
 	killed := time.Now()
 	for slices.Contains(f.resolve(f.machines[1]), f.machines[0].Callers) {
 		if time.Since(killed) > 900*time.Millisecond {
-			t.Fatal("the instance is still in the directory 0.9 s after it was killed")
+			t.Fatal("the instance is still in the directory 0.9 s after it was killed, want it dropped")
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// Generations end at an engine that is about to leave while it copies them. Nobody uses those copies.
-// If they remain, each occupies memory at its destination for seconds, which delays the prefill of
-// further prompts there.
+// Generations end at an engine that is about to leave while the engine copies them. No instance uses
+// those copies. If the copies remain, each occupies memory at its destination for seconds, which
+// delays the prefill of further prompts there.
 func TestHostedCopiesOfEndedGenerationsAreFreed(t *testing.T) {
 	t.Parallel()
 	m := startGenerations(t, 12)
--- a/internal/proctest/hosted_raw_test.go
+++ b/internal/proctest/hosted_raw_test.go
@@ -89,7 +89,7 @@
 		}
 		resp, err := http.ReadResponse(r, nil)
 		if err != nil {
-			t.Fatalf("%s: %v", id, err)
+			t.Fatalf("%s: read response: error = %v, want nil", id, err)
 		}
 		got, err := io.ReadAll(resp.Body)
 		list := f.Arrivals()[id]
--- a/internal/proctest/hosted_silence_test.go
+++ b/internal/proctest/hosted_silence_test.go
@@ -11,9 +11,9 @@
 )
 
 // A device between the instances and an engine loses its connection table: open connections stay
-// open and swallow the engine's further events, while new connections work. A generation may not
-// run twice, so each is stopped over a new connection and moved. Its caller must receive every
-// event once, after a pause of a second or two.
+// open but deliver no further events of the engine, while new connections work. A generation may
+// not run twice, so each generation is stopped over a new connection and moved. Its caller must
+// receive every event once, after a pause of a second or two.
 func TestHostedGenerationsSurviveSilentConnections(t *testing.T) {
 	t.Parallel()
 	const eventInterval = 60 * time.Millisecond
@@ -46,18 +46,19 @@
 			}
 			behindLink++
 			if a.Events == streamEvents {
-				t.Errorf("%s ran to its end behind the silent link as well, want it stopped there", id)
+				t.Errorf("%s ran to its end on the engine behind the silent link as well, want it stopped there", id)
 			}
 		}
 	}
 	if behindLink == 0 {
-		t.Error("no generation ran behind the silent link, so the test checks nothing")
+		t.Error("no generation ran on the engine behind the silent link, want at least one: otherwise the test checks nothing")
 	}
 }
 
-// An engine accepts requests but neither responds to them nor reports them as running: its response
-// is lost inside the engine. A repeatable request is retried on another engine. A generation may not run
-// twice, and its caller must get an error promptly instead of waiting for its timeout.
+// An engine accepts requests but neither responds to them nor reports them as running: the responses
+// are lost inside the engine. A repeatable request is retried on another engine. A generation that is
+// not repeatable may not run twice, and its caller must get an error promptly instead of waiting for
+// the request's timeout.
 func TestHostedGenerationNotReportedByEngine(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t)
--- a/internal/proctest/hosted_test.go
+++ b/internal/proctest/hosted_test.go
@@ -50,21 +50,21 @@
 		}
 	}
 	if calls := f.Table.Calls("/v1/rows-feed"); calls == 0 {
-		t.Error("no instance polled the store's change feed")
+		t.Error("no instance polled the store's change feed, want at least one poll")
 	}
 }
 
 func checkArrival(t *testing.T, c call, a hosting.Arrival) {
 	t.Helper()
 	if a.Method != c.method || a.Target != c.path || a.Host != hosting.Host || a.Body != c.body {
-		t.Errorf("%s reached its upstream as %s %s for host %s with body %q, want it unchanged", c.id, a.Method, a.Target, a.Host, a.Body)
+		t.Errorf("%s reached its upstream as %s %s for host %s with body %q, want the request unchanged", c.id, a.Method, a.Target, a.Host, a.Body)
 	}
 	if a.Header.Get("Tenant") != hosting.Owner || a.Header.Get("Credential") != "" || a.Header.Get("Expect-Instance") != a.Worker {
 		t.Errorf("%s: headers %v, want the organisation, no key, and the id of the upstream", c.id, a.Header)
 	}
 	for _, name := range []string{"Accept-Encoding", "Connection"} {
 		if a.Header.Get(name) != "" {
-			t.Errorf("%s: header %s must not reach an upstream", c.id, name)
+			t.Errorf("%s: header %s reached the upstream, want it removed", c.id, name)
 		}
 	}
 }
@@ -80,7 +80,7 @@
 		"Request-Urgency": "0", "Expect-Version": "1", "Expect-Instance": "i", "Connection": "Attempt-Id, X-Mine", "X-Mine": "1", "X-Kept": "yes",
 	}
 	if r := f.do(f.machines[0], c); r.status != http.StatusOK {
-		t.Fatalf("%+v", r)
+		t.Fatalf("booking with reserved headers: %+v, want status 200", r)
 	}
 	a := f.Arrivals()["reserved"][0]
 	checkArrival(t, c, a)
@@ -122,12 +122,13 @@
 		}
 	}
 	if moved == 0 {
-		t.Error("no generation was moved, so the test checks nothing")
+		t.Error("no generation was moved, want at least one: otherwise the test checks nothing")
 	}
 }
 
 // An upstream ends its connections during streams without notice. A generation that may run only
-// once can't continue, and its response must not look complete. A repeatable one must be resumed.
+// once can't continue, and its response must not look complete. A repeatable generation must be
+// resumed.
 func TestHostedUpstreamCrash(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t)
@@ -152,9 +153,9 @@
 	}
 }
 
-// The upstreams' responses to bookings have one kind of fault after another. Callers retry after the outcome not run, so
-// that outcome is allowed only if nothing ran. A success without the upstream's complete signature
-// must not reach the caller.
+// The upstreams' responses to bookings have one kind of fault after another. Callers retry after
+// the outcome not run, so that outcome is allowed only if no upstream ran the booking. A success
+// without the upstream's header Response-Seal must not reach the caller.
 func TestHostedInvalidUpstreamResponses(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t)
@@ -184,20 +185,20 @@
 				t.Errorf("%s ran %d times, want at most once", id, countRuns(list))
 			}
 			if refusedNotRun(r.status) && countRuns(list) > 0 {
-				t.Errorf("%s: status %d, which means not run, but it ran", id, r.status)
+				t.Errorf("%s: status %d, which means not run, but the booking ran; want no run", id, r.status)
 			}
 			if r.status == http.StatusOK && !r.truncated && r.body != hosting.Body(id, list[0].Worker) {
-				t.Errorf("%s: body %q, want the upstream's", id, r.body)
+				t.Errorf("%s: body %q, want the body that the upstream sent", id, r.body)
 			}
 			if got := r.status == http.StatusOK && !r.truncated; got != c.served {
-				t.Errorf("%s: %+v, want served to be %v", id, r, c.served)
+				t.Errorf("%s: %+v, want a complete response with status 200: %v", id, r, c.served)
 			}
 		}
 	}
 }
 
-// One of three upstreams fails look-ups. Each must be retried once on another upstream, so that its
-// caller gets a success.
+// One of three upstreams fails look-ups. Each failed look-up must be retried once on another
+// upstream, so that its caller gets a success.
 func TestHostedLookUpsAreRetried(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t)
@@ -212,10 +213,10 @@
 	}
 }
 
-// A key is revoked while one instance is isolated from the store. Within the time limit for revocations
-// the key must stop working everywhere, as the instance receives the change from a peer. Then the store fails
-// for all instances: every key must be refused once the last confirmation is too old, and accepted
-// again after the store recovers.
+// A key is revoked while one instance is isolated from the store. Within the time limit for
+// revocations the key must stop working everywhere, as the isolated instance receives the change
+// from a peer. Then the store fails for all instances: every key must be refused once the last
+// confirmation is too old, and accepted again after the store recovers.
 func TestHostedRevocation(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t)
@@ -232,7 +233,7 @@
 	renewed := booking("renewed")
 	renewed.key = "key-two"
 	if r := f.do(isolated, renewed); r.status != http.StatusOK {
-		t.Errorf("the new key at the isolated instance: %+v, want a success", r)
+		t.Errorf("booking with the new key at the isolated instance: %+v, want a success", r)
 	}
 	f.Table.Set(hosting.Silent)
 	time.Sleep(hosting.RevokeWithin)
@@ -252,8 +253,8 @@
 	})
 }
 
-// An instance is suspended for longer than the time limit for revocations, and a key is revoked meanwhile.
-// A clock that stops during the suspension would make the last confirmation look recent.
+// An instance is suspended for longer than the time limit for revocations, and a key is revoked
+// meanwhile. A clock that stops during the suspension would make the last confirmation look recent.
 func TestHostedSuspendedInstanceRefusesRevokedKey(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t)
@@ -303,7 +304,7 @@
 		t.Errorf("a booking by a caller with a cached address: %+v, want a success", r)
 	}
 	if r := f.do(f.machines[0], generation("late-draft")); !refusedNotRun(r.status) {
-		t.Errorf("a generation that could not end within the drain: %+v, want a refusal without a run", r)
+		t.Errorf("a generation that can't end within the time for the drain: %+v, want a refusal without a run", r)
 	}
 	for range 3 {
 		if r := <-done; r.truncated || r.status != http.StatusOK {
@@ -333,7 +334,7 @@
 	recovered := time.Now()
 	f.waitReady(t)
 	if took := time.Since(recovered); took > 6*time.Second {
-		t.Errorf("ready %v after the store's recovery, want at most 6 s", took)
+		t.Errorf("all instances were ready %v after the store's recovery, want at most 6 s", took)
 	}
 	if r := f.do(f.machines[0], booking("back")); r.status != http.StatusOK {
 		t.Errorf("a booking after the restart: %+v, want a success", r)
@@ -360,13 +361,13 @@
 	}
 }
 
-// Many instances join a fleet at once. If each of them read the members, the configuration and all
-// upstreams from the store, the calls would grow with the fleet, and the store serialises writes to
-// one part of a table.
+// Many instances join a fleet at once. The number of calls to the store must stay small: if each
+// instance read the members, the configuration and all upstreams from the store, the number of
+// calls would grow with the fleet, and the store serialises writes to one part of a table.
 func TestHostedStoreCallsPerStart(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t)
-	time.Sleep(2 * time.Second) // the running instances now count as an established fleet
+	time.Sleep(2 * time.Second) // until the running instances count as an established fleet
 	before := f.Table.Calls("/v1/rows-get") + f.Table.Calls("/v1/rows-tx") + f.Table.Calls("/v1/rows-feed")
 	started := time.Now()
 	const added = 9
@@ -375,7 +376,7 @@
 	}
 	f.waitReady(t)
 	calls := f.Table.Calls("/v1/rows-get") + f.Table.Calls("/v1/rows-tx") + f.Table.Calls("/v1/rows-feed") - before
-	// The reader polls configuration and list about three times a second.
+	// The reader polls the configuration and the list of upstreams about three times a second.
 	if limit := int(4*time.Since(started).Seconds()) + added; calls > limit {
 		t.Errorf("%d calls to the store within %v of the start of %d instances, want at most %d", calls, time.Since(started), added, limit)
 	}
@@ -404,8 +405,8 @@
 	})
 }
 
-// An upstream responds to a long body before it has read all of it. The caller must get the response,
-// and only the rest of that body may follow on the connection to the upstream.
+// An upstream responds to a request with a long body before it has read the complete body. The caller
+// must get the response, and only the rest of that body may follow on the connection to the upstream.
 func TestHostedResponseBeforeLongBodyIsRead(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t)
@@ -420,12 +421,12 @@
 	}
 	testkit.Eventually(t, waitTimeout, "the upstream has read the body", func() bool { return len(f.Arrivals()["long"]) == 1 })
 	if got := f.Arrivals()["long"][0].Body; !strings.HasPrefix(c.body, got) {
-		t.Errorf("the upstream read %d bytes that differ from the beginning of the body, want the same bytes", len(got))
+		t.Errorf("the upstream read %d bytes that are not the beginning of the body sent, want them equal", len(got))
 	}
 }
 
-// A caller disconnects during a stream. Its generation must be stopped, as it occupies memory and a
-// slot that others wait for.
+// A caller disconnects during a stream. Its generation must be stopped, because it occupies memory
+// and a slot that other requests wait for.
 func TestHostedCallerLeaves(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t)
@@ -439,7 +440,7 @@
 }
 
 // The platform changes the settings file, with and without a signal (SIGHUP). A process without a
-// handler would end at the signal and cut its streams. An invalid file must leave the settings
+// handler would end at the signal and break off its streams. An invalid file must leave the settings
 // unchanged.
 func TestHostedReload(t *testing.T) {
 	t.Parallel()
@@ -473,8 +474,8 @@
 	}
 }
 
-// A request crashes each upstream that starts to run it, and its caller retries it at other
-// instances. After two crashes it must be refused, so that no further upstream is lost.
+// A request crashes each upstream that starts to run it, and its caller sends it again to other
+// instances. After two crashes the request must be refused, so that no further upstream is lost.
 func TestHostedRequestsThatCrashUpstreams(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t)
@@ -508,8 +509,8 @@
 	}
 }
 
-// Many callers send bodies of 4 MB at once to an instance on a machine of 120 MB. Buffering them
-// completely would exhaust the memory; they must be forwarded as they arrive.
+// Many callers send bodies of 4 MB at the same time to an instance that may use 120 MB of memory.
+// Buffering the complete bodies would exhaust the memory; they must be forwarded as they arrive.
 func TestHostedLongBodiesAreNotBuffered(t *testing.T) {
 	t.Parallel()
 	f := newFixture(t)
@@ -530,7 +531,7 @@
 	for k := range callers {
 		for _, a := range f.Arrivals()[fmt.Sprintf("large-%d", k)] {
 			if a.Body != body {
-				t.Errorf("large-%d arrived with %d bytes that differ from the body sent", k, len(a.Body))
+				t.Errorf("large-%d arrived with a body of %d bytes that differs from the body sent, want them equal", k, len(a.Body))
 			}
 			served++
 		}
--- a/internal/proctest/hosted_world_test.go
+++ b/internal/proctest/hosted_world_test.go
@@ -29,8 +29,8 @@
 // fixture is a stand-in hosting platform with its upstreams, and instances in separate processes.
 type fixture struct {
 	*hosting.World
-	// machines holds the addresses and settings of each instance, procs its process, by the same
-	// index.
+	// machines holds the addresses and settings of each instance, and procs its process at the
+	// same index.
 	machines []hosting.Machine
 	procs    []*process
 	// pool holds the engines (service hosting.Pool), desk the upstreams of the plain service
@@ -47,8 +47,8 @@
 	return newFixtureOfBuild(t, "")
 }
 
-// newFixtureOfBuild is newFixture with all instances of one build; "" alternates between the
-// build under test and -proctest.other.
+// newFixtureOfBuild does the same as newFixture with all instances of one build. If build is "",
+// the instances alternate between the build under test and the build of -proctest.other.
 func newFixtureOfBuild(t *testing.T, build string) *fixture {
 	t.Helper()
 	base, err := hosting.NewWorld(t.TempDir())
@@ -162,7 +162,7 @@
 	return f.resolveFrom(m, hosting.DefaultRegion, hosting.DefaultZone)
 }
 
-// resolveFrom is resolve for callers in the given region and data centre.
+// resolveFrom does the same as resolve for callers in the given region and data centre.
 func (f *fixture) resolveFrom(m hosting.Machine, region, dc string) []string {
 	var out struct {
 		Addresses []string `json:"addresses"`
@@ -264,7 +264,8 @@
 	return status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests
 }
 
-// countRuns counts how often a request was started from the beginning; resumed runs do not count.
+// countRuns returns how often a request was started from the beginning. A generation that was
+// resumed from a copy is not counted again.
 func countRuns(list []hosting.Arrival) (n int) {
 	for _, a := range list {
 		if a.Ran && !a.Resumed {
--- a/internal/proctest/input_test.go
+++ b/internal/proctest/input_test.go
@@ -68,7 +68,7 @@
 	commands := []string{"serve", "check", "apply", "diff", "status", "explain", "ask", "book", "drain", "standin", "demo", "version"}
 	for _, name := range commands {
 		if !strings.Contains(all, "\n  "+name+" ") {
-			t.Errorf("help does not list the command %s", name)
+			t.Errorf("help does not list the command %s, want each command listed", name)
 		}
 		if _, out, errOut := runCommand(t, "help", name); !strings.HasPrefix(out+errOut, name) {
 			t.Errorf("help %s printed %q, want text that begins with the command's name", name, out+errOut)
--- a/internal/proctest/load_test.go
+++ b/internal/proctest/load_test.go
@@ -97,10 +97,10 @@
 	return l.results
 }
 
-// checkResults compares the results with the records of engines and service. The tokens of a stream
-// must come from one generation, in order and without duplicates, and be complete if the outcome
-// is done. A booking must run at most once, and not at all if the outcome is not run. It returns how
-// often streams were resumed.
+// checkResults compares the results with the records of the engines and the service. The tokens of a
+// stream must come from one generation, in order and without duplicates, and be complete if the
+// outcome is done. A booking must run at most once, and not at all if the outcome is not run.
+// checkResults returns how often streams were resumed.
 func checkResults(t *testing.T, d *deployment, results []callResult) (resumes int) {
 	t.Helper()
 	generations, calls := d.generations(t), d.callCounts(t)
@@ -121,9 +121,9 @@
 	case runs > 1:
 		t.Errorf("%s ran %d times, want at most once", a.name, runs)
 	case a.outcome == client.NotRun && runs != 0:
-		t.Errorf("%s: outcome not run (%v), but the service ran it", a.name, a.err)
+		t.Errorf("%s: outcome not run (%v), but the service ran the booking; want no run", a.name, a.err)
 	case a.outcome == client.Done && runs != 1:
-		t.Errorf("%s: outcome done, but the service ran it %d times, want once", a.name, runs)
+		t.Errorf("%s: outcome done, but the service ran the booking %d times, want once", a.name, runs)
 	}
 }
 
@@ -148,7 +148,7 @@
 		}
 		return
 	}
-	t.Errorf("%s (%s, %v) received %d tokens that are not the beginning of one generation", a.name, a.outcome, a.err, a.result.Tokens)
+	t.Errorf("%s (outcome %s, error %v) received %d tokens that are not the beginning of any generation, want the tokens of one", a.name, a.outcome, a.err, a.result.Tokens)
 }
 
 // requireDone fails the test for every result whose outcome is not done.
--- a/internal/proctest/process_test.go
+++ b/internal/proctest/process_test.go
@@ -24,8 +24,8 @@
 // binary is the path of the build under test.
 var binary string
 
-// maxParallelTests limits the number of tests that run in parallel, as each starts about eight
-// processes.
+// maxParallelTests limits the number of tests that run in parallel, because each test starts about
+// eight processes.
 const maxParallelTests = "6"
 
 func TestMain(m *testing.M) {
--- a/internal/proctest/promise_test.go
+++ b/internal/proctest/promise_test.go
@@ -12,7 +12,8 @@
 	"mulberrylug.example/mulberrylug/internal/standin/platform"
 )
 
-// All instances are replaced one after another under load, as in an upgrade. No stream may be cut.
+// All instances are replaced one after another under load, as in an upgrade. No stream may be
+// broken off.
 func TestPromise6RollingRestart(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
@@ -32,7 +33,7 @@
 	requireDone(t, results)
 	t.Logf("answers=%d resumes=%d", len(results), resumes)
 	if resumes != 0 {
-		t.Errorf("%d streams were cut by the restarts, want 0", resumes)
+		t.Errorf("%d streams were broken off by the restarts, want 0", resumes)
 	}
 }
 
@@ -51,13 +52,13 @@
 	checkResults(t, d, results)
 	requireDone(t, results)
 	if got := len(d.callCounts(t)); got != each {
-		t.Errorf("the service ran %d different keys, want %d", got, each)
+		t.Errorf("the service ran bookings with %d different keys, want %d", got, each)
 	}
 }
 
 // The entry of some streams receives SIGKILL. Its callers reconnect to another instance with their
-// last event id and resume the same generation, as the handle in the id names the generation and
-// the next index. Every token must arrive once and in order.
+// last event id and resume the same generation, because the handle in that id names the generation
+// and the next index. Every token must arrive once and in order.
 func TestPromise1EntryKilledMidStream(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
@@ -73,13 +74,14 @@
 	requireDone(t, results)
 	t.Logf("streams=%d resumes=%d", streams, resumes)
 	if resumes == 0 {
-		t.Error("no stream was resumed: the killed instance served none, so the test checks nothing")
+		t.Error("no stream was resumed, want at least one: the killed instance served none, so the test checks nothing")
 	}
 }
 
 // An instance and then an engine are paused during streams and continue later. Callers of the
-// instance resume at another one, those of the engine wait. No token may arrive twice, although
-// the paused processes send buffered tokens when they continue.
+// instance resume their streams at another instance; callers whose generation runs on the engine
+// wait. No token may arrive twice, although the paused processes send buffered tokens when they
+// continue.
 func TestPromise1FrozenInstanceAndEngine(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
@@ -150,8 +152,8 @@
 }
 
 // An instance receives SIGTERM under load while callers still have its address cached. It leaves
-// the lists of instances, serves callers that still connect, and exits with code 0 once nothing
-// runs. No stream may be cut.
+// the lists of instances, serves callers that still connect, and exits with code 0 once no request
+// runs. No stream may be broken off.
 func TestPromise6DrainUnderLoad(t *testing.T) {
 	t.Parallel()
 	d := deploy(t)
@@ -166,7 +168,7 @@
 	resumes := checkResults(t, d, results)
 	requireDone(t, results)
 	if resumes != 0 {
-		t.Errorf("%d streams were cut by the drain, want 0", resumes)
+		t.Errorf("%d streams were broken off by the drain, want 0", resumes)
 	}
 }
 
@@ -187,7 +189,7 @@
 	withoutRetries.wait()
 	var p *client.Problem
 	if got := withoutRetries.results[0]; !errors.As(got.err, &p) || p.Outcome != client.NotRun || p.RetryAfter == 0 {
-		t.Errorf("booking during the outage: %v, want not run and a time to retry", got.err)
+		t.Errorf("booking during the outage: error %v, want not run and a time to retry", got.err)
 	}
 	for n := range 6 {
 		l.stream(1 + n)
@@ -228,11 +230,11 @@
 		<-p.ended
 		for _, line := range strings.Split(strings.TrimSpace(p.output()), "\n") {
 			if !strings.HasPrefix(line, "time=") || !strings.Contains(line, " event=") || strings.Count(line, " request=") > 1 {
-				t.Errorf("%s: malformed log line %q", p.name, line)
+				t.Errorf("%s: log line %q, want one event of key=value pairs that begins with time=", p.name, line)
 			}
 		}
 		if p.name == owner && !strings.Contains(p.output(), "request="+id+" outcome=done") {
-			t.Errorf("%s logged no line with outcome done for %s", p.name, id)
+			t.Errorf("%s logged no line with outcome done for %s, want one", p.name, id)
 		}
 	}
 }
--- a/internal/proctest/soak_test.go
+++ b/internal/proctest/soak_test.go
@@ -39,7 +39,7 @@
 	recoveryTimeout = 8 * time.Second
 )
 
-// soak is a run with one seed.
+// soak is the state of a soak test with one seed.
 type soak struct {
 	*fixture
 	t    *testing.T
@@ -48,8 +48,9 @@
 	// relays are in front of some upstreams and inject faults into the connections to them.
 	relays []*relay.Relay
 
-	// restarts counts the instances that are being restarted. restartable holds the indexes of
-	// instances that may be restarted; it never contains the last one, so that one is always up.
+	// restarts waits for the instances that are being restarted. restartable holds the indexes of
+	// the instances that may be restarted; it never contains the last index, so that one instance
+	// is always up.
 	restarts    sync.WaitGroup
 	restartable chan int
 
@@ -126,8 +127,8 @@
 	}
 }
 
-// disturbLink delays a relay's connections, closes them, silently drops their data in both directions
-// or one, or refuses new connections.
+// disturbLink delays a relay's connections, closes them, silently drops their data in one or both
+// directions, or refuses new connections.
 func (s *soak) disturbLink() {
 	r := s.relays[s.rand.IntN(len(s.relays))]
 	switch s.rand.IntN(5) {
@@ -149,8 +150,8 @@
 	// Half of the callers keep a connection open until it fails, even if the instance announces
 	// that it drains. Look-ups use new connections, as net/http itself retries them when a
 	// persistent connection breaks.
-	kept := &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 1}
-	defer kept.CloseIdleConnections()
+	persistent := &http.Transport{DisableCompression: true, MaxIdleConnsPerHost: 1}
+	defer persistent.CloseIdleConnections()
 	at := r.IntN(len(s.machines))
 	for k := 0; ; k++ {
 		select {
@@ -177,7 +178,7 @@
 		a := sentRequest{call: c, sent: time.Now()}
 		if caller%2 == 0 || caller%3 == 2 {
 			a.result = s.do(s.machines[r.IntN(len(s.machines))], c)
-		} else if a.result = s.doOn(kept, s.machines[at], c); a.result.err != nil {
+		} else if a.result = s.doOn(persistent, s.machines[at], c); a.result.err != nil {
 			at = r.IntN(len(s.machines))
 		}
 		s.mu.Lock()
@@ -190,7 +191,7 @@
 	}
 }
 
-// injectFault injects one random fault, or ends the current ones.
+// injectFault injects one random fault, or ends the current faults.
 func (s *soak) injectFault() {
 	n := s.rand.IntN(len(s.procs))
 	upstream := append(append([]*hosting.Worker(nil), s.pool...), s.desk...)[s.rand.IntN(len(s.pool)+len(s.desk))]
@@ -300,7 +301,7 @@
 	s.mu.Unlock()
 }
 
-// clearFaults ends the faults that last: of the store, the relays and the upstreams.
+// clearFaults ends the lasting faults of the store, the relays and the upstreams.
 func (s *soak) clearFaults() {
 	s.Table.Set(hosting.Well)
 	for _, r := range s.relays {
@@ -340,7 +341,7 @@
 			s.t.Errorf("%s ran %d times, want at most twice", id, n)
 		}
 		if once && refusedNotRun(a.result.status) && countRuns(list) > 0 {
-			s.t.Errorf("%s: status %d, which means not run, but it ran", id, a.result.status)
+			s.t.Errorf("%s: status %d, which means not run, but the request ran; want no run", id, a.result.status)
 		}
 		if a.result.status == http.StatusOK && !a.result.truncated {
 			checkSuccess(s.t, a, list)
@@ -349,7 +350,7 @@
 		revokedAt, revoked := s.revoked[a.key]
 		s.mu.Unlock()
 		if revoked && a.sent.After(revokedAt.Add(hosting.RevokeWithin)) && countRuns(list) > 0 {
-			s.t.Errorf("%s ran with a key that was revoked %v earlier", id, a.sent.Sub(revokedAt))
+			s.t.Errorf("%s ran with a key that had been revoked %v before it was sent, want a refusal", id, a.sent.Sub(revokedAt))
 		}
 		for _, arrival := range list {
 			if arrival.Header.Get("Tenant") != hosting.Owner || arrival.Header.Get("Credential") != "" {
@@ -359,11 +360,11 @@
 	}
 	for id := range arrivals {
 		if _, ok := s.requests[id]; !ok && !strings.HasPrefix(id, "recovered-") {
-			s.t.Errorf("request %s reached an upstream, but no caller sent it", id)
+			s.t.Errorf("request %s reached an upstream, but no caller sent it; want only requests that callers sent", id)
 		}
 	}
 	if s.served == 0 {
-		s.t.Error("no request was served, so the test checks nothing")
+		s.t.Error("no request was served, want at least one: otherwise the test checks nothing")
 	}
 }
 
@@ -381,5 +382,5 @@
 			return
 		}
 	}
-	t.Errorf("%s: body %q with seal %q, want the response and seal of an upstream that it reached", a.id, a.result.body, a.result.header.Get("Response-Seal"))
+	t.Errorf("%s: body %q with seal %q, want the body and the seal of an upstream that the request reached", a.id, a.result.body, a.result.header.Get("Response-Seal"))
 }
--- a/internal/proctest/upgrade_test.go
+++ b/internal/proctest/upgrade_test.go
@@ -63,11 +63,12 @@
 }
 
 // connectionEnd matches the log line of a connection that ended between two messages or was
-// cut. Any other cause means that a message could not be decoded.
+// broken off. Any other cause means that a message could not be decoded.
 var connectionEnd = regexp.MustCompile(`error=(EOF|"(read frame: )?unexpected EOF"|"(read frame: )?read tcp [^"]*")\s*$`)
 
-// checkMessages checks that an instance could use everything that it received from peers
-// and read from the store. Messages that can't be decoded are logged at level debug only.
+// checkMessages checks that an instance could use all messages that it received from peers
+// and all rows that it read from the store. Messages that can't be decoded are logged at level
+// debug only.
 func checkMessages(t *testing.T, p *process) {
 	t.Helper()
 	var bad []string
@@ -93,8 +94,8 @@
 }
 
 // checkVersions checks that an instance adopted configurations in increasing order, and
-// that none is older than the one in force at its start. An adoption is logged as event, with
-// the version as the value of key.
+// that none of them is older than the configuration in force at the start of the instance. An
+// adoption is logged as event, with the version as the value of key.
 func checkVersions(t *testing.T, p *process, event, key string, oldest int64) {
 	t.Helper()
 	last := oldest - 1
@@ -106,12 +107,12 @@
 		text, _, _ := strings.Cut(rest, " ")
 		version, err := strconv.ParseInt(strings.TrimSpace(text), 10, 64)
 		if err != nil || version <= last {
-			t.Errorf("%s adopted version %q after %d, want a newer one", p.name, text, last)
+			t.Errorf("%s adopted version %q after version %d, want a newer version", p.name, text, last)
 		}
 		last = version
 	}
 	if last < oldest {
-		t.Errorf("%s adopted no configuration, want version %d or a newer one", p.name, oldest)
+		t.Errorf("%s adopted no configuration, want at least version %d", p.name, oldest)
 	}
 }
 
@@ -138,8 +139,8 @@
 	version int64
 }
 
-// replaceAll replaces one instance after the other by one of a build, without waiting for the
-// exit of the replaced ones. After the first replacement it applies a configuration.
+// replaceAll replaces one instance after the other by an instance of a build, without waiting
+// for the exit of the replaced instances. After the first replacement it applies a configuration.
 func (u *upgrade) replaceAll(t *testing.T, build, suffix, text string) {
 	t.Helper()
 	u.builds.fixed = build
@@ -222,7 +223,7 @@
 		u.all = append(u.all, startedInstance{p, u.version})
 	}
 	keys := []string{"kept-1", "kept-2", "kept-3"}
-	kept := u.bookAgain(t, keys...)
+	repeated := u.bookAgain(t, keys...)
 	l := newLoad(t, u.deployment)
 	stop := make(chan struct{})
 	end := sync.OnceFunc(func() { close(stop) })
@@ -231,13 +232,13 @@
 	l.waitForFirstTokens(10)
 	waitServed(t, u.instances, " event=request ")
 
-	// A drain takes entry_ttl, the time for which callers keep the list of entries, plus 5 s.
+	// A drain takes 5 s longer than entry_ttl, the time for which callers keep the list of entries.
 	first := strings.Replace(u.configuration(), "entry_ttl: 2s", "entry_ttl: 500ms", 1)
 	added := fmt.Sprintf("  - {name: ice-works, key_sha256: [%s], services: [order-desk], limits: {spend: 1.00, concurrent: 4}}\nmodels:\n", config.HashKey("key-of-the-ice-works"))
 	u.replaceAll(t, binary, "new", strings.Replace(first, "models:\n", added, 1))
-	kept = append(kept, u.bookAgain(t, keys...)...)
+	repeated = append(repeated, u.bookAgain(t, keys...)...)
 	u.replaceAll(t, secondBuild(), "back", first)
-	kept = append(kept, u.bookAgain(t, keys...)...)
+	repeated = append(repeated, u.bookAgain(t, keys...)...)
 
 	waitServed(t, u.instances, " event=request ")
 	end()
@@ -247,10 +248,10 @@
 		p.waitExit(t)
 	}
 	u.waitVersion(t)
-	requireDone(t, kept)
-	resumes := checkResults(t, u.deployment, append(kept, results...))
+	requireDone(t, repeated)
+	resumes := checkResults(t, u.deployment, append(repeated, results...))
 	if resumes != 0 {
-		t.Errorf("%d streams were cut by the replacements, want 0", resumes)
+		t.Errorf("%d streams were broken off by the replacements, want 0", resumes)
 	}
 	done := 0
 	for _, a := range results {
@@ -259,7 +260,7 @@
 		case a.outcome == client.Done:
 			done++
 		case !errors.As(a.err, &refused) || refused.Outcome != client.NotRun || refused.RetryAfter <= 0:
-			t.Errorf("%s: outcome %s, error %v; want done, or not run and a time to retry", a.name, a.outcome, a.err)
+			t.Errorf("%s: outcome %s, error %v; want done, or not run with a time to retry", a.name, a.outcome, a.err)
 		}
 	}
 	t.Logf("answers=%d done=%d version=%d", len(results), done, u.version)
@@ -267,7 +268,7 @@
 		checkMessages(t, p.process)
 		checkVersions(t, p.process, "config_in_force", "number", p.version)
 		if !strings.Contains(p.output(), " event=request ") {
-			t.Errorf("%s served no request, so the test checks nothing about it", p.name)
+			t.Errorf("%s served no request, want at least one: otherwise the test checks nothing about this instance", p.name)
 		}
 	}
 }
@@ -277,20 +278,22 @@
 	*fixture
 	all     []startedInstance
 	version int64
-	// key is accepted by the newest configuration only, former by the one before only.
-	key, former string
+	// key is accepted only by the newest configuration, previousKey only by the configuration
+	// before it.
+	key, previousKey string
 
 	stop    chan struct{}
 	callers sync.WaitGroup
 
 	mu sync.Mutex
-	// live are the machines whose directories the callers use.
+	// live holds the instances whose directories the callers use.
 	live     []hosting.Machine
 	requests []sentRequest
 }
 
-// call sends requests to instances that a live one's directory names, until stop is closed.
-func (u *hostedUpgrade) call(caller int) {
+// sendRequests sends requests until stop is closed, each to an instance that the directory of one of
+// the live instances lists.
+func (u *hostedUpgrade) sendRequests(caller int) {
 	for n := 0; ; n++ {
 		select {
 		case <-u.stop:
@@ -300,22 +303,22 @@
 		u.mu.Lock()
 		m := u.live[rand.IntN(len(u.live))]
 		u.mu.Unlock()
-		named := u.resolve(m)
-		if len(named) == 0 {
-			continue // it is draining or has exited, so that callers use another directory
+		listed := u.resolve(m)
+		if len(listed) == 0 {
+			continue // m is draining or has exited, so that callers use another directory
 		}
 		id := fmt.Sprintf("u%d-%d", caller, n)
 		c := []call{generation(id), booking(id), lookUp(id)}[caller%3]
 		a := sentRequest{call: c, sent: time.Now()}
-		a.result = u.do(hosting.Machine{Callers: named[rand.IntN(len(named))]}, c)
+		a.result = u.do(hosting.Machine{Callers: listed[rand.IntN(len(listed))]}, c)
 		u.mu.Lock()
 		u.requests = append(u.requests, a)
 		u.mu.Unlock()
 	}
 }
 
-// replace drains instance n and starts another process on a machine, then waits until each
-// instance names all that are not draining, and no others.
+// replace drains instance n and starts another one in its place. It then waits until the
+// directory of each instance lists all instances that are not draining, and no others.
 func (u *hostedUpgrade) replace(t *testing.T, n int, start func() (hosting.Machine, *process)) {
 	t.Helper()
 	if err := u.procs[n].signal(syscall.SIGTERM); err != nil {
@@ -335,23 +338,23 @@
 	slices.Sort(want)
 	for _, m := range u.machines {
 		testkit.Eventually(t, waitTimeout, m.Name+" lists all instances", func() bool {
-			named := u.resolve(m)
-			slices.Sort(named)
-			return slices.Equal(named, want)
+			listed := u.resolve(m)
+			slices.Sort(listed)
+			return slices.Equal(listed, want)
 		})
 	}
 }
 
 // configure replaces the key that was added last by another one.
 func (u *hostedUpgrade) configure(key string) {
-	u.former, u.key = u.key, key
+	u.previousKey, u.key = u.key, key
 	u.version = u.Configure(func(c map[string]any) {
 		c["tenants"] = []map[string]any{{"name": hosting.Owner, "api_keys": []string{hosting.Key, key}}}
 	})
 }
 
 // waitVersion waits until the newest configuration is in force at each instance, including
-// those that are draining, and checks the keys at those that are not.
+// draining instances, and checks the keys at the instances that are not draining.
 func (u *hostedUpgrade) waitVersion(t *testing.T) {
 	t.Helper()
 	text := fmt.Sprintf(" event=configuration_adopted version=%d ", u.version)
@@ -361,7 +364,7 @@
 		})
 	}
 	for n, m := range u.machines {
-		for key, want := range map[string]int{u.key: http.StatusOK, u.former: http.StatusUnauthorized} {
+		for key, want := range map[string]int{u.key: http.StatusOK, u.previousKey: http.StatusUnauthorized} {
 			if key == "" {
 				continue
 			}
@@ -375,9 +378,9 @@
 }
 
 // Instances on a hosting platform are replaced one by one by another build and back, under
-// traffic; on the way back the first machines start again with their old settings files. An
-// instance that misreads a peer's message, or a row that the other build wrote, would cut
-// streams, repeat bookings, or keep an old configuration in force.
+// traffic. When the first build is back, instances start with the settings files of the first
+// instances. An instance that misreads a peer's message, or a row that the other build wrote,
+// would break off streams, repeat bookings, or keep an old configuration in force.
 func TestHostedUpgradeInPlace(t *testing.T) {
 	t.Parallel()
 	u := &hostedUpgrade{fixture: newFixtureOfBuild(t, secondBuild()), stop: make(chan struct{})}
@@ -392,7 +395,7 @@
 	end := sync.OnceFunc(func() { close(u.stop) })
 	defer end()
 	for k := range callers {
-		u.callers.Go(func() { u.call(k) })
+		u.callers.Go(func() { u.sendRequests(k) })
 	}
 	waitServed(t, u.procs, " event=request_ended ")
 	replaced := slices.Clone(u.procs)
@@ -435,13 +438,13 @@
 		checkMessages(t, p.process)
 		checkVersions(t, p.process, "configuration_adopted", "version", p.version)
 		if !strings.Contains(p.output(), " event=request_ended ") {
-			t.Errorf("%s served no request, so the test checks nothing about it", p.name)
+			t.Errorf("%s served no request, want at least one: otherwise the test checks nothing about this instance", p.name)
 		}
 	}
 }
 
-// check checks that each request was served completely and at most as often as its route
-// allows, or was refused without being run, with a time to retry.
+// check checks that each request ran at most as often as its route allows, and that it was
+// served completely, or refused without a run and with a time to retry.
 func (u *hostedUpgrade) check(t *testing.T) {
 	t.Helper()
 	arrivals, served := u.Arrivals(), 0
@@ -458,7 +461,7 @@
 			served++
 			checkSuccess(t, a, list)
 		case !refusedNotRun(r.status) || r.header.Get("Retry-After") == "" || countRuns(list) > 0:
-			t.Errorf("%s: status %d, truncated %v, error %v, run %d times; want success, or a refusal with a time to retry", a.id, r.status, r.truncated, r.err, countRuns(list))
+			t.Errorf("%s: status %d, truncated %v, error %v, run %d times; want a success, or a refusal without a run and with a time to retry", a.id, r.status, r.truncated, r.err, countRuns(list))
 		}
 	}
 	t.Logf("requests=%d served=%d version=%d", len(u.requests), served, u.version)
--- a/internal/prooftest/bookings/bookings_test.go
+++ b/internal/prooftest/bookings/bookings_test.go
@@ -16,8 +16,9 @@
 )
 
 // Nine callers send the same key to three entries at the same time, while the
-// service takes 300 ms. One entry claims the key and the others wait for its record,
-// so that the call runs once and all nine callers get the same response.
+// service takes 300 ms. One entry must claim the key while the others wait for the
+// record of the claim, so that the call runs once and all nine callers get the same
+// response.
 func TestPromise4SameKeyAtOnce(t *testing.T) {
 	f := startFleet(t, 3, "")
 	f.Services[0].SetFaults(serviceFaults{Delay: 300 * time.Millisecond})
@@ -39,9 +40,10 @@
 
 // An entry is frozen after its claim was committed and before it receives the
 // result, for longer than any timeout. Meanwhile a second entry receives the key.
-// It must not take the claim over, as the first entry may be about to dispatch.
-// When the first entry resumes, its grant has expired: it releases the key and
-// responds "not run"; then a retry by the second caller's client runs the call.
+// The second entry must not take over the claim, as the first entry may be about to
+// dispatch. When the first entry resumes, its grant has expired: it must release the
+// key and respond "not run". Then a retry by the second caller's client must run the
+// call.
 func TestPromise4HolderFrozenBetweenClaimAndDispatch(t *testing.T) {
 	f := startFleet(t, 2, "")
 	frozen := f.Instances[0]
@@ -66,8 +68,8 @@
 	wantRuns(t, f, "frozen", 1)
 }
 
-// The claim's commit times out, and the table applies the write two seconds later.
-// The entry has fenced the row by then, so that the late write must conflict.
+// The commit of a claim times out, and the table applies the write two seconds later.
+// By then the entry must have fenced the row, so that the late write conflicts.
 // Otherwise a claim that no entry holds would block the key.
 func TestPromise4ClaimLandsAfterItWasGivenUp(t *testing.T) {
 	f := startFleet(t, 2, "")
@@ -81,9 +83,9 @@
 }
 
 // The store is slower or faster than the entry's timeout, is down, or loses the
-// responses to the claim and to its fence. The outcome that the caller gets must
-// be true, and after the store has recovered and the call is repeated, the key must
-// have run exactly once.
+// responses to the claim and to its fence. The outcome that the caller gets must be
+// true. After the store has recovered and the call is repeated, the call must have
+// run exactly once.
 func TestPromise4StoreSlowOrLossy(t *testing.T) {
 	for name, faults := range map[string]platformFaults{
 		"300 ms": {Delay: 300 * time.Millisecond}, "900 ms": {Delay: 900 * time.Millisecond},
@@ -111,9 +113,9 @@
 	}
 }
 
-// The service executes the call, but its connection breaks or it never responds.
-// The caller must get the outcome "unknown", and so must each repeat at either
-// entry: no entry may run the call again.
+// The service executes the call, but the connection to the service breaks or the
+// service never responds. The caller must get the outcome "unknown", and so must each
+// repeat at either entry: no entry may run the call again.
 func TestPromise4AnswerLostAfterExecution(t *testing.T) {
 	for name, faults := range map[string]serviceFaults{"connection broken": {LoseAnswers: 1}, "no response": {Hang: 1}} {
 		t.Run(name, func(t *testing.T) {
@@ -143,7 +145,7 @@
 		return repeat.outcome == "done"
 	})
 	if repeat.body != first.body {
-		t.Errorf("repeat got body %s, want the first body %s", repeat.body, first.body)
+		t.Errorf("repeat got body %s, want the body of the first response: %s", repeat.body, first.body)
 	}
 	wantRuns(t, f, "unrecorded", 1)
 }
@@ -190,8 +192,8 @@
 
 // The HTTP library repeats some requests itself: the Transport resends a request
 // without a body when a reused connection breaks, and the Client resends a request
-// after a redirect with status 307. Either would run a booking twice without the
-// entry noticing.
+// after a redirect with status 307. Both would run a booking twice, and the entry
+// would not detect it.
 func TestPromise4LibraryDoesNotSendTwice(t *testing.T) {
 	for name, c := range map[string]struct {
 		faults serviceFaults
@@ -215,10 +217,9 @@
 	}
 }
 
-// The first booking uses up the spend limit. Its repeat must be answered from the
-// record, as a refusal with "not run" because of the limit would be untrue. A
-// booking with another key must be refused before it runs, with the time until the
-// limit is renewed.
+// The first booking uses up the spend limit. Its repeat must get the recorded
+// response, because a refusal with "not run" would be untrue. A booking with another
+// key must be refused before it runs, with the time until the limit is renewed.
 func TestPromise3RepeatUnderSpentLimitGetsItsOutcome(t *testing.T) {
 	f := startFleet(t, 2, "0.02")
 	at := f.Instances[1].CallerAddress()
@@ -234,16 +235,16 @@
 }
 
 // The entry was paused after its decision to dispatch, until the grant had expired.
-// upstream.Caller must check the grant's expiry right before it sends, send
-// nothing, and report a failure that was not sent.
+// upstream.Client must check the grant's expiry right before it sends the request. It
+// must send nothing, and report a failure with Sent false.
 func TestPromise4LapsedGrantIsNotSent(t *testing.T) {
 	t.Parallel()
 	desk := service.New("desk", 1)
 	srv := httptest.NewServer(desk.Handler())
 	defer srv.Close()
 	events := make(chan core.Event, 1)
-	caller := upstream.NewClient(func(e core.Event) { events <- e })
-	caller.Run(context.Background(), core.Dispatch{
+	cl := upstream.NewClient(func(e core.Event) { events <- e })
+	cl.Run(context.Background(), core.Dispatch{
 		Request: "r", Attempt: "r/1", Address: srv.Listener.Addr().String(), Method: http.MethodPost, Path: "/refills",
 		SendBefore: time.Now().Add(-time.Millisecond), Timeout: waitTimeout,
 	})
--- a/internal/prooftest/bookings/budget_test.go
+++ b/internal/prooftest/bookings/budget_test.go
@@ -39,7 +39,7 @@
 	runConcurrently(calls...)
 	const affordable = 30
 	if got := len(f.Services[0].Calls()); got > affordable || got < affordable/3 {
-		t.Errorf("service ran %d calls, want at most the %d that the limit allows and at least a third of them; outcomes: %v", got, affordable, outcomes)
+		t.Errorf("service ran %d calls, want at most the %d that the limit allows and at least a third of that number; outcomes: %v", got, affordable, outcomes)
 	}
 }
 
@@ -61,7 +61,7 @@
 		got := post(t, i.CallerAddress(), "outage", "{}")
 		wantResponse(t, "a booking at "+i.Name, got, "not_run", "store_unavailable")
 		if got.status != http.StatusServiceUnavailable || got.retryAfter == "" {
-			t.Errorf("booking at an instance got %+v, want status 503 with Retry-After", got)
+			t.Errorf("booking during the outage got %+v, want status 503 with Retry-After", got)
 		}
 	}
 	if err := generate(); err != nil {
--- a/internal/prooftest/bookings/fleet.go
+++ b/internal/prooftest/bookings/fleet.go
@@ -52,8 +52,8 @@
 	return f
 }
 
-// response is the response to a caller's booking; outcome is "lost" if the connection
-// broke before the response was complete.
+// response is the response to a caller's booking. Its outcome is "lost" if the connection
+// was broken off before the response was complete.
 type response struct {
 	outcome    string
 	reason     string
@@ -120,7 +120,7 @@
 	}
 }
 
-// waitUnresponsive waits until an instance no longer responds to status requests.
+// waitUnresponsive waits until an instance does not respond to a status request.
 func waitUnresponsive(i *demo.Instance) {
 	for {
 		ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
--- a/internal/prooftest/config/config_test.go
+++ b/internal/prooftest/config/config_test.go
@@ -39,7 +39,7 @@
 }
 
 // configFiles returns the fleet's configuration with demo.APIKey replaced by key.
-// A request with demo.APIKey then shows whether an instance serves the old or the
+// A request with demo.APIKey then shows whether an instance applies the old or the
 // new version.
 func configFiles(key string) []config.File {
 	text := demo.Configuration(demo.FleetOptions{Instances: 3, Services: 1})
@@ -71,8 +71,8 @@
 	}
 }
 
-// refusalReason sends a stock request and returns the reason of the refusal, or
-// "" if the request was served.
+// refusalReason calls the path stock of the service order-desk and returns the
+// reason of the refusal, or "" if the request was served.
 func refusalReason(t *testing.T, address, key string) string {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodPost, "http://"+address+"/v1/services/order-desk/stock", strings.NewReader("{}"))
@@ -115,8 +115,8 @@
 
 // Six operators apply a change to version 1 at the same time, through instances
 // and directly to the platform, and one of the table's responses is lost. Exactly
-// one apply must succeed as version 2; each other one must fail with a conflict
-// that names the winner, and every instance must then serve version 2.
+// one operator must succeed, with version 2. Each of the others must get a conflict
+// that names the successful operator, and every instance must then apply version 2.
 func TestPromise7RacingOperators(t *testing.T) {
 	f := startFleet(t)
 	f.Platform.SetFaults(platform.Faults{LoseAnswers: 1, LoseMatching: "config/"})
@@ -151,7 +151,7 @@
 	waitInForce(t, f, 2)
 	for _, i := range f.Instances {
 		if got := refusalReason(t, i.CallerAddress(), conflicts[0].Operator); got == core.ReasonBadKey {
-			t.Errorf("%s rejects the API key of the version that was accepted, want the key to be known", i.Name)
+			t.Errorf("%s rejects the API key of the accepted version, want the key accepted", i.Name)
 		}
 	}
 }
@@ -159,7 +159,7 @@
 // An instance freezes for longer than a confirmation of its configuration is
 // valid. Meanwhile a change revokes a key, and callers with that key wait at the
 // frozen instance. When the instance resumes, it handles these requests before it
-// receives the change: it must refuse them and not serve the replaced version.
+// receives the change: it must refuse them instead of applying the replaced version.
 func TestPromise7FrozenInstanceWakes(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t)
@@ -195,19 +195,20 @@
 
 // The table and the object store go down. An instance that starts during the
 // outage must get the configuration version and its object from its peers and
-// serve. All instances must keep serving for longer than a confirmation is valid.
-// After the outage a change must come into force on all instances.
+// serve requests. All instances must keep serving requests for longer than a
+// confirmation is valid. After the outage a change must come into force on all
+// instances.
 func TestPromise7InstanceStartsInOutage(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t)
 	f.Platform.SetFaults(platform.Faults{Down: true})
-	began := time.Now()
+	outageStart := time.Now()
 	if err := f.AddInstance("entry-4"); err != nil {
 		t.Fatal(err)
 	}
 	waitInForce(t, f, 1)
 	testkit.Eventually(t, waitTimeout, "the outage has lasted longer than the TTL of a confirmation", func() bool {
-		return time.Since(began) > 5*time.Second
+		return time.Since(outageStart) > 5*time.Second
 	})
 	waitInForce(t, f, 1)
 	if got := refusalReason(t, f.Instances[3].CallerAddress(), "no-such-key"); got != core.ReasonBadKey {
@@ -248,8 +249,8 @@
 }
 
 // The operator's process is killed after it has written the object and before
-// it commits the row. The change must not come into force; when the same apply is
-// repeated, it must.
+// it commits the row. The change must not come into force before the same apply is
+// repeated.
 func TestPromise7ApplyKilledHalfWay(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t)
@@ -268,7 +269,7 @@
 	}
 	waitInForce(t, f, 1)
 	if p, err := apply.Apply(context.Background(), client, req); err != nil || p.Number != 2 {
-		t.Fatalf("repeated apply = %+v, error = %v; want version 2", p, err)
+		t.Fatalf("repeated apply = %+v, error = %v; want version 2 and no error", p, err)
 	}
 	waitInForce(t, f, 2)
 }
--- a/internal/prooftest/config/cordon_test.go
+++ b/internal/prooftest/config/cordon_test.go
@@ -47,9 +47,10 @@
 	}
 }
 
-// An operator cordons a data centre by a command, under load. Two seconds later its engine must
-// get no new generation while the other engine continues to serve, and it must get work again
-// once the cordon is lifted. With both data centres cordoned, callers are refused at once.
+// An operator cordons a data centre by a command, under load. From two seconds later on, the engine
+// of that data centre must get no new generation while the other engine continues to serve, and it
+// must get work again once the cordon is lifted. With both data centres cordoned, callers must be
+// refused at once.
 func TestCordonedDataCentreGetsNoNewWork(t *testing.T) {
 	t.Parallel()
 	f, err := demo.StartFleet(context.Background(), demo.FleetOptions{Instances: 3, Engines: 2, Services: 1})
@@ -91,9 +92,9 @@
 	callers.Wait()
 }
 
-// An organisation is restricted to a region other than the one that the instances are in. Its
-// requests must not run on an engine in the instances' own data centre, although that engine
-// would otherwise be preferred.
+// An organisation is restricted to a region in which there is no instance. Its requests must not
+// run on an engine in the instances' own data centre, although that engine would otherwise be
+// preferred.
 func TestRestrictedOrganisationStaysInItsRegion(t *testing.T) {
 	t.Parallel()
 	f, err := demo.StartFleet(context.Background(), demo.FleetOptions{Instances: 3, Engines: 2, Services: 1})
--- a/internal/prooftest/config/leave_test.go
+++ b/internal/prooftest/config/leave_test.go
@@ -14,9 +14,9 @@
 )
 
 // An engine begins to leave while callers stream without a pause. The instance
-// list lags and still reports it as live, and an instance that places work
-// freezes. Three seconds later the leaving engine must get no new generations, and
-// the other engine must serve the callers.
+// list lags and still reports the engine as live, and an instance that places work
+// freezes. From three seconds later on, the leaving engine must get no new
+// generations, and the other engine must serve the callers.
 func TestPromise5LeavingEngineUnderLoad(t *testing.T) {
 	t.Parallel()
 	f, err := demo.StartFleet(context.Background(), demo.FleetOptions{Instances: 3, Engines: 2, Services: 1})
@@ -47,7 +47,7 @@
 	f.Platform.SetFaults(platform.Faults{ListLag: lag})
 	leaving.SetLeaving(true)
 	go f.Instances[0].Freeze(1500 * time.Millisecond)
-	time.Sleep(3 * time.Second) // the maximum delay until a leaving engine gets no new work
+	time.Sleep(3 * time.Second) // a leaving engine may get new work for at most 3 s
 	before, otherBefore := len(leaving.Records()), len(other.Records())
 	testkit.Eventually(t, waitTimeout, "the other engine continues to get work", func() bool { return len(other.Records()) > otherBefore+20 })
 	if after := len(leaving.Records()); after != before {
--- a/internal/prooftest/drain/drain_test.go
+++ b/internal/prooftest/drain/drain_test.go
@@ -132,9 +132,9 @@
 	}
 }
 
-// All instances are replaced one after another while callers run streams of
-// three seconds and bookings. Callers keep the address of a leaving instance for
-// one second. Every stream must end on the connection on which it began.
+// All instances are replaced one after another while callers make bookings and read
+// streams of three seconds. Callers keep the address of a leaving instance for one
+// second. Every stream must end on the connection on which it began.
 func TestPromise6RollUnderLoad(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t)
@@ -155,9 +155,9 @@
 }
 
 // An instance drains while the table is down. Its streams take nine seconds, which
-// is longer than callers keep its address and longer than it waits for a lagging
-// list. They must continue to their end within the part of the limit that is
-// already debited, and the instance must exit only then.
+// is longer than callers keep the instance's address and longer than the instance
+// waits for a lagging list. The streams must continue to their end within the part
+// of the limit that is already debited, and the instance must exit only then.
 func TestPromise6DrainWhileTableIsDown(t *testing.T) {
 	t.Parallel()
 	f := startFleetOf(t, engine.Settings{Step: 30 * time.Millisecond, Median: 300, Sigma: 0.01})
@@ -175,8 +175,8 @@
 
 // The instance list lags by five seconds, so that it still contains the leaving
 // instance while callers keep their entries for one second only. The leaving
-// instance must announce this to its peers itself, so that no instance lists it as
-// an entry, and it must still serve callers that connect late.
+// instance must announce to its peers itself that it leaves, so that no instance
+// lists it as an entry, and it must still serve callers that connect late.
 func TestPromise6ListLagsBehindADrain(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t)
@@ -200,7 +200,7 @@
 	for _, i := range f.Instances[1:] {
 		e, err := i.Entries(context.Background(), "")
 		if err != nil || strings.Contains(strings.Join(e.Addresses, " "), leaving.CallerAddress()) {
-			t.Errorf("%s lists entries %v, error %v; want no error and not the leaving instance", i.Name, e.Addresses, err)
+			t.Errorf("%s lists entries %v, error %v; want a list without the leaving instance and no error", i.Name, e.Addresses, err)
 		}
 	}
 }
--- a/internal/prooftest/members/fleet.go
+++ b/internal/prooftest/members/fleet.go
@@ -28,13 +28,13 @@
 // fakeUpstream is an upstream that runs two calls at the same time.
 type fakeUpstream struct {
 	member membership.Member
-	// leavingSince is the time at which it began to leave; zero while it does not
-	// leave.
+	// leavingSince is the time at which the upstream began to leave; zero while it is
+	// not leaving.
 	leavingSince time.Time
-	// Until muteUntil it returns no reports; until failingUntil its calls fail.
+	// Until muteUntil the upstream returns no reports; until failingUntil its calls fail.
 	muteUntil    time.Time
 	failingUntil time.Time
-	newWork      int // number of generations and calls sent to it
+	newWork      int // number of generations and calls sent to the upstream
 }
 
 // fleetInstance is one instance with the events that are held back while it is
@@ -45,7 +45,7 @@
 	boot        int
 	frozenUntil time.Time
 	heldEvents  []core.Event
-	requests    int // number of callers' requests to it
+	requests    int // number of callers' requests to the instance
 }
 
 // fleet is a simulation of instances and fake upstreams with a table that always
@@ -66,8 +66,8 @@
 	violation     string // new work sent to a leaving upstream too late, "" if none
 	// grants holds the replies that granted an attempt, in the order of sending.
 	grants []msg.GrantResponse
-	// firstRequests holds each entry's first request for a grant, with the home that it
-	// was sent to, by the entry's name.
+	// firstRequests holds each entry's first request for a grant, with the home that the
+	// request was sent to, by the entry's name.
 	firstRequests map[string]core.Send
 }
 
@@ -262,9 +262,9 @@
 	reply(2*linkDelay, core.UpstreamReport{Report: r, PolledAt: f.now})
 }
 
-// dispatch sends work to an upstream as package upstream does: not after the grant
-// has expired. It records a violation if the upstream began to leave more than
-// maxNewWorkDelay ago.
+// dispatch sends work to an upstream unless the grant has expired, as package upstream
+// does. It records a violation if the upstream began to leave more than maxNewWorkDelay
+// ago.
 func (f *fleet) dispatch(n *fleetInstance, a core.Dispatch, reply func(time.Duration, core.Event)) {
 	failed := core.UpstreamFailed{Request: a.Request, Attempt: a.Attempt, Step: "request", NotFound: a.Resume}
 	if f.now.After(a.SendBefore) && !a.SendBefore.IsZero() || a.Resume {
--- a/internal/prooftest/members/follow_test.go
+++ b/internal/prooftest/members/follow_test.go
@@ -19,9 +19,9 @@
 const maxCordonDelay = 2 * time.Second
 
 // In any order, instances freeze, restart or are partitioned, links stall and the
-// table is down. An instance may serve a version for at most three seconds after
-// its successor was accepted; from then on it must refuse requests. After all
-// faults have ended, every instance must serve the next change within four seconds.
+// table is down. An instance may apply a version for at most three seconds after
+// the next version was accepted; from then on it must refuse requests. After all
+// faults have ended, every instance must apply the next change within four seconds.
 func TestPromise7PropertyNoOldVersionIsServed(t *testing.T) {
 	properties := gopter.NewProperties(testkit.Parameters())
 	properties.Property("no instance serves a replaced version for more than 3 s", prop.ForAll(func(steps []int) string {
@@ -45,7 +45,7 @@
 
 // A data centre is cordoned directly in the table, not through an instance, while one instance
 // starts and another can't reach the table. Two seconds later every instance must apply the
-// cordon; the same holds when the cordon is lifted.
+// cordon. Two seconds after the cordon is lifted, no instance may apply it.
 func TestPromise7CordonsAreInForceSoon(t *testing.T) {
 	sim := newSimulation(3)
 	sim.run(3 * time.Second)
@@ -61,10 +61,10 @@
 }
 
 // While the table responds to no instance, no change can be accepted. Every
-// instance must therefore keep serving during an outage of ten minutes, and one
-// that starts in the outage must get the version from its peers. An instance that
-// receives nothing from its peers must refuse requests, as it can't exclude that
-// the table responds to the others.
+// instance must therefore keep serving requests during an outage of ten minutes,
+// and an instance that starts in the outage must get the version from its peers. An
+// instance that receives nothing from its peers must refuse requests, as the table
+// may respond to the others.
 func TestPromise7TableOutageStopsOnlyIsolatedInstance(t *testing.T) {
 	sim := newSimulation(3)
 	sim.run(3 * time.Second)
@@ -89,9 +89,9 @@
 	}
 }
 
-// One of three instances reaches neither the table nor the others, which still
-// reach the table. It can't distinguish this from an outage and must refuse
-// requests.
+// One of three instances reaches neither the table nor the other instances, which
+// still reach the table. The isolated instance can't distinguish this from an outage
+// and must refuse requests.
 func TestPromise7InstanceCutOffFromAllRefuses(t *testing.T) {
 	sim := newSimulation(3, "a")
 	sim.run(3 * time.Second)
@@ -106,9 +106,9 @@
 }
 
 // An instance is restarted under its name while a read of the first boot is in
-// transit. The reply must not match a read that the second boot sent later, as it
-// would confirm a version by a row that was read earlier. Therefore ids of reads
-// must differ between boots.
+// transit. The reply must not match a read that the second boot sent later, because
+// it would confirm a version by a row that was read earlier. Therefore the ids of
+// reads must differ between boots.
 func TestPromise7ReadIDsDifferBetweenBoots(t *testing.T) {
 	seen := map[string]string{}
 	for _, boot := range []string{"1", "2"} {
@@ -125,13 +125,13 @@
 		}
 	}
 	if len(seen) < 20 {
-		t.Errorf("%d reads, want at least 20", len(seen))
+		t.Errorf("%d different read ids, want at least 20", len(seen))
 	}
 }
 
-// A data centre that reaches neither the others nor the table can't distinguish
-// an outage of the table from a partition, in which a change may have been
-// accepted outside it. Its instances must refuse requests.
+// A data centre that reaches neither the other data centre nor the table can't
+// distinguish an outage of the table from a partition, in which a change may have
+// been accepted elsewhere. The instances of this data centre must refuse requests.
 func TestPromise7CutOffDataCentreRefuses(t *testing.T) {
 	sim := newSimulation(3)
 	sim.run(3 * time.Second)
@@ -164,7 +164,7 @@
 }
 
 // The rate of reads of the configuration row must not grow with the number of
-// instances: two readers in each data centre read it twice a second.
+// instances: two readers in each data centre read the row twice a second.
 func TestConfigReadsDoNotGrowWithInstances(t *testing.T) {
 	for _, perDC := range []int{3, 12, 40} {
 		sim := newSimulation(perDC)
@@ -174,14 +174,14 @@
 		perSecond := float64(sim.reads-before) / 20
 		t.Logf("instances=%d reads_per_second=%.1f", 2*perDC, perSecond)
 		if perSecond > 8.5 {
-			t.Errorf("%d instances: %.1f reads of the row per second, want 8", 2*perDC, perSecond)
+			t.Errorf("%d instances: %.1f reads of the row per second, want at most 8.5", 2*perDC, perSecond)
 		}
 	}
 }
 
 // A reader stops responding while the instance list still reports it as live.
-// Within three seconds, instances whose requests to it time out must omit it from the
-// entries that they return to callers.
+// Within three seconds, the instances whose requests to the reader time out must omit
+// the reader from the entries that they return to callers.
 func TestEntriesOmitUnresponsivePeers(t *testing.T) {
 	omitted := 0
 	for dead := range 3 {
@@ -196,6 +196,6 @@
 		}
 	}
 	if omitted < 2 {
-		t.Errorf("unresponsive readers were omitted %d times, want at least once for each of two", omitted)
+		t.Errorf("unresponsive readers were omitted %d times in all, want at least 2", omitted)
 	}
 }
--- a/internal/prooftest/members/leave_test.go
+++ b/internal/prooftest/members/leave_test.go
@@ -43,8 +43,8 @@
 	t.Logf("dispatched=%d", dispatched)
 }
 
-// firstGrantRequest returns the entry's first request for a grant and the home that it
-// was sent to. The home is "" if the entry has sent none.
+// firstGrantRequest returns the entry's first request for a grant and the home that the
+// request was sent to. The home is "" if the entry has sent no request.
 func (f *fleet) firstGrantRequest(entry *fleetInstance) (home string, request msg.GrantRequest) {
 	a := f.firstRequests[entry.name]
 	request, _ = a.Msg.(msg.GrantRequest)
@@ -68,7 +68,7 @@
 
 // The reply with a grant is lost, the upstream begins to leave, and the entry
 // repeats its request for the same attempt. The home must not repeat the grant:
-// the entry would count its validity from the new request and send work to the
+// the entry would count the grant's TTL from the new request and send work to the
 // leaving upstream.
 func TestPromise5LostGrantIsNotRepeatedForALeavingUpstream(t *testing.T) {
 	f := newFleet()
@@ -84,38 +84,39 @@
 	f.requestGrant("i1:1:1/1", 2)
 	for _, m := range f.grants[1:] {
 		if m.Decision.Upstream == up.member.Name {
-			t.Errorf("grant for %s was repeated after the upstream began to leave, want none", up.member.Name)
+			t.Errorf("grant for %s was repeated after the upstream began to leave, want no repeated grant", up.member.Name)
 		}
 	}
 }
 
 // A home is frozen for five seconds while work waits in its queue. After it
-// resumes, it handles reports of polls from before the freeze. The home must not
-// grant by them: their upstreams may have begun to leave since.
+// resumes, it handles reports of polls from before the freeze. The home must grant
+// nothing because of these reports: the upstreams may have begun to leave since.
 func TestPromise5FrozenHomeGrantsNothingByOldReports(t *testing.T) {
 	f := newFleet()
 	f.warm()
 	for n := range 5 {
-		f.requestGrant(fmt.Sprintf("i1:1:%d/1", n), 1) // four fill both engines, one is queued
+		f.requestGrant(fmt.Sprintf("i1:1:%d/1", n), 1) // four requests fill both engines, and one is queued
 	}
 	if len(f.grants) != 4 {
 		t.Fatalf("%d grants, want 4", len(f.grants))
 	}
-	asked := f.now
+	polledAt := f.now
 	f.now = f.now.Add(5 * time.Second)
 	f.handle(f.instances[0], core.PeerMessage{From: "i1", Msg: msg.GrantEnd{Pool: "chat@r", Attempt: "i1:1:0/1"}})
 	for _, name := range []string{"e1", "e2"} {
 		r := placement.Report{Upstream: name, Boot: "1", Capacity: 100_000, MaxBatch: 2}
-		f.handle(f.instances[0], core.UpstreamReport{Report: r, PolledAt: asked})
+		f.handle(f.instances[0], core.UpstreamReport{Report: r, PolledAt: polledAt})
 	}
 	if len(f.grants) != 4 {
 		t.Errorf("granted %s by a report that was polled five seconds ago, want no grant", f.grants[4].Decision.Upstream)
 	}
 }
 
-// A grant is delayed in a link for longer than its TTL, while the entry repeats its
-// request every 400 ms and receives replies that it is queued. The entry must count
-// the TTL from the request that the grant replies to, not from the latest one.
+// A grant is delayed in a link for longer than its TTL (and in another case for less),
+// while the entry repeats its request every 400 ms and receives replies that the
+// request is queued. The entry must count the grant's TTL from the request that the
+// grant replies to, not from the latest request.
 func TestPromise5DelayedGrantHasExpired(t *testing.T) {
 	for _, c := range []struct {
 		delay time.Duration
@@ -140,8 +141,8 @@
 
 // useDelayedGrant delivers the reply to an entry's first request for a grant after
 // the given delay and returns how often the entry then sent work. All other
-// instances are frozen, so that only this reply can cause it. ok is false if the
-// entry sent no request to another instance.
+// instances are frozen, so that only this reply can make the entry send work. ok is
+// false if the entry sent no request to another instance.
 func (f *fleet) useDelayedGrant(entry int, delay time.Duration) (sent int, ok bool) {
 	n := f.instances[entry]
 	n.requests = 1 // so that the next request is a generation
--- a/internal/prooftest/members/simulation.go
+++ b/internal/prooftest/members/simulation.go
@@ -23,9 +23,9 @@
 	linkDelay    = 5 * time.Millisecond
 	readTimeout  = time.Second
 	// maxStaleness is the guaranteed maximum time for which a version may still be
-	// applied to new requests after its successor was accepted.
+	// applied to new requests after the next version was accepted.
 	maxStaleness = 3 * time.Second
-	// maxPropagation is the maximum time until every instance serves a change.
+	// maxPropagation is the maximum time until every instance applies a change.
 	maxPropagation = 4 * time.Second
 )
 
@@ -34,9 +34,9 @@
 	name, dc string
 	inst     *core.Instance
 	boot     int
-	// Until frozenUntil its events are held back in heldEvents; until
-	// noTableUntil it can't reach the table; until isolatedUntil it can reach
-	// neither the table nor other instances.
+	// Until frozenUntil the instance's events are held back in heldEvents; until
+	// noTableUntil the instance can't reach the table; until isolatedUntil it can
+	// reach neither the table nor other instances.
 	frozenUntil                 time.Time
 	noTableUntil, isolatedUntil time.Time
 	heldEvents                  []core.Event
@@ -159,7 +159,7 @@
 	sim.accepted[p.Number], sim.cordoned[p.Number] = sim.now, p.Cordoned
 }
 
-// cordon cordons a data centre, or lifts the cordon if it is already cordoned.
+// cordon cordons a data centre, or lifts the cordon if the data centre is cordoned already.
 func (sim *simulation) cordon(dataCentre string) {
 	next := slices.DeleteFunc(slices.Clone(sim.pointer.Cordoned), func(dc string) bool { return dc == dataCentre })
 	if len(next) == len(sim.pointer.Cordoned) {
@@ -198,7 +198,7 @@
 	}
 	at, replaced := sim.accepted[n+1]
 	if late := sim.now.Sub(at); replaced && late > maxStaleness && f.inst.Ready(sim.now) {
-		sim.violation = fmt.Sprintf("%s still serves version %d %s after version %d was accepted", f.name, n, late, n+1)
+		sim.violation = fmt.Sprintf("%s still applies version %d %s after version %d was accepted", f.name, n, late, n+1)
 	}
 }
 
@@ -341,8 +341,8 @@
 	}
 }
 
-// outdated describes the instances that do not serve the present version; it
-// returns "" if all of them do.
+// outdated describes the instances that do not apply the present version. It
+// returns "" if all instances apply it.
 func (sim *simulation) outdated() string {
 	var problems []string
 	for _, f := range sim.followers {
--- a/internal/prooftest/orders/orders_test.go
+++ b/internal/prooftest/orders/orders_test.go
@@ -21,7 +21,7 @@
 )
 
 // callOrder sends one order to an engine over a real connection and returns
-// the resulting events.
+// the events that result.
 func callOrder(t *testing.T, e *engine.Engine, o core.SendOrder) []core.Event {
 	t.Helper()
 	srv, err := standin.Start("127.0.0.1:0", e.Handler())
@@ -30,16 +30,16 @@
 	}
 	defer srv.Close()
 	var events []core.Event
-	caller := upstream.NewClient(func(ev core.Event) { events = append(events, ev) })
+	cl := upstream.NewClient(func(ev core.Event) { events = append(events, ev) })
 	o.Upstream, o.Address, o.Timeout = "engine-1", srv.Address(), time.Second
-	caller.Order(context.Background(), o)
+	cl.Order(context.Background(), o)
 	return events
 }
 
 // The home writes an order's row, is paused, and resumes after its lease has
-// expired; a successor may have ordered another version meanwhile. The sender
-// must check the order's deadline right before it sends, so that an engine that
-// ignores fencing numbers never receives the old order.
+// expired; a successor may have ordered another version meanwhile. The client that
+// sends the order must check the order's deadline right before that, so that an
+// engine that ignores fencing numbers never receives the old order.
 func TestOrderSenderWakesLate(t *testing.T) {
 	e := engine.New(engine.Settings{Name: "engine-1"})
 	events := callOrder(t, e, core.SendOrder{Fence: 1, Version: "v1", SendBefore: time.Now().Add(-time.Millisecond)})
@@ -52,8 +52,8 @@
 }
 
 // An engine that checks fencing numbers has accepted order 5. Order 4 of a slow
-// home arrives afterwards: the engine must refuse it, and the home must receive
-// the refusal.
+// home arrives afterwards: the engine must refuse order 4, and the home must
+// receive the refusal.
 func TestOrderOldFenceRefused(t *testing.T) {
 	e := engine.New(engine.Settings{Name: "engine-1", ChecksFencing: true})
 	if !e.TakeOrder(engine.Order{Fence: 5, Kind: "version", Value: "v5"}) {
@@ -137,7 +137,7 @@
 	last := int64(0)
 	for _, o := range e.Orders() {
 		if o.Fence <= last {
-			t.Errorf("%s accepted fencing number %d after %d, want increasing numbers", e.Name, o.Fence, last)
+			t.Errorf("%s accepted fencing number %d after %d, want a higher number", e.Name, o.Fence, last)
 		}
 		last = o.Fence
 	}
--- a/internal/prooftest/streams/callers.go
+++ b/internal/prooftest/streams/callers.go
@@ -36,9 +36,9 @@
 	})
 }
 
-// reconnect repeats a refused request, or resumes the stream at another instance as
-// the client does. If the caller had received no event, it ends with the outcome
-// unknown.
+// reconnect repeats a refused request, or resumes the stream at another instance, as
+// the client does. If the caller has received no event, the caller ends with the
+// outcome unknown.
 func (sim *simulation) reconnect(c *caller) {
 	if c.retryPending {
 		c.retryPending = false
@@ -54,7 +54,8 @@
 }
 
 // disconnect breaks a caller's connection; the caller reconnects 200 ms later. The
-// entry detects it only if detected is set, otherwise the connection is silent.
+// entry detects the disconnect only if detected is set; otherwise the connection
+// becomes silent.
 func (sim *simulation) disconnect(c *caller, detected bool) {
 	if c.ended || !c.reconnectAt.IsZero() {
 		return
@@ -93,14 +94,14 @@
 		sim.recordViolation("%s: got an end for an unknown request", f.Request)
 		return
 	case c.request != f.Request:
-		return // the caller has left this connection
+		return // the caller no longer uses this connection
 	case c.ended:
-		sim.recordViolation("%s: got a second end, want one", f.Request)
+		sim.recordViolation("%s: got a second end, want only one", f.Request)
 		return
 	}
 	refused := f.Outcome == core.NotRun || f.Outcome == core.Unknown
 	if c.lastID != "" && refused && f.RetryAfter > 0 {
-		c.request, c.reconnectAt = "", sim.now.Add(f.RetryAfter) // the resume was refused; try again later
+		c.request, c.reconnectAt = "", sim.now.Add(f.RetryAfter) // the resume was refused; the caller retries it later
 		return
 	}
 	if f.Outcome == core.NotRun && f.RetryAfter > 0 && f.RetryAfter < time.Minute && c.retriesLeft > 0 {
@@ -150,7 +151,7 @@
 		case generation != first:
 			return fmt.Sprintf("token %d is of generation %s, want %s as for token 0", n, generation, first)
 		case part[3] != fmt.Sprint(n):
-			return fmt.Sprintf("token %d has index %s, want its position", n, part[3])
+			return fmt.Sprintf("token %d has index %s, want the token's position as its index", n, part[3])
 		}
 	}
 	if c.outcome == core.Done {
--- a/internal/prooftest/streams/engine.go
+++ b/internal/prooftest/streams/engine.go
@@ -31,9 +31,9 @@
 	cancelled  bool
 }
 
-// sendReport delivers the result of a poll: the engine's report, or that it is
-// silent.
-func (sim *simulation) sendReport(to, name string, asked time.Time) {
+// sendReport delivers the result of a poll: the report of the engine, or the failure of
+// the poll if the engine is down or frozen.
+func (sim *simulation) sendReport(to, name string, polledAt time.Time) {
 	e := sim.engines[name]
 	if sim.now.Before(e.downUntil) {
 		sim.handle(to, core.PollFailed{Upstream: name, Refused: true})
@@ -49,7 +49,7 @@
 			r.Gens = append(r.Gens, placement.GenLoad{Attempt: id})
 		}
 	}
-	sim.handle(to, core.UpstreamReport{Report: r, PolledAt: asked})
+	sim.handle(to, core.UpstreamReport{Report: r, PolledAt: polledAt})
 }
 
 func (e *fakeEngine) bootID() string { return fmt.Sprintf("run-%d", e.boot) }
@@ -93,7 +93,7 @@
 	}
 	if strings.Contains(g.body, "endless") {
 		l.endless = true
-		sim.enqueue(l.channel, func() { sim.sendToken(l, g, d.From) }) // keepAlive sends the rest with each tick
+		sim.enqueue(l.channel, func() { sim.sendToken(l, g, d.From) }) // keepAlive queues a keep-alive with each tick
 		return
 	}
 	for n := d.From; n < g.tokenCount; n++ {
@@ -108,8 +108,8 @@
 	})
 }
 
-// startOrResume returns the generation of an attempt. If there is none, it starts one,
-// or returns nil if the dispatch is a resume.
+// startOrResume returns the generation of an attempt. If there is none, it starts one; if
+// the dispatch is a resume, it returns nil instead.
 func (e *fakeEngine) startOrResume(d core.Dispatch) *generation {
 	if g := e.gens[d.Attempt]; g != nil {
 		return g
--- a/internal/prooftest/streams/fleet.go
+++ b/internal/prooftest/streams/fleet.go
@@ -51,7 +51,7 @@
 	r.Reboot()
 }
 
-// reopen makes the engine listen on its port again. It retries, as an outgoing
+// reopen makes the engine listen on its port again. It retries, because an outgoing
 // connection of another process may use the port for a moment.
 func (r *relayedEngine) reopen(t *testing.T) {
 	t.Helper()
@@ -59,8 +59,8 @@
 }
 
 // startFleet starts three instances and the given number of engines behind relays.
-// Unless s.Median is set, generations have about 60 tokens at 10 ms each. A second
-// organisation has the API key pressKey.
+// Unless s.Median is set, generations have about 60 tokens at 10 ms each. An
+// organisation besides those of the demo has the API key pressKey.
 func startFleet(t *testing.T, engines int, s engine.Settings) *fleet {
 	t.Helper()
 	text := demo.Configuration(demo.FleetOptions{Engines: engines, Services: 2})
@@ -106,16 +106,16 @@
 	if e.relay, err = relay.Start(e.server.Address()); err != nil {
 		t.Fatal(err)
 	}
-	platform, err := standin.Start("127.0.0.1:0", f.Platform)
+	platformServer, err := standin.Start("127.0.0.1:0", f.Platform)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { e.server.Close(); e.relay.Close(); platform.Close() })
-	list := platformclient.NewClient("http://" + platform.Address())
+	t.Cleanup(func() { e.server.Close(); e.relay.Close(); platformServer.Close() })
+	platform := platformclient.NewClient("http://" + platformServer.Address())
 	m := membership.Member{Name: name, Role: "assistant", DataCentre: "kochi-a", Address: e.relay.Address(), State: membership.Live}
 	go e.Run(ctx.Done())
 	go standin.Every(ctx, 300*time.Millisecond, func() {
-		_ = list.Announce(ctx, m) // a failed announcement is repeated after 300 ms
+		_ = platform.Announce(ctx, m) // a failed announcement is repeated after 300 ms
 	})
 	f.engines = append(f.engines, e)
 }
@@ -173,7 +173,7 @@
 				t.Errorf("text = %q, want each token once and in order", text)
 			}
 			if got := len(strings.Fields(text)); complete && got != rec.Tokens {
-				t.Errorf("got %d tokens, want all %d", got, rec.Tokens)
+				t.Errorf("got %d tokens, want all %d tokens of the generation", got, rec.Tokens)
 			}
 			return
 		}
--- a/internal/prooftest/streams/follow_test.go
+++ b/internal/prooftest/streams/follow_test.go
@@ -40,13 +40,13 @@
 }
 
 // A caller disconnects during its stream and does not reconnect. Its entry keeps
-// reading the generation without announcing it; after the resume window (5 s here)
-// the home asks every instance and cancels the generation. The entry receives the
-// number of tokens from the engine and settles the cost. The generation must also
+// reading the generation without announcing it. After the resume window (5 s here)
+// the home must query every instance and cancel the generation. The entry receives
+// the number of tokens from the engine and settles the cost. The generation must also
 // be cancelled if the entry was killed, if the home was killed as well, and if the
 // instance list changed.
 func TestPromise1CallerGoneIsCancelledAfterWindow(t *testing.T) {
-	for name, then := range map[string]func(sim *simulation, c *caller){
+	for name, change := range map[string]func(sim *simulation, c *caller){
 		"caller disconnected":   func(sim *simulation, c *caller) { sim.abandon(c) },
 		"entry killed":          func(sim *simulation, c *caller) { c.ended = true; sim.kill(c.entry) },
 		"home and entry killed": func(sim *simulation, c *caller) { c.ended = true; sim.kill(sim.home()); sim.kill(c.entry) },
@@ -57,7 +57,7 @@
 			c := sim.submit(sim.nonHome(), "depot-key", "endless", true)
 			sim.runFor(time.Second)
 			g := sim.generation(t, "endless")
-			then(sim, c)
+			change(sim, c)
 			sim.submit(sim.names[len(sim.names)-1], "press-key", "other", false) // so that a home is active
 			sim.runFor(3 * time.Second)
 			if g.cancelled {
@@ -85,7 +85,7 @@
 	g := sim.generation(t, "endless")
 	steps := []func(){
 		func() { sim.disconnect(c, true) },
-		func() { sim.disconnect(c, false) }, // the old entry does not detect it
+		func() { sim.disconnect(c, false) }, // the old entry does not detect the disconnect
 		func() { sim.kill(sim.home()) },
 	}
 	for n, step := range steps {
@@ -99,16 +99,16 @@
 		}
 	}
 	if got := len(c.tokens); got < 2 || strings.Join(sim.check(), "") != "caller 0 (, ): no end" {
-		t.Errorf("tokens = %d, violations %v; want at least 2 tokens, and as the only violation that the stream has no end", got, sim.check())
+		t.Errorf("tokens = %d, violations %v; want at least 2 tokens, and the missing end of the stream as the only violation", got, sim.check())
 	}
 }
 
 // The home receives no announcement from the entry for longer than the resume
-// window, as could happen with two active homes. It must ask the instances before it
-// cancels the generation, so that the stream continues. Nor may it cancel the
-// generation while an instance in the list has not replied.
+// window, as could happen with two active homes. It must query the instances before it
+// cancels the generation, so that the stream continues. It must not cancel the
+// generation while an instance in the list has not replied, either.
 func TestPromise1HomeAsksBeforeItCancels(t *testing.T) {
-	for name, loses := range map[string]func(msg.Message) bool{
+	for name, drop := range map[string]func(msg.Message) bool{
 		"announcements lost": func(m msg.Message) bool { _, is := m.(msg.Announce); return is },
 		"replies lost too": func(m msg.Message) bool {
 			_, announce := m.(msg.Announce)
@@ -118,7 +118,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			sim := newSimulation(3, 1, "1000.00")
-			sim.dropMessage = loses
+			sim.dropMessage = drop
 			c := sim.submit(sim.nonHome(), "depot-key", "endless", true)
 			for range 10 {
 				sim.runFor(3 * time.Second)
@@ -134,8 +134,8 @@
 // The cost of a generation must be settled once and exactly, also after its caller
 // resumed at another entry, and after a cancel for which the engine reported the
 // number of tokens. The limit of 0.075 suffices for one request at its maximum cost
-// (0.065) and a little more, so that a second one runs only if the first was settled
-// at its actual cost.
+// (0.065) and a little more, so that a second request runs only if the first one was
+// settled at its actual cost.
 func TestBudgetAdoptedStreamSettledOnceExactly(t *testing.T) {
 	for name, run := range map[string]func(sim *simulation){
 		"resumed elsewhere": func(sim *simulation) {
@@ -185,7 +185,7 @@
 	e.downUntil = sim.now.Add(time.Hour)
 	sim.runUntilEnded()
 	if c.outcome != core.Unknown || c.reason == core.ReasonUpstreamFailed {
-		t.Errorf("outcome %s, reason %q; want unknown because of a refused placement", c.outcome, c.reason)
+		t.Errorf("outcome %s, reason %q; want unknown with the reason of a refused placement", c.outcome, c.reason)
 	}
 }
 
@@ -209,7 +209,7 @@
 	}
 	sim.runFor(4 * time.Second)
 	if c.ended {
-		t.Fatalf("caller ended before the second attempt: outcome %s, reason %q", c.outcome, c.reason)
+		t.Fatalf("caller ended before the second attempt with outcome %s, reason %q; want it to wait", c.outcome, c.reason)
 	}
 	sim.channels[link] = late[:10]
 	sim.runFor(100 * time.Millisecond)
@@ -225,9 +225,9 @@
 	}
 }
 
-// An engine sends keep-alives forever but no more tokens. When its connection ends
-// after the call's timeout, ten minutes here, the entry must not resume reading for
-// another ten minutes: the stream must end as partial.
+// An engine sends keep-alives forever but no more tokens. When the connection to the
+// engine ends after the timeout of the call (ten minutes here), the entry must not
+// resume reading for another ten minutes: the stream must end as partial.
 func TestPromise1TimeoutBoundsAllConnections(t *testing.T) {
 	sim := newSimulation(2, 1, "1000.00")
 	c := sim.submit("entry-0", "depot-key", "endless", true)
@@ -241,8 +241,8 @@
 	}
 }
 
-// A token is missing, and many tokens after it are already in transit. This is one
-// gap: it must use one resume only, and the response must be complete.
+// A token is missing, and many tokens after it are already in transit. The entry must
+// resume only once for this gap, and the response must be complete.
 func TestPromise1GapUsesOneResume(t *testing.T) {
 	sim := newSimulation(2, 1, "1000.00")
 	c := sim.submit("entry-0", "depot-key", "long", true)
@@ -253,6 +253,6 @@
 	sim.channels[link] = sim.channels[link][1:]
 	sim.runUntilEnded()
 	if violations := sim.check(); c.outcome != core.Done || len(violations) != 0 || sim.counts["retries_total resume_gap"] != 1 {
-		t.Errorf("outcome %s, reason %q, violations %v, resumes %d; want done, none and 1", c.outcome, c.reason, violations, sim.counts["retries_total resume_gap"])
+		t.Errorf("outcome %s, reason %q, violations %v, resumes %d; want done, no violations and 1 resume", c.outcome, c.reason, violations, sim.counts["retries_total resume_gap"])
 	}
 }
--- a/internal/prooftest/streams/input_test.go
+++ b/internal/prooftest/streams/input_test.go
@@ -19,7 +19,7 @@
 func TestBadInputGetsAProblem(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, 1, engine.Settings{})
-	ran := len(f.engines[0].Records())
+	before := len(f.engines[0].Records())
 	const path, good = "/v1/completions", `{"model":"dispatch-7b","prompt":"x"}`
 	notRepeatable := map[string]string{"X-Not-Repeatable": "true"}
 	cases := []struct {
@@ -73,8 +73,8 @@
 			t.Errorf("%s: %s", c.name, msg)
 		}
 	}
-	if got := len(f.engines[0].Records()); got != ran {
-		t.Errorf("%d generations ran, want 0", got-ran)
+	if got := len(f.engines[0].Records()); got != before {
+		t.Errorf("%d generations ran, want 0", got-before)
 	}
 	for _, s := range f.Services {
 		if calls := s.Calls(); len(calls) != 0 {
@@ -85,7 +85,7 @@
 }
 
 // checkProblem sends a request and describes how its refusal differs from the
-// expected one; it returns "" if it does not differ.
+// expected refusal. It returns "" if there is no difference.
 func checkProblem(req *http.Request, status int, reason, outcome string) string {
 	cl := http.Client{Timeout: waitTimeout}
 	resp, err := cl.Do(req)
@@ -106,11 +106,11 @@
 	}
 	switch {
 	case resp.StatusCode != status || p.Status != status || p.Reason != reason:
-		return fmt.Sprintf("status %d, body %s; want %d with reason %s", resp.StatusCode, raw, status, reason)
+		return fmt.Sprintf("status %d, body %s; want status %d with reason %s", resp.StatusCode, raw, status, reason)
 	case resp.Header.Get("Content-Type") != "application/problem+json":
 		return "want content type application/problem+json, got " + resp.Header.Get("Content-Type")
 	case p.Outcome != outcome || resp.Header.Get("X-Outcome") != outcome || p.Detail == "":
-		return fmt.Sprintf("outcome %q, detail %q; want the same expected outcome in body and header, and a detail", p.Outcome, p.Detail)
+		return fmt.Sprintf("outcome %q, detail %q; want the expected outcome in both body and header, and a detail", p.Outcome, p.Detail)
 	}
 	return ""
 }
--- a/internal/prooftest/streams/poison_sockets_test.go
+++ b/internal/prooftest/streams/poison_sockets_test.go
@@ -15,8 +15,8 @@
 )
 
 // A caller repeats a request that crashes each engine that runs it, under new ids at
-// all three instances, with three copies at the same time, while other callers send
-// requests. Crashed engines restart after 3 s. At most two engines may crash, the
+// all three instances, first with three copies at the same time, while other callers
+// send requests. Crashed engines restart after 3 s. At most two engines may crash, the
 // other callers must get complete responses, and in the end the request must be
 // refused with reason poison and Retry-After.
 func TestPoisonStoppedAfterTwoCrashes(t *testing.T) {
--- a/internal/prooftest/streams/poison_test.go
+++ b/internal/prooftest/streams/poison_test.go
@@ -31,7 +31,7 @@
 			sim.kill(entry)
 		}
 	case 10, 11, 12:
-		sim.deliverAll("peer ") // otherwise a home would be marked as silent, and there would be two homes
+		sim.deliverAll("peer ") // otherwise the home would be marked as silent, and there would be two homes
 		sim.deliverAll("table ")
 		sim.tick(time.Duration(arg) * time.Millisecond)
 	default:
@@ -116,9 +116,9 @@
 	return violations
 }
 
-// An instance that starts after the crashes must refuse the request too, as it
-// requests its peers' strikes. The strikes must expire; the test checks this after
-// eleven minutes, as their TTL is ten minutes.
+// An instance that starts after the crashes must refuse the request too, because it
+// requests the strikes from its peers. The strikes must expire: their TTL is ten
+// minutes, and the test checks after eleven minutes.
 func TestPoisonRefusedByNewInstance(t *testing.T) {
 	sim := newSimulation(2, 4, "1000.00")
 	for range 2 {
@@ -132,7 +132,7 @@
 	c := sim.submit("entry-9", "depot-key", "poison", true)
 	sim.runUntilEnded()
 	if sim.crashes != 2 || c.reason != core.ReasonPoison || c.outcome != core.NotRun {
-		t.Errorf("crashes = %d, outcome %s, reason %s; want 2, not_run, poison", sim.crashes, c.outcome, c.reason)
+		t.Errorf("crashes = %d, outcome %s, reason %s; want 2 crashes, outcome not_run and reason poison", sim.crashes, c.outcome, c.reason)
 	}
 	sim.runFor(11 * time.Minute)
 	sim.warmUp()
@@ -162,36 +162,36 @@
 		}
 	}
 	if sim.crashes != 2 {
-		t.Errorf("crashes = %d, want 2", sim.crashes)
+		t.Errorf("crashes = %d after the home was killed, want 2", sim.crashes)
 	}
 }
 
 // Two engines each run a copy of a crashing request, both granted before the first
 // crash; one of them also runs another caller's request. When that engine crashes,
 // the other caller's request must not be placed on the engine that runs the second
-// copy: after a second crash it would have two strikes and be refused.
+// copy: after a second crash that request would have two strikes and be refused.
 func TestPoisonBystanderIsKeptFromTheSecondCopy(t *testing.T) {
 	sim := newSimulation(2, 2, "1000.00")
 	bystander := sim.submit("entry-0", "press-key", "endless-order", false)
 	sim.runFor(3 * time.Second) // past the home's first seconds, in which requests with a strike wait
-	var held string             // channel of the first copy's connection
+	var firstCopy string        // channel of the first copy's connection
 	for range 2 {
 		c := sim.submit("entry-0", "depot-key", "poison", false)
 		link := "link entry-0 " + c.request + "/1 1"
 		for len(sim.channels[link]) == 0 {
 			sim.deliverNext(append(sim.pending("peer "), sim.pending("table ")...)[0])
 		}
-		if held == "" {
-			held = link
+		if firstCopy == "" {
+			firstCopy = link
 		}
 	}
-	events := sim.channels[held]
-	sim.channels[held] = nil
+	events := sim.channels[firstCopy]
+	sim.channels[firstCopy] = nil
 	sim.runFor(4 * time.Second) // until the crashed engine has restarted
-	sim.channels[held] = events
+	sim.channels[firstCopy] = events
 	sim.runFor(8 * time.Second)
 	if sim.crashes != 2 || bystander.ended || sim.counts["strikes_total"] != 3 {
-		t.Errorf("crashes = %d, strikes = %d, other caller ended = %t with outcome %s, reason %q; want 2, 3 and not ended", sim.crashes, sim.counts["strikes_total"], bystander.ended, bystander.outcome, bystander.reason)
+		t.Errorf("crashes = %d, strikes = %d, other caller ended = %t with outcome %s, reason %q; want 2 crashes, 3 strikes and not ended", sim.crashes, sim.counts["strikes_total"], bystander.ended, bystander.outcome, bystander.reason)
 	}
 }
 
--- a/internal/prooftest/streams/promise1_sockets_test.go
+++ b/internal/prooftest/streams/promise1_sockets_test.go
@@ -49,10 +49,10 @@
 	return resp.StatusCode, text, resp.Header.Get("X-Outcome")
 }
 
-// The connection to the engine fails during a generation: it stalls, breaks
-// repeatedly, becomes silent permanently while new connections work, or delivers
-// tokens twice or leaves some out; or the engine exceeds max_tokens. The entry must
-// resume reading over a new connection, so that streamed and unstreamed responses
+// The connection to the engine fails during a generation: it stalls, breaks once or
+// repeatedly, becomes silent permanently while new connections work, delivers tokens
+// twice, or omits tokens. In one case the engine exceeds max_tokens instead. The entry
+// must resume reading over a new connection, so that streamed and unstreamed responses
 // are complete and have each token once.
 func TestPromise1EngineLink(t *testing.T) {
 	t.Parallel()
@@ -146,7 +146,7 @@
 				t.Fatalf("stream: error = %v after %d tokens and %d resumes, want nil", err, res.Tokens, res.Resumes)
 			}
 			if res.Resumes == 0 || res.Sends != 1 {
-				t.Errorf("resumes = %d, sends = %d; want at least 1 and exactly 1", res.Resumes, res.Sends)
+				t.Errorf("resumes = %d, sends = %d; want at least 1 resume and exactly 1 send", res.Resumes, res.Sends)
 			}
 			f.checkTokens(t, res.Text, true)
 			for _, i := range f.Instances {
@@ -162,7 +162,7 @@
 }
 
 // If an engine crashes before the first token, the request must run again and the
-// caller must get a complete response. If it crashes after the first token, an
+// caller must get a complete response. If the engine crashes after the first token, an
 // unstreamed request must still get a complete response, while a stream must end as
 // partial, even if the restarted engine runs the generation again under its old id
 // with other tokens.
--- a/internal/prooftest/streams/promise2_sockets_test.go
+++ b/internal/prooftest/streams/promise2_sockets_test.go
@@ -24,7 +24,7 @@
 	t.Parallel()
 	f := startFleet(t, 2, engine.Settings{})
 	f.engines[0].relay.Delay(30 * time.Millisecond)
-	generations := map[string]int{} // callers by generation; max_tokens differs for each prompt
+	generations := map[string]int{} // number of callers by generation; max_tokens differs for each prompt
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	for n := range 24 {
@@ -54,14 +54,14 @@
 	}
 	wg.Wait()
 	if len(generations) != 24 {
-		t.Errorf("%d different generations, want one for each of 24 callers", len(generations))
+		t.Errorf("callers got tokens of %d different generations, want 24, one for each caller", len(generations))
 	}
 }
 
 // Two organisations book under the same idempotency key. One booking of each must
 // run, and a repeat must get the outcome of its own organisation's booking. A
 // booking whose response arrives after the timeout must get the outcome unknown, and
-// a repeat must get it too after the late response has arrived.
+// a repeat after the arrival of the late response must get the same outcome.
 func TestPromise2SameKeyOfTwoOrganisationsAndLateAnswer(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, 1, engine.Settings{})
@@ -147,7 +147,7 @@
 			return strings.TrimPrefix(line, "id: ")
 		}
 		if err != nil {
-			t.Fatalf("stream ended before its first event: error = %v, body %q", err, buf)
+			t.Fatalf("stream ended before its first event: error = %v, body %q; want an event", err, buf)
 		}
 	}
 }
--- a/internal/prooftest/streams/retry_test.go
+++ b/internal/prooftest/streams/retry_test.go
@@ -10,10 +10,10 @@
 )
 
 // In a partial outage some or all engines fail every new generation. Callers send
-// one request after another and don't retry. The number of attempts must not exceed
-// the requests + retry.MaxRetries for each entry + retry.RetriesPerSuccess for each
-// success, and a request whose retry is refused must end within 5 s with a time to retry. Failing
-// engines must not attract work away from healthy ones.
+// one request after another and don't retry. The number of attempts must not exceed the
+// number of requests, plus retry.MaxRetries for each entry, plus retry.RetriesPerSuccess
+// for each success. A request whose retry is refused must end within 5 s with a time to
+// retry. Failing engines must not attract work away from healthy engines.
 func TestRetryBudgetBoundsAmplification(t *testing.T) {
 	const requests = 600
 	for _, failing := range []int{0, 1, 2, 4} {
@@ -32,7 +32,7 @@
 				if c.outcome == core.Done {
 					done++
 				} else if sim.now.Sub(start) > 5*time.Second || c.retryAfter <= 0 {
-					t.Errorf("request failed after %s with Retry-After %s, want at most 5s and a positive time", sim.now.Sub(start), c.retryAfter)
+					t.Errorf("request failed after %s with Retry-After %s, want a failure within 5s and a positive Retry-After", sim.now.Sub(start), c.retryAfter)
 				}
 			}
 			attempts := sim.counts["attempts_total"] - before
--- a/internal/prooftest/streams/simulation.go
+++ b/internal/prooftest/streams/simulation.go
@@ -1,9 +1,9 @@
 // Package streams tests the guarantees to callers about responses: every token
 // arrives once, in order, from one generation, at the right caller; requests that
 // crash upstreams are stopped; retries stay within their budgets. The tests without
-// sockets drive core.Instance.Handle through fakes with virtual time; properties do
-// so with sequences of steps that gopter generates and shrinks. The tests in files
-// named *_sockets_test.go and input_test.go use real sockets.
+// sockets drive core.Instance.Handle through fakes with virtual time; the property
+// tests do so with sequences of steps that gopter generates and shrinks. The tests in
+// input_test.go and in files named *_sockets_test.go use real sockets.
 package streams
 
 import (
@@ -57,7 +57,7 @@
 }
 
 // link is one connection from an instance to an engine, opened by d. endless is set
-// if its generation sends keep-alives until it is cancelled.
+// if its generation runs until it is cancelled.
 type link struct {
 	channel  string
 	instance string
@@ -204,8 +204,8 @@
 	case core.Fetch:
 		sim.enqueue("table "+name, func() { sim.handle(name, core.ObjectResult{Hash: a.Hash, OK: true, Data: sim.objects[a.Hash]}) })
 	case core.Poll:
-		asked := sim.now
-		sim.enqueue("poll "+name+" "+a.Upstream, func() { sim.sendReport(name, a.Upstream, asked) })
+		polledAt := sim.now
+		sim.enqueue("poll "+name+" "+a.Upstream, func() { sim.sendReport(name, a.Upstream, polledAt) })
 	case core.Dispatch:
 		sim.dispatch(name, a)
 	case core.Cancel:
--- a/internal/standin/engine/cache.go
+++ b/internal/standin/engine/cache.go
@@ -23,11 +23,11 @@
 const (
 	// maxEvents limits the number of events in the log.
 	maxEvents = 1000
-	// eventDropInterval is n where every n-th event is missing from the log, as
-	// real engines publish their events with gaps.
+	// eventDropInterval is the number n for which every n-th event is missing from
+	// the log, because real engines publish their events with gaps.
 	eventDropInterval = 17
-	// unpublishedEvents is the number of newest events that are not returned, as
-	// real engines publish their events late.
+	// unpublishedEvents is the number of newest events that are not returned,
+	// because real engines publish their events late.
 	unpublishedEvents = 8
 )
 
--- a/internal/standin/engine/engine.go
+++ b/internal/standin/engine/engine.go
@@ -16,8 +16,8 @@
 	"mulberrylug.example/mulberrylug/internal/core/placement"
 )
 
-// Settings configures an Engine. A field that is zero takes its default, if one is
-// named.
+// Settings configures an Engine. A field that is zero takes its default, if its comment
+// states one.
 type Settings struct {
 	Name string
 	// Capacity is the memory in tokens. Default 16000.
@@ -38,8 +38,8 @@
 	// ChecksFencing makes the engine refuse orders whose fencing number is not
 	// greater than the highest one it has accepted.
 	ChecksFencing bool
-	// CrashOn is a text that crashes the engine when a prompt contains it. Empty
-	// means that no prompt does.
+	// CrashOn is a text that crashes the engine when a prompt contains it. If it is
+	// empty, no prompt crashes the engine.
 	CrashOn string
 	// OnCrash is called, without locks held, when a prompt contains CrashOn.
 	OnCrash func()
--- a/internal/standin/engine/faults.go
+++ b/internal/standin/engine/faults.go
@@ -19,14 +19,15 @@
 	// sending keep-alives, and leaves the connection open. It applies only to the
 	// first connection of a generation. 0 never stalls.
 	StallAfter int
-	// CutAfter breaks off each connection after this many tokens. 0 never does.
+	// CutAfter breaks off each connection after this many tokens. 0 breaks off none.
 	CutAfter int
-	// FailAll answers every new generation with status 503.
+	// FailAll responds to every request for a new generation with status 503.
 	FailAll bool
 	// FirstDelay delays the response to each new generation, and so its first token.
 	FirstDelay time.Duration
 	// RerunLost starts a generation that was lost in a crash again, under its old
-	// id, when a caller requests to resume it. Its tokens differ from the first ones.
+	// id, when a caller requests to resume it. The tokens of the new generation
+	// differ from those of the lost one.
 	RerunLost bool
 	// IgnoreMax doubles the maximum number of tokens that the caller set.
 	IgnoreMax bool
@@ -46,7 +47,8 @@
 }
 
 // rerun starts a generation that was lost in a crash again under its old id, if the
-// faults say so; its tokens differ. It returns nil if it starts none.
+// fault RerunLost is set; the new tokens differ from the lost ones. Otherwise it
+// returns nil.
 func (e *Engine) rerun(id string) *generation {
 	e.mu.Lock()
 	lost := e.lostGens[id]
@@ -73,7 +75,7 @@
 	w      http.ResponseWriter
 	r      *http.Request
 	faults StreamFaults
-	// resumed is set on every connection of a generation except the first.
+	// resumed is set on every connection of a generation except the first one.
 	resumed bool
 	// sent is the number of tokens written on this connection, without duplicates.
 	sent int
--- a/internal/standin/engine/http.go
+++ b/internal/standin/engine/http.go
@@ -15,7 +15,8 @@
 const (
 	HeaderRequestID = "X-Request-Id"
 	HeaderPriority  = "X-Priority"
-	// HeaderBoot carries the id of the engine's boot in the response to a generation.
+	// HeaderBoot carries the id of the engine's boot in the response to a request for a
+	// generation.
 	HeaderBoot = "X-Engine-Boot"
 )
 
@@ -110,7 +111,7 @@
 		return
 	}
 	if !e.TakeOrder(o) {
-		http.Error(w, "old fencing number", http.StatusConflict)
+		http.Error(w, "order refused: its fencing number is not above that of all earlier orders", http.StatusConflict)
 	}
 }
 
--- a/internal/standin/engine/orders.go
+++ b/internal/standin/engine/orders.go
@@ -24,7 +24,7 @@
 }
 
 // TakeOrder applies an order. It returns false if the engine checks fencing numbers
-// and the order's fencing number is not greater than all earlier ones.
+// and the order's fencing number is not greater than those of all earlier orders.
 func (e *Engine) TakeOrder(o Order) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/standin/engine/step.go
+++ b/internal/standin/engine/step.go
@@ -58,7 +58,7 @@
 	e.changed.Broadcast()
 }
 
-// startWaiting moves waiting generations into the batch while the batch and the memory
+// startWaiting adds waiting generations to the batch while the batch and the memory
 // have room: the lowest priority number first, then by arrival.
 func (e *Engine) startWaiting() {
 	for {
@@ -101,9 +101,9 @@
 	}
 }
 
-// preempt frees memory by moving one running generation back to the waiting ones: of
-// those with the highest priority number, the one that arrived last. All its tokens are
-// to be computed again. It reports whether that generation is g itself.
+// preempt frees memory by making one running generation wait again: among the generations
+// with the highest priority number, the one that arrived last. All its tokens must be
+// computed again. preempt reports whether that generation is g itself.
 func (e *Engine) preempt(g *generation) bool {
 	victim := g
 	for _, o := range e.order {
--- a/internal/standin/hosting/cold.go
+++ b/internal/standin/hosting/cold.go
@@ -50,8 +50,8 @@
 	return w.overrun
 }
 
-// serveHealth responds with status 200 if the upstream is ready, else with 503, and with
-// the time for which it stays cold.
+// serveHealth responds with status 200 if the upstream is ready, otherwise with 503. The
+// header Cold-Ms is the time for which the upstream stays cold.
 func (w *Worker) serveHealth(rw http.ResponseWriter) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/standin/hosting/engine.go
+++ b/internal/standin/hosting/engine.go
@@ -27,8 +27,8 @@
 func Event(id string, n int) string { return fmt.Sprintf("id: %d\ndata: %s.%d\n\n", n, id, n) }
 
 // serveStream streams events until all are sent, the caller disconnects or the generation
-// is stopped by a move or a crash. A request with Kv-From resumes from a copy, one with
-// Last-Event-Id after that event.
+// is stopped by a move or a crash. A request with the header Kv-From resumes from a copy, a
+// request with Last-Event-Id resumes after that event.
 func (w *Worker) serveStream(rw http.ResponseWriter, r *http.Request, a *Arrival, fault Fault) {
 	received := 0 // number of events that the caller has already
 	if from := r.Header.Get("Kv-From"); from != "" {
@@ -89,8 +89,8 @@
 // promptTokens is the memory that the prompt of each generation takes, in tokens.
 const promptTokens = 1000
 
-// moveRequest asks an engine to copy a generation to the upstream at the address To.
-// If Last is set, the generation is stopped first.
+// moveRequest is a request to an engine to copy a generation to the upstream at the address
+// To. If Last is set, the generation is stopped first.
 type moveRequest struct {
 	ID   string `json:"id"`
 	To   string `json:"to"`
@@ -148,8 +148,8 @@
 	}
 }
 
-// copyPath is the path prefix of the copies that this upstream sent; a DELETE request
-// frees one.
+// copyPath is the path prefix of the copies that this upstream sent; a DELETE request to
+// the path of a copy frees that copy.
 const copyPath = "/v1/kv-handle/"
 
 // dropCopy removes a copy here and at the upstream to which it was sent.
--- a/internal/standin/hosting/plain.go
+++ b/internal/standin/hosting/plain.go
@@ -18,7 +18,7 @@
 }
 
 // servePlain responds as a plain service: with the ids of the request and the upstream, or
-// as the fault says.
+// as the fault requires.
 func (w *Worker) servePlain(rw http.ResponseWriter, r *http.Request, a *Arrival, fault Fault) {
 	select {
 	case <-time.After(w.Work):
--- a/internal/standin/hosting/table.go
+++ b/internal/standin/hosting/table.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// Put writes a row, as the operator or an upstream does. A value that is not a byte slice
-// is encoded as JSON.
+// Put writes a row without a precondition, as the operator or an upstream does. A value that
+// is not a byte slice is encoded as JSON.
 func (t *Table) Put(table, key string, value any) {
 	raw, ok := value.([]byte)
 	if !ok {
@@ -166,8 +166,8 @@
 	}
 }
 
-// applyMode fails or delays a call as the mode says. It returns true if the call has ended
-// and must not be served.
+// applyMode fails or delays a call as the mode requires. It returns true if the call has
+// ended and must not be served.
 func (t *Table) applyMode(w http.ResponseWriter, r *http.Request, mode Mode) bool {
 	switch mode {
 	case Busy:
@@ -214,7 +214,7 @@
 }
 
 // serveFeed responds with the changes of a table after a version. If there are none, it
-// waits for one for at most wait_ms.
+// waits for a change for at most wait_ms.
 func (t *Table) serveFeed(w http.ResponseWriter, r *http.Request) {
 	q := r.URL.Query()
 	after, _ := strconv.ParseInt(q.Get("after"), 10, 64)
--- a/internal/standin/hosting/worker.go
+++ b/internal/standin/hosting/worker.go
@@ -19,16 +19,16 @@
 	None Fault = ""
 	// Full responds that the request was not executed.
 	Full Fault = "full"
-	// Fails executes the request and responds with a sealed status 500.
+	// Fails executes the request and responds with status 500 and the header Response-Seal.
 	Fails Fault = "fails"
 	// LostAnswer executes the request and closes the connection without a response.
 	LostAnswer Fault = "lost_answer"
-	// Mute executes the request and never responds. The generation does not appear in
-	// an engine's load report.
+	// Mute executes the request and never responds. An engine's load report does not list
+	// the generation.
 	Mute Fault = "mute"
 	// Cuts closes the connection in the middle of the response.
 	Cuts Fault = "cuts"
-	// Unsigned responds with a success without the header Response-Seal.
+	// Unsigned responds with status 200 and without the header Response-Seal.
 	Unsigned Fault = "unsigned"
 	// Extra responds twice: the second response arrives where the caller expects the
 	// response to its next request.
@@ -40,7 +40,7 @@
 	// FalsePromise executes the request and responds with status 503 without the header
 	// Not-Executed.
 	FalsePromise Fault = "false_promise"
-	// LostMove executes all moves and drops the responses to those that stop a
+	// LostMove executes all moves and drops the responses to the moves that stop a
 	// generation.
 	LostMove Fault = "lost_move"
 	// NoCopies discards the copies that other upstreams send.
@@ -117,7 +117,8 @@
 	// coldPerS is the rate, in requests per second, that the upstream sustains while it
 	// is cold. 0 means no limit.
 	coldPerS float64
-	// overrun is set when the upstream crashes because of a higher rate.
+	// overrun is set when the upstream crashes because requests arrived at a higher rate
+	// while it was cold.
 	overrun bool
 }
 
@@ -167,7 +168,7 @@
 	}
 }
 
-// Leave announces that the upstream drains and will leave.
+// Leave announces that the upstream is draining and will leave.
 func (w *Worker) Leave() {
 	w.mu.Lock()
 	w.state, w.drainingSince = "draining", time.Now()
--- a/internal/standin/hosting/world.go
+++ b/internal/standin/hosting/world.go
@@ -160,8 +160,8 @@
 	return out
 }
 
-// Configure writes the next version of the configuration and returns its number. change
-// may edit the configuration before that; nil leaves it as it is.
+// Configure writes the next version of the configuration and returns the number of that
+// version. change may edit the configuration before it is written; nil leaves it as it is.
 func (w *World) Configure(change func(c map[string]any)) int64 {
 	w.mu.Lock()
 	w.version += 3
@@ -203,7 +203,7 @@
 	return version
 }
 
-// Machine holds the place and the addresses of one instance.
+// Machine holds the data centre, the addresses and the settings file of one instance.
 type Machine struct {
 	Name string
 	Zone string
@@ -222,7 +222,7 @@
 // key is the data centre's name.
 const cordonKeyPrefix = "evacuate/"
 
-// Cordon requests that instances send no more requests to the upstreams of a data centre.
+// Cordon cordons a data centre: instances send no more requests to its upstreams.
 func (w *World) Cordon(zone string) { w.Table.Put("op", cordonKeyPrefix+zone, map[string]any{}) }
 
 // Uncordon removes the cordon of a data centre.
@@ -232,7 +232,7 @@
 // returns the instance's addresses.
 func (w *World) Machine(name string) (Machine, error) { return w.MachineIn(name, DefaultZone) }
 
-// MachineIn is Machine for the given data centre.
+// MachineIn does the same as Machine for the given data centre.
 func (w *World) MachineIn(name, zone string) (Machine, error) {
 	ip, ports, err := allocateAddress()
 	if err != nil {
@@ -283,15 +283,15 @@
 platform: {address: %q, form: "table"}
 `
 
-// machineCount is the number of addresses that this process has allocated. Simulations
-// that run in parallel must not share an address: a port found free by one of them could
-// be taken by another before the instance listens.
-var machineCount atomic.Uint32
+// instanceCount is the number of addresses that this process has allocated. Simulations
+// that run in parallel must not share an address: a port that one of them finds free could
+// be taken by another one before the instance listens.
+var instanceCount atomic.Uint32
 
 // allocateAddress returns an address of the loopback range and five ports that are free
 // there. Each instance has its own address, as on the platform.
 func allocateAddress() (string, [5]int, error) {
-	n := machineCount.Add(1)
+	n := instanceCount.Add(1)
 	ip := fmt.Sprintf("127.%d.%d.%d", 1+os.Getpid()%200, n/250, 1+n%250)
 	var ports [5]int
 	for k := range ports {
--- a/internal/standin/memtable/memtable.go
+++ b/internal/standin/memtable/memtable.go
@@ -1,5 +1,5 @@
 // Package memtable is a transactional table in memory. The stand-in for the platform
-// and the simulations of tests serve it; they add the calls, faults and locks.
+// and the simulations of tests use it, and add calls, faults and locks themselves.
 package memtable
 
 import (
--- a/internal/standin/platform/platform.go
+++ b/internal/standin/platform/platform.go
@@ -36,7 +36,8 @@
 	// LoseAnswers is the number of the next commits that take effect without a response.
 	LoseAnswers int `json:"lose_answers"`
 	// LandLate is the number of the next commits that get no response and take effect
-	// only LandAfter after they arrived, long after the timeouts of their callers.
+	// with the delay LandAfter after their arrival, long after the timeouts of their
+	// callers.
 	LandLate  int           `json:"land_late"`
 	LandAfter time.Duration `json:"land_after"`
 	// LoseMatching restricts LoseAnswers and LandLate to commits that write a key
@@ -198,8 +199,8 @@
 	return p.table.Apply(tx), p.takeLostResponse(tx)
 }
 
-// takeLostResponse reports whether the fault LoseAnswers applies to a transaction, and
-// counts it if so. The caller holds the lock.
+// takeLostResponse reports whether the fault LoseAnswers applies to a transaction, and if
+// so reduces the number of commits still to be affected. The caller holds the lock.
 func (p *Platform) takeLostResponse(tx table.Tx) bool {
 	if p.faults.LoseAnswers == 0 || !writesPrefix(tx, p.faults.LoseMatching) {
 		return false
@@ -208,8 +209,8 @@
 	return true
 }
 
-// takeLateCommit reports whether the fault LandLate applies to a transaction, and counts
-// it if so. It returns the delay.
+// takeLateCommit reports whether the fault LandLate applies to a transaction, and if so
+// reduces the number of commits still to be affected. It returns the delay of the commit.
 func (p *Platform) takeLateCommit(tx table.Tx) (time.Duration, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/standin/relay/relay.go
+++ b/internal/standin/relay/relay.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// SilenceOneWay does as Silence does in one direction only: it discards the data that
-// the target sends if targets is true, else the data that the callers send.
+// SilenceOneWay is like Silence, but in one direction only: it discards the data that the
+// target sends if targets is true, otherwise the data that the callers send.
 func (r *Relay) SilenceOneWay(targets bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -130,8 +130,8 @@
 	r.mu.Unlock()
 }
 
-// forward copies the data of one direction until it ends. If the direction is silenced,
-// the other side is not closed at its end.
+// forward copies the data of one direction until that direction ends. If the direction is
+// silenced, the connection to the receiving side stays open after the end.
 func (r *Relay) forward(l *link, from, to net.Conn) {
 	buf := make([]byte, 32<<10)
 	for {
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// Server serves a handler on a fixed address. It can crash and start again there.
+// Server serves a handler on a fixed address. It can crash and start again on that address.
 type Server struct {
 	handler http.Handler
 	address string
--- a/internal/standin/service/service.go
+++ b/internal/standin/service/service.go
@@ -1,6 +1,6 @@
 // Package service is a small stand-in for a plain service that accepts bookings.
 // It records every call that it executes and does not deduplicate calls: a booking
-// that is sent twice is executed twice, and so a test can detect it.
+// that is sent twice is executed twice, so that a test can detect the repetition.
 package service
 
 import (
@@ -98,7 +98,7 @@
 	return append([]Call(nil), s.calls...)
 }
 
-// call executes one call and responds to it as the faults say.
+// call executes one call and responds to it as the injected faults require.
 func (s *Service) call(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -126,7 +126,8 @@
 	fmt.Fprintf(w, `{"worker":%q,"booking":%d}`, s.name, n)
 }
 
-// takeRedirect reports whether the call is to be redirected, and counts it if so.
+// takeRedirect reports whether the call is to be redirected, and if so reduces the number
+// of calls still to be redirected.
 func (s *Service) takeRedirect() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/testkit/testkit.go
+++ b/internal/testkit/testkit.go
@@ -27,8 +27,8 @@
 	return p
 }
 
-// Eventually polls cond every 5 ms and fails the test if it does not hold
-// within the given time. The condition text describes cond in that failure.
+// Eventually polls cond every 5 ms and fails the test if cond does not hold
+// within the given time. The text condition describes cond in the failure.
 func Eventually(t testing.TB, within time.Duration, condition string, cond func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(within)
--- a/internal/trial/baselines.go
+++ b/internal/trial/baselines.go
@@ -11,7 +11,7 @@
 	report placement.Report
 	// reportedAt is when the report was received.
 	reportedAt time.Duration
-	// inFlight counts this entry's own attempts on the engine.
+	// inFlight is the number of this entry's own attempts on the engine.
 	inFlight int
 	// unreported lists the prompts that were sent to the engine and are too recent to be
 	// included in its report; unreportedTokens is the sum of their tokens.
@@ -46,7 +46,7 @@
 	return !v.report.Leaving && now-v.reportedAt < reportMaxAge
 }
 
-// reportMaxAge is the age from which on a report is too old to place work by, as in
+// reportMaxAge is the age at which a report becomes too old to be used for placement, as in
 // package placement.
 const reportMaxAge = 1200 * time.Millisecond
 
@@ -55,7 +55,7 @@
 type entryPolicy struct {
 	run   *Run
 	views [][]engineView
-	// pick returns the index of an engine, -1 if none takes work.
+	// pick returns the index of an engine, or -1 if none takes work.
 	pick       func(*entryPolicy, *Request, []engineView) int
 	lastPicked int
 	// blockEngine maps each prompt block to the engine that last stored it.
--- a/internal/trial/cache.go
+++ b/internal/trial/cache.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	// cacheShare sizes an engine's prefix cache: 1/cacheShare of the engine's memory, in
-	// addition to the memory for generations.
-	cacheShare = 4
+	// cacheDivisor sizes an engine's prefix cache: the engine's memory for generations divided
+	// by cacheDivisor, in addition to that memory.
+	cacheDivisor = 4
 	// cacheEventDelay is the delay after which an engine publishes a cache event.
 	cacheEventDelay = time.Second
-	// eventDropInterval is the interval, in stored blocks, at which one block's event is
+	// eventDropInterval is the number n for which the event of every n-th stored block is
 	// lost.
 	eventDropInterval = 17
 )
@@ -24,7 +24,7 @@
 }
 
 // prefixCache is an engine's prompt cache with a log of the stored blocks. The log is
-// delayed and incomplete.
+// published late, and some events are missing from it.
 type prefixCache struct {
 	*prefixcache.Cache
 	events []cacheEvent
--- a/internal/trial/central.go
+++ b/internal/trial/central.go
@@ -13,8 +13,8 @@
 	// attempt id.
 	inFlight []map[string]*Request
 	queue    []*Request
-	// fits reports whether an engine has room for a request. Among the engines with room
-	// the one with the lowest cost is chosen.
+	// fits reports whether an engine has room for a request. The request goes to the engine
+	// with the lowest cost among those with room.
 	fits func(c *centralQueue, engine int, q *Request) bool
 	cost func(c *centralQueue, engine int) float64
 }
@@ -95,8 +95,8 @@
 }
 
 // Thin is the first version of the home's policy: first come first served, on the
-// engine with the fewest attempts in flight that has room for the prompt and half of the
-// maximum output of each attempt.
+// engine with the fewest attempts in flight among those whose memory has room for the prompt
+// and half of the maximum output of every attempt.
 func Thin() Maker {
 	fits := func(c *centralQueue, i int, q *Request) bool {
 		used := q.Prompt + q.MaxOutput/2
--- a/internal/trial/cold.go
+++ b/internal/trial/cold.go
@@ -23,7 +23,7 @@
 	Cold    int
 	ColdFor time.Duration
 	Rate    float64
-	// PerSecond is the load of all instances together in requests per second, Work the
+	// PerSecond is the load of all instances together in requests per second; Work is the
 	// time that an upstream takes for a request.
 	PerSecond float64
 	Work      time.Duration
@@ -33,14 +33,15 @@
 	Seed    uint64
 }
 
-// ColdResult holds the figures of a ColdStart.
+// ColdResult holds the measured results of a ColdStart.
 type ColdResult struct {
 	// Peak is the maximum number of requests that reached one cold upstream within any
 	// second.
 	Peak int
-	// Used is the mean number of requests per second that reached a cold upstream.
+	// Used is the mean number of requests per second that reached each cold upstream.
 	Used float64
-	// Served and Refused count the requests while the upstreams were cold.
+	// Served and Refused are the numbers of requests that were served and refused while the
+	// upstreams were cold.
 	Served, Refused int
 	// RetryAfter is the mean retry delay in the refusals.
 	RetryAfter time.Duration
--- a/internal/trial/cold_test.go
+++ b/internal/trial/cold_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// Upstreams come back cold under load, and all instances see the same idle upstreams at the
-// same time. No cold upstream may receive more requests in any second than it sustains, even
-// while some instances have only a part of their peers in their view.
+// Upstreams return cold under load, and all instances see the same idle upstreams at the same
+// time. In any second, a cold upstream may receive at most the number of requests that it
+// sustains, even while some instances have only a part of their peers in their view.
 func TestColdUpstreamIsNotOverloaded(t *testing.T) {
 	const rate = 26
 	for _, instances := range []int{24, 195, 390} {
--- a/internal/trial/cordon.go
+++ b/internal/trial/cordon.go
@@ -8,8 +8,8 @@
 
 // Cordoning cordons a data centre once and lifts the cordon later.
 type Cordoning struct {
-	// First is the time from the start of the run to the cordon, For the cordon's duration.
-	// If For is 0, there is no cordon.
+	// First is the time from the start of the run to the cordon; For is the duration of the
+	// cordon. If For is 0, there is no cordon.
 	First time.Duration
 	For   time.Duration
 	// Restart replaces the data centre's engines when the cordon is lifted; generations
@@ -22,8 +22,8 @@
 	Cordon(s cordon.Set)
 }
 
-// cordonedDataCentre is the index of the data centre that is cordoned: that of the first
-// engine.
+// cordonedDataCentre is the index of the data centre that is cordoned: the data centre of the
+// first engine.
 const cordonedDataCentre = 0
 
 // cordonDataCentre cordons the data centre and schedules the end of the cordon.
@@ -42,8 +42,8 @@
 	})
 }
 
-// restartCordoned kills the engines of the cordoned data centre; a new
-// engine joins for each of them.
+// restartCordoned kills the engines of the cordoned data centre. A new engine joins for each
+// of them.
 func (r *Run) restartCordoned() {
 	for _, e := range r.engines {
 		if e.dead || e.leaving || e.index%max(r.work.Links.DataCentres, 1) != cordonedDataCentre {
--- a/internal/trial/engine.go
+++ b/internal/trial/engine.go
@@ -13,7 +13,7 @@
 	Capacity int
 	// MaxBatch is the maximum number of generations in the batch.
 	MaxBatch int
-	// Chunk is the maximum number of prompt tokens computed in one step.
+	// Chunk is the maximum number of prompt tokens that one step computes.
 	Chunk int
 	// The duration of a step is Base, plus PerDecode for each generation that decodes, plus
 	// PerPrompt for each prompt token.
@@ -30,7 +30,7 @@
 	arrivalNumber int
 	// priority orders the engine's queue; lower values run first.
 	priority int
-	// tokens counts the tokens produced.
+	// tokens is the number of tokens produced.
 	tokens int
 	// prefill is the number of tokens that are still to be computed before the next token
 	// is produced: the prompt, or the prompt and all tokens produced after a preemption.
@@ -38,7 +38,7 @@
 	// lastTokenAt is when the latest token was produced, 0 before the first.
 	lastTokenAt time.Duration
 	longestGap  time.Duration
-	// firstTokenWait is how long the caller waited for the first token, firstTokenAt when
+	// firstTokenWait is how long the caller waited for the first token; firstTokenAt is when
 	// that token was produced.
 	firstTokenWait time.Duration
 	firstTokenAt   time.Duration
@@ -71,8 +71,8 @@
 	// busy is set while a step runs.
 	busy    bool
 	leaving bool
-	// failing is set while the engine fails a fraction of its requests. slowFactor
-	// multiplies the duration of its steps; 0 counts as 1.
+	// failing is set while the engine fails a fraction of its requests. The duration of the
+	// engine's steps is multiplied by slowFactor; 0 counts as 1.
 	failing    bool
 	slowFactor float64
 	dead       bool
@@ -85,7 +85,7 @@
 }
 
 func newEngine(r *Run, index int, name string, spec EngineSpec) *engine {
-	return &engine{run: r, index: index, name: name, spec: spec, cache: newPrefixCache(spec.Capacity / cacheShare)}
+	return &engine{run: r, index: index, name: name, spec: spec, cache: newPrefixCache(spec.Capacity / cacheDivisor)}
 }
 
 // submit queues an attempt and starts the engine if it was idle.
@@ -266,7 +266,7 @@
 	return sorted[len(sorted)/4]
 }
 
-// discard drops a generation whose connection is closed, running or waiting.
+// discard drops a running or waiting generation whose connection is closed.
 func (e *engine) discard(g *generation) {
 	e.remove(g)
 	if i := slices.Index(e.waiting, g); i >= 0 {
--- a/internal/trial/evacuations.go
+++ b/internal/trial/evacuations.go
@@ -23,7 +23,7 @@
 type entryMover struct {
 	run    *Run
 	moving Moving
-	// useReports places by the engines' delayed reports instead of ownTokens.
+	// useReports selects placement by the engines' delayed reports instead of ownTokens.
 	useReports bool
 	// ownTokens holds, for each entry, the weight of its requests in flight by engine.
 	ownTokens []map[int]int
@@ -64,8 +64,8 @@
 // weight returns the cost that a request adds to an engine, in prompt tokens.
 func weight(q *Request) int { return q.Prompt + 3*q.Expected }
 
-// choose returns the live engine with the lowest cost for an entry, or -1. The engine except
-// is left out.
+// choose returns the live engine with the lowest cost for an entry, or -1. It ignores the
+// engine with the index except.
 func (a *entryMover) choose(entry, except int) int {
 	var live []int
 	for i, e := range a.run.engines {
--- a/internal/trial/faults.go
+++ b/internal/trial/faults.go
@@ -4,13 +4,14 @@
 
 // Failing makes engines fail a fraction of their requests while their health checks pass.
 type Failing struct {
-	// First is when the first engines begin to fail, Every the interval at which others
-	// begin; if Every is 0, none fails. For is how long each engine keeps failing.
+	// First is when the first engines begin to fail. Every is the interval at which other
+	// engines begin to fail; if Every is 0, no engine fails. For is how long each engine
+	// keeps failing.
 	First time.Duration
 	Every time.Duration
 	For   time.Duration
-	// Count is how many engines fail at the same time, Share the fraction of their requests
-	// that fail, After the delay from receipt of a request to its failure.
+	// Count is how many engines begin to fail at the same time, Share the fraction of their
+	// requests that fail, and After the delay from receipt of a request to its failure.
 	Count int
 	Share float64
 	After time.Duration
@@ -18,8 +19,8 @@
 
 // Crashes makes engines end without notice, and other engines join.
 type Crashes struct {
-	// First is when the first engines crash, Every the interval at which others do; if
-	// Every is 0, none crashes. Count is how many crash at the same time.
+	// First is when the first engines crash. Every is the interval at which other engines
+	// crash; if Every is 0, no engine crashes. Count is how many crash at the same time.
 	First time.Duration
 	Every time.Duration
 	Count int
@@ -62,8 +63,8 @@
 	return true
 }
 
-// crashEngines kills Crashes.Count engines without notice, notifies the policy immediately
-// and schedules the next crash.
+// crashEngines kills Crashes.Count engines without notice, notifies the policy immediately,
+// and schedules the engines that replace them and the next crash.
 func (r *Run) crashEngines() {
 	c := r.work.Crashes
 	for range c.Count {
--- a/internal/trial/homes.go
+++ b/internal/trial/homes.go
@@ -36,7 +36,7 @@
 
 func (h *simHome) now() time.Time { return time.Unix(0, int64(h.run.now)) }
 
-func (h *simHome) ask(q *Request, id string) placement.Request {
+func (h *simHome) placementRequest(q *Request, id string) placement.Request {
 	return placement.Request{
 		Attempt: id, Org: q.Org, Fingerprint: q.Fingerprint, Prompt: q.Prompt, MaxOutput: q.MaxOutput,
 		Prefix: q.Prefix, MaxWait: h.run.work.MaxWait,
@@ -47,7 +47,7 @@
 func (h *simHome) Arrive(q *Request) {
 	id := q.nextAttempt()
 	h.waiting[id] = q
-	h.run.after(hop, func() { h.apply(h.home.Place(h.now(), h.ask(q, id))) })
+	h.run.after(hop, func() { h.apply(h.home.Place(h.now(), h.placementRequest(q, id))) })
 }
 
 // Report implements Policy.
@@ -76,7 +76,7 @@
 	for _, id := range slices.Sorted(maps.Keys(h.run.live)) {
 		g := h.run.live[id]
 		if include(g.req) && !h.run.engines[g.engine].dead {
-			h.home.RecordRunning(h.now(), h.ask(g.req, id), h.run.engines[g.engine].name, placement.Progress{Tokens: g.tokens})
+			h.home.RecordRunning(h.now(), h.placementRequest(g.req, id), h.run.engines[g.engine].name, placement.Progress{Tokens: g.tokens})
 		}
 	}
 }
--- a/internal/trial/instances.go
+++ b/internal/trial/instances.go
@@ -6,24 +6,28 @@
 	"time"
 )
 
-// Slowing makes engines slow for a while; nothing but their pace shows it.
+// Slowing makes engines slow for a while. Only the interval between their tokens shows that
+// they are slow.
 type Slowing struct {
-	// First is when the first engines become slow, Every the interval at which others do;
-	// if Every is 0, none does. For is how long each engine stays slow.
+	// First is when the first engines become slow. Every is the interval at which other
+	// engines become slow; if Every is 0, no engine does. For is how long each engine stays
+	// slow.
 	First time.Duration
 	Every time.Duration
 	For   time.Duration
-	// Count is how many engines become slow at the same time, Factor multiplies the
-	// duration of their steps.
+	// Count is how many engines become slow at the same time. The duration of their steps is
+	// multiplied by Factor.
 	Count  int
 	Factor float64
 }
 
 // Shutdown ends all instances at the same time; the requests that run then are lost.
 type Shutdown struct {
-	// At is the time from the start of the run; if At is 0, there is no shutdown.
+	// At is the time from the start of the run to the shutdown; if At is 0, there is no
+	// shutdown.
 	At time.Duration
-	// Down is how long no instance serves. Requests that arrive meanwhile wait until then.
+	// Down is how long no instance serves. Requests that arrive meanwhile wait until the
+	// instances serve again.
 	Down time.Duration
 }
 
@@ -31,8 +35,8 @@
 // the engines, without a caller, until the instances are back. Their callers switch to other
 // instances; lost requests that may be repeated are sent again all at the same time.
 type EntryLoss struct {
-	// At is the time from the start of the run; if At is 0, there is no loss. Share is the
-	// fraction of the instances that are lost.
+	// At is the time from the start of the run to the loss; if At is 0, there is no loss.
+	// Share is the fraction of the instances that are lost.
 	At    time.Duration
 	Share float64
 	// Down is how long these instances are down.
@@ -85,8 +89,8 @@
 	r.policy.Arrive(q)
 }
 
-// firstLostEntry returns the index of the first instance that EntryLoss takes; all later
-// instances are lost with it.
+// firstLostEntry returns the index of the first instance that is lost by EntryLoss; all
+// instances with a higher index are lost too.
 func (r *Run) firstLostEntry() int {
 	return max(r.work.Entries-int(r.work.EntryLoss.Share*float64(r.work.Entries)), 1)
 }
@@ -112,8 +116,8 @@
 	}
 }
 
-// loseEntries ends the instances that EntryLoss takes. The engines continue their
-// generations until the instances are back.
+// loseEntries ends the instances that are lost by EntryLoss. The engines continue the
+// generations of these instances until the instances are back.
 func (r *Run) loseEntries() {
 	for _, id := range slices.Sorted(maps.Keys(r.live)) {
 		g := r.live[id]
@@ -128,8 +132,8 @@
 	}
 }
 
-// abandon ends an attempt for its caller; the engine is not notified. A request of a lost
-// entry that may be repeated stays open.
+// abandon ends an attempt for its caller; the engine is not notified. If the entry was lost
+// and the request may be repeated, the request stays open.
 func (r *Run) abandon(g *generation, f Fate) {
 	g.abandoned = true
 	delete(r.live, g.id)
--- a/internal/trial/instances_test.go
+++ b/internal/trial/instances_test.go
@@ -15,7 +15,7 @@
 	return w
 }
 
-// lostShare returns the fraction of the value that was lost by all fates together.
+// lostShare returns the fraction of the value that was lost, summed over all fates.
 func lostShare(r Result) float64 {
 	sum := 0.0
 	for _, f := range Fates {
@@ -24,16 +24,16 @@
 	return sum
 }
 
-// All instances end at the same time in mid-run. Only the requests that run then are lost,
-// each request has an outcome, and requests that arrive meanwhile are served once the
-// instances are back.
+// All instances end at the same time in mid-run. Only the requests that run at that moment are
+// lost, each request has an outcome, and requests that arrive while the instances are down are
+// served once the instances are back.
 func TestShutdownLosesOnlyRunningRequests(t *testing.T) {
 	w := lightLoad()
 	w.Shutdown = Shutdown{At: w.Length / 2, Down: time.Second}
 	r := Play(w, PoolHome("home", 0, 0), 1)
 	shutdownLost := r.Worth.LostShare(LostShutdown)
 	if r.Unanswered != 0 || r.Done+r.Partial != len(w.Requests(1)) || r.Partial == 0 {
-		t.Errorf("%d done, %d partial, %d without an outcome; want some partial, none without an outcome, and done and partial to be all", r.Done, r.Partial, r.Unanswered)
+		t.Errorf("%d done, %d partial, %d without an outcome; want some partial, none without an outcome, and done plus partial to be the number of all requests", r.Done, r.Partial, r.Unanswered)
 	}
 	// By Little's law the fraction of the requests in flight at a moment is the mean time in
 	// flight divided by the length of the run.
@@ -45,19 +45,19 @@
 	}
 }
 
-// A third of the instances lose power. Their running requests are lost unless these are
-// repeatable, the engines continue the generations, and callers switch to other instances.
+// A third of the instances lose power. Their running requests are lost unless the requests
+// are repeatable, the engines continue the generations, and callers switch to other instances.
 func TestEntryLossLosesRunningRequests(t *testing.T) {
 	w := lightLoad()
 	w.EntryLoss = EntryLoss{At: w.Length / 2, Share: 0.34, Down: 2 * time.Second}
 	r := Play(w, PoolHome("home", 0, 0), 1)
 	if r.Unanswered != 0 || r.Partial == 0 || r.Worth.LostShare(LostEntry) == 0 {
-		t.Errorf("%d partial, %d without an outcome, fraction lost with entries %.3f; want some partial and lost, none without an outcome", r.Partial, r.Unanswered, r.Worth.LostShare(LostEntry))
+		t.Errorf("%d partial, %d without an outcome, fraction lost with entries %.3f; want some partial, a fraction above 0, and none without an outcome", r.Partial, r.Unanswered, r.Worth.LostShare(LostEntry))
 	}
 	w.Orgs[0].Repeatable = true
 	repeated := Play(w, PoolHome("home", 0, 0), 1)
 	if repeated.Partial != 0 || repeated.Worth.LostShare(LostEntry) != 0 {
-		t.Errorf("repeatable requests: %d partial, want none partial and no value lost with entries", repeated.Partial)
+		t.Errorf("repeatable requests: %d partial, want 0 and no value lost with entries", repeated.Partial)
 	}
 }
 
@@ -68,7 +68,7 @@
 	w.Slowing = Slowing{First: time.Second, Every: 5 * time.Second, For: 4 * time.Second, Count: 6, Factor: 3}
 	slow := Play(w, Baselines()[1], 1)
 	if slow.TokenTime < fast.TokenTime*5/4 || slow.Partial != 0 || slow.Unanswered != 0 {
-		t.Errorf("time per token %v with slow engines, %v without, want at least 5/4 of that; %d partial, want 0 and no request without an outcome", slow.TokenTime, fast.TokenTime, slow.Partial)
+		t.Errorf("time per token = %v with slow engines and %v without, want a ratio of at least 5/4; %d partial with slow engines, want 0 and no request without an outcome", slow.TokenTime, fast.TokenTime, slow.Partial)
 	}
 }
 
@@ -106,7 +106,7 @@
 	w.Shutdown = Shutdown{At: 20 * time.Second, Down: time.Second}
 	a, b := Play(w, PoolHome("home", 0, 0), 7), Play(w, PoolHome("home", 0, 0), 7)
 	if !reflect.DeepEqual(a, b) {
-		t.Errorf("two runs with the same seed differ:\n%s\n%s", a.Line("-", 1), b.Line("-", 1))
+		t.Errorf("two runs with the same seed differ, want equal results:\n%s\n%s", a.Line("-", 1), b.Line("-", 1))
 	}
 	if a.Unanswered != 0 {
 		t.Errorf("requests without an outcome = %d, want 0", a.Unanswered)
--- a/internal/trial/leave.go
+++ b/internal/trial/leave.go
@@ -9,8 +9,8 @@
 
 // Leaving makes engines leave repeatedly, at short notice, and other engines join.
 type Leaving struct {
-	// First is when the first engines get notice, Every the interval at which others do;
-	// if Every is 0, none leaves.
+	// First is when the first engines get notice. Every is the interval at which other
+	// engines get notice; if Every is 0, no engine leaves.
 	First time.Duration
 	Every time.Duration
 	// Count is how many engines leave at the same time.
@@ -26,8 +26,8 @@
 // Links describes the engines' network links, which carry copies of running generations.
 // Each engine has one link and sends or receives one copy at a time.
 type Links struct {
-	// TokenBytes is the memory of one token in bytes, Mbps the bandwidth in megabits per
-	// second, Setup the time that each copy takes in addition.
+	// TokenBytes is the memory of one token in bytes, Mbps the bandwidth of a link in megabits
+	// per second, and Setup the time that each copy takes in addition to the transfer.
 	TokenBytes float64
 	Mbps       float64
 	Setup      time.Duration
@@ -65,7 +65,7 @@
 	}
 }
 
-// randomLiveEngine draws a live engine that is not leaving; nil if there is none.
+// randomLiveEngine draws a live engine that is not leaving. It returns nil if there is none.
 func (r *Run) randomLiveEngine() *engine {
 	var live []*engine
 	for _, e := range r.engines {
@@ -135,8 +135,8 @@
 // has died.
 const copyTTL = 5 * time.Second
 
-// dropCopy frees the memory of a copy at its destination: immediately if the source engine
-// is alive, otherwise after copyTTL.
+// dropCopy frees the memory that the copy of a generation takes at its destination:
+// immediately if the source engine is alive, otherwise after copyTTL.
 func (r *Run) dropCopy(g *generation) {
 	if g.copiedTokens == 0 {
 		return
--- a/internal/trial/measure.go
+++ b/internal/trial/measure.go
@@ -27,7 +27,7 @@
 	gapDigits    = 3
 )
 
-// Result holds the figures of one run.
+// Result holds the measured results of one run.
 type Result struct {
 	Policy string
 	// Stall sums, over all requests, the wait for the first token beyond
@@ -35,7 +35,7 @@
 	Stall time.Duration
 	// GapStall is the part of Stall that is caused by gaps after the first token.
 	GapStall time.Duration
-	// Preemptions counts the preemptions on all engines.
+	// Preemptions is the number of preemptions on all engines.
 	Preemptions int64
 	// P95, P99 and P999 are percentiles of all gaps between tokens. LongestP99 is the 99th
 	// percentile of the longest gap in each response.
@@ -43,18 +43,18 @@
 	LongestP99     time.Duration
 	// FirstP95 is the 95th percentile of the waits for the first token.
 	FirstP95 time.Duration
-	// Done counts complete responses, Partial requests that were lost by a fault, Refused
-	// refusals (a caller that comes back may be refused again).
+	// Done is the number of complete responses, Partial that of requests that were lost by a
+	// fault, and Refused that of refusals (a caller that comes back may be refused again).
 	Done, Partial, Refused int
-	// InTime counts complete responses whose first token and gaps were all on time, Moved the
-	// moves of generations to another engine.
+	// InTime is the number of complete responses whose first token and gaps were all on time,
+	// Moved that of moves of generations to another engine.
 	InTime, Moved int
-	// Late counts refusals that came more than four hops after the request was sent.
+	// Late is the number of refusals that came more than four hops after the request was sent.
 	Late int
-	// Returned counts callers that came back after a refusal, Served those of them that got
-	// a complete response.
+	// Returned is the number of callers that came back after a refusal, Served the number of
+	// these callers that got a complete response.
 	Returned, Served int
-	// Unanswered counts requests that had no outcome when the run ended.
+	// Unanswered is the number of requests that had no outcome when the run ended.
 	Unanswered int
 	// Goodput is the number of requests per second whose first token met FirstTokenTarget.
 	Goodput float64
@@ -65,33 +65,33 @@
 	Drained time.Duration
 	// ByOrg is the stall of each organisation.
 	ByOrg map[string]time.Duration
-	// Worth is the value of the requests for their callers and its losses.
+	// Worth is the value of the requests for their callers and the part of it that was lost.
 	Worth Worth
 	// FirstP50 and FirstP99 are percentiles of the waits for the first token.
 	FirstP50, FirstP99 time.Duration
 	// TokenTime is the mean interval between the tokens of responses with at least
 	// longResponseTokens tokens.
 	TokenTime time.Duration
-	// NoRun counts move orders for generations that were still in prefill or no longer ran
-	// on the source engine.
+	// NoRun is the number of move orders for generations that were still in prefill or no
+	// longer ran on the source engine.
 	NoRun int
 }
 
 // longResponseTokens is the minimum number of tokens of a response that counts in TokenTime.
 const longResponseTokens = 100
 
-// measure collects a run's figures.
+// measure collects the measured results of a run.
 type measure struct {
 	result      Result
 	gaps        *hdrhistogram.Histogram
 	firsts      *hdrhistogram.Histogram
 	longestGaps []time.Duration
-	// firstOnTime counts the first tokens that met FirstTokenTarget.
+	// firstOnTime is the number of first tokens that met FirstTokenTarget.
 	firstOnTime int
 	// lastFirstToken is when the latest first token was produced.
 	lastFirstToken time.Duration
-	// decodeTime sums the time between the first and last tokens of long responses,
-	// decodedTokens their tokens after the first.
+	// decodeTime is the sum of the times between the first and last tokens of long responses;
+	// decodedTokens is the number of tokens of these responses after the first.
 	decodeTime    time.Duration
 	decodedTokens int
 }
@@ -111,8 +111,8 @@
 	}
 }
 
-// recordToken records a token that is the first or did not follow its predecessor by one
-// step.
+// recordToken records a token that is the first of its response, or whose gap is not exactly
+// one step.
 func (m *measure) recordToken(g *generation, end time.Duration) {
 	if g.lastTokenAt == 0 {
 		m.recordFirstToken(g, end)
@@ -163,7 +163,7 @@
 	}
 }
 
-// finish returns the figures of a run in which requests arrived for the given time.
+// finish returns the measured results of a run in which requests arrived for the given time.
 func (m *measure) finish(length time.Duration) Result {
 	r := m.result
 	at := func(h *hdrhistogram.Histogram, q float64) time.Duration {
--- a/internal/trial/oracle.go
+++ b/internal/trial/oracle.go
@@ -29,7 +29,7 @@
 	}}
 }
 
-// work returns the request's memory use over its run, in tokens times steps.
+// work returns the request's memory use over its generation, in tokens times steps.
 func (q *Request) work() int { return q.Output * (q.Prompt + q.Output/2) }
 
 // Arrive implements Policy.
@@ -85,8 +85,8 @@
 	return best
 }
 
-// remaining is the number of tokens that a generation is still to produce, and its memory
-// at present in tokens.
+// remaining holds the number of tokens that a generation is still to produce, and the memory
+// that it takes at present, in tokens.
 type remaining struct{ tokens, memory int }
 
 // peakMemory returns the maximum memory that an engine will need if it also takes q. All
--- a/internal/trial/poolhome.go
+++ b/internal/trial/poolhome.go
@@ -46,7 +46,7 @@
 	}}
 }
 
-// resetHome starts a home without any state.
+// resetHome replaces the home by a new one without any state.
 func (p *poolHome) resetHome() {
 	l, spec := p.run.work.Links, p.run.work.Engines[0]
 	p.waiting = map[string]*Request{}
@@ -119,12 +119,12 @@
 	id := q.nextAttempt()
 	p.waiting[id] = q
 	p.run.after(hop, func() {
-		p.home.Place(p.now(), p.entry(q), msg.GrantRequest{Pool: poolName, Request: p.ask(q, id)})
+		p.home.Place(p.now(), p.entry(q), msg.GrantRequest{Pool: poolName, Request: p.placementRequest(q, id)})
 		p.sendMessages()
 	})
 }
 
-func (p *poolHome) ask(q *Request, id string) placement.Request {
+func (p *poolHome) placementRequest(q *Request, id string) placement.Request {
 	return placement.Request{
 		Attempt: id, Org: q.Account, Prompt: q.Prompt, MaxOutput: q.MaxOutput, Expected: q.Expected, MaxWait: p.run.work.MaxWait, FirstTarget: q.FirstTarget,
 	}
@@ -174,7 +174,7 @@
 		p.lastAnnounced[entry] = p.run.now
 		m := msg.Announce{Pool: poolName}
 		for _, g := range list {
-			m.Running = append(m.Running, msg.RunningAttempt{Request: p.ask(g.req, g.id), Upstream: p.run.engines[g.engine].name, Tokens: g.tokens, Pace: g.pace()})
+			m.Running = append(m.Running, msg.RunningAttempt{Request: p.placementRequest(g.req, g.id), Upstream: p.run.engines[g.engine].name, Tokens: g.tokens, Pace: g.pace()})
 		}
 		from := p.entry(list[0].req)
 		p.run.after(hop, func() { p.home.Announce(p.now(), from, m) })
@@ -197,8 +197,8 @@
 	}
 }
 
-// applyDecision handles the home's decision at the entry that requested it. Queued is not
-// final and is ignored.
+// applyDecision handles the home's decision at the entry that requested it. The decision
+// Queued is not final and is ignored.
 func (p *poolHome) applyDecision(d placement.Decision) {
 	q := p.waiting[d.Attempt]
 	if q == nil || d.Kind == placement.Queued {
@@ -212,8 +212,8 @@
 	p.run.dispatch(q, d.Attempt, p.run.byName[d.Upstream], d.Priority)
 }
 
-// move handles an order to move a generation to another engine, and reports its outcome to
-// the home.
+// move handles an order to move a generation to another engine, and reports the outcome of
+// the move to the home.
 func (p *poolHome) move(m msg.MoveOrder) {
 	reply := func(o msg.MoveOutcome) {
 		p.run.after(hop, func() {
--- a/internal/trial/run.go
+++ b/internal/trial/run.go
@@ -1,6 +1,6 @@
 // Package trial simulates placement policies in virtual time and measures them. It contains
 // simulated engines, seeded workloads, the policies that an operator would otherwise run, and
-// a runner that gives the same figures for the same seed. It tests decisions under load and
+// a runner that gives the same results for the same seed. It tests decisions under load and
 // uses neither sockets nor the wall clock.
 package trial
 
@@ -24,8 +24,8 @@
 	tickInterval = 50 * time.Millisecond
 	// maxRunTime is the virtual time after which a run is stopped with requests still open.
 	maxRunTime = 30 * time.Minute
-	// placementRetryInterval is how long a request that no engine could take waits before
-	// the entry tries again.
+	// placementRetryInterval is how long the entry waits before it tries again to place a
+	// request that no engine could take.
 	placementRetryInterval = 250 * time.Millisecond
 )
 
@@ -101,7 +101,7 @@
 // after schedules a call after a delay.
 func (r *Run) after(d time.Duration, do func()) { r.at(r.now+d, do) }
 
-// Play runs a workload under a policy and returns its figures.
+// Play runs a workload under a policy and returns the measured results.
 func Play(w Workload, m Maker, seed uint64) Result {
 	r := &Run{
 		work: w, byName: map[string]int{}, rng: rand.New(rand.NewPCG(seed, 1)),
@@ -203,7 +203,7 @@
 }
 
 // poll reads an engine's load and passes the policy a report that is ReportLag old. Only
-// the report's Leaving is current.
+// the field Leaving of that report is current.
 func (r *Run) poll(i int) {
 	e := r.engines[i]
 	if e.dead {
@@ -252,8 +252,8 @@
 	r.policy.Ended(g.req, g.id, g.engine, g.tokens, true)
 }
 
-// endLost ends an attempt whose engine died. If no token was produced or the request may be
-// repeated, the request is placed again; otherwise its response stays partial.
+// endLost ends an attempt whose engine died. If the attempt produced no token or the request
+// may be repeated, the request is placed again; otherwise its response stays partial.
 func (r *Run) endLost(g *generation, f Fate) {
 	if g.abandoned {
 		return
@@ -273,7 +273,7 @@
 func (r *Run) mayRepeat(q *Request) bool { return q.Repeatable && q.attempts <= 1 }
 
 // refuse refuses a request. If Workload.Return is set and a retry delay is given, the caller
-// sends the request again after it.
+// sends the request again after that delay.
 func (r *Run) refuse(q *Request, retryAfter time.Duration) {
 	r.measure.result.Refused++
 	if r.now-q.lastSent > 4*hop {
--- a/internal/trial/shared.go
+++ b/internal/trial/shared.go
@@ -13,8 +13,8 @@
 type homePerEntry struct {
 	run   *Run
 	homes []*simHome
-	// interval is the interval at which entries announce their running attempts to all
-	// others; if it is 0, they never do.
+	// interval is the interval at which entries announce their running attempts to all other
+	// entries; if it is 0, entries announce nothing.
 	interval   time.Duration
 	lastGossip time.Duration
 }
--- a/internal/trial/sweep.go
+++ b/internal/trial/sweep.go
@@ -12,7 +12,8 @@
 // time that a request may queue.
 const maxDrainTime = 20 * time.Second
 
-// Emptied reports whether the queues emptied, that is, the policy sustained the arrival rate.
+// Emptied reports whether the queues became empty, that is, whether the policy sustained the
+// arrival rate.
 func (r Result) Emptied() bool {
 	return r.Unanswered == 0 && r.Drained <= maxDrainTime
 }
@@ -63,8 +64,8 @@
 	return low
 }
 
-// Median returns a result in which these figures are the medians over the given results; all
-// other fields are those of the first result.
+// Median returns the first result with the fields that are set below replaced by their medians
+// over all given results.
 func Median(list []Result) Result {
 	m := list[0]
 	m.Stall = median(list, func(r Result) time.Duration { return r.Stall })
--- a/internal/trial/trial_test.go
+++ b/internal/trial/trial_test.go
@@ -17,7 +17,7 @@
 	for _, m := range Baselines() {
 		a, b := Play(smallWorkload(), m, 7), Play(smallWorkload(), m, 7)
 		if !reflect.DeepEqual(a, b) {
-			t.Errorf("%s: two runs with the same seed differ:\n%s\n%s", m.Name, a.Line("-", 1), b.Line("-", 1))
+			t.Errorf("%s: two runs with the same seed differ, want equal results:\n%s\n%s", m.Name, a.Line("-", 1), b.Line("-", 1))
 		}
 	}
 }
@@ -32,7 +32,7 @@
 		for _, m := range Baselines() {
 			r := Play(w, m, 3)
 			if r.Unanswered != 0 || r.Done+r.Partial != sent {
-				t.Errorf("%s under %s: not all of %d requests are done or partial: %s", w.Name, m.Name, sent, r.Line("-", 1))
+				t.Errorf("%s under %s: want each of %d requests done or partial, and none unanswered: %s", w.Name, m.Name, sent, r.Line("-", 1))
 			}
 		}
 	}
@@ -44,6 +44,6 @@
 	w.Length, w.Rate = 20*time.Second, 10
 	r := Play(w, Baselines()[0], 1)
 	if r.Preemptions == 0 || r.LongestP99 < GapThreshold {
-		t.Errorf("want preemptions on an overloaded engine, and a p99 of the longest gaps of at least GapThreshold: %s", r.Line("-", 1))
+		t.Errorf("on an overloaded engine: %s; want preemptions, and a p99 of the longest gaps of at least GapThreshold", r.Line("-", 1))
 	}
 }
--- a/internal/trial/workload.go
+++ b/internal/trial/workload.go
@@ -24,8 +24,8 @@
 	Entry int
 	// At is when the caller first sent the request, from the start of the run.
 	At time.Duration
-	// Prompt, Output and MaxOutput are the lengths of the prompt and the response and the limit
-	// of the response, in tokens.
+	// Prompt and Output are the lengths of the prompt and of the response, in tokens; MaxOutput
+	// is the limit on Output.
 	Prompt    int
 	Output    int
 	MaxOutput int
@@ -33,19 +33,19 @@
 	Expected int
 	// Prefix lists the hashes of the prompt's blocks that other requests share.
 	Prefix []uint64
-	// Fingerprint identifies the body; it is the same when the caller sends it again.
+	// Fingerprint identifies the body; it is the same when the caller sends the request again.
 	Fingerprint uint64
-	// Worth is the value for the caller of a complete response that is on time, LateShare the
-	// fraction of it that a late response keeps, FirstTarget the longest time from At to the
-	// first token of a response that is on time.
+	// Worth is the value for the caller of a complete response that is on time. LateShare is
+	// the fraction of that value that a late response keeps. FirstTarget is the longest time
+	// from At to the first token of a response that is on time.
 	Worth       float64
 	LateShare   float64
 	FirstTarget time.Duration
 	// Repeatable is set if the request is sent again, once, when its attempt is lost.
 	Repeatable bool
 
-	// lastSent is when the caller last sent the request, returnCount how often it came back
-	// after a refusal, attempts how many attempts were made.
+	// lastSent is when the caller last sent the request, returnCount how often the caller came
+	// back after a refusal, and attempts how many attempts were made.
 	lastSent    time.Duration
 	returnCount int
 	attempts    int
@@ -71,11 +71,12 @@
 	// Worth is the value of a response of mean size; the value of others is proportional to
 	// their size. Values below 1 count as 1.
 	Worth float64
-	// LateShare is the fraction of its value that a late response keeps, FirstTarget the
-	// longest wait for the first token of a response on time; FirstTokenTarget by default.
+	// LateShare is the fraction of its value that a late response keeps. FirstTarget is the
+	// longest wait for the first token of a response that is on time; the default is
+	// FirstTokenTarget.
 	LateShare   float64
 	FirstTarget time.Duration
-	// Repeatable makes requests be sent again, once, when their attempt is lost.
+	// Repeatable is set if its requests are sent again, once, when their attempt is lost.
 	Repeatable bool
 }
 
@@ -102,13 +103,14 @@
 	// Accounts is the number of organisations that send the requests of all Orgs; the first
 	// ones send more. If it is 0, each of Orgs is an organisation.
 	Accounts int
-	// Rate is in requests per second, Length how long requests arrive.
+	// Rate is the arrival rate in requests per second; Length is how long requests arrive.
 	Rate   float64
 	Length time.Duration
 	// MaxOutput limits each response, in tokens.
 	MaxOutput int
-	// BurstFactor multiplies the rate during burstOn of each burstEvery; the rate is lower
-	// otherwise, so that the mean is kept. 0 or 1 means no bursts.
+	// BurstFactor multiplies the rate during the first burstOn of each burstEvery. In the
+	// remaining time the rate is lower, so that the mean rate stays the same. 0 or 1 means no
+	// bursts.
 	BurstFactor float64
 	// ShiftAt is the time from which on the median output lengths are multiplied by
 	// ShiftFactor; 0 means never.
@@ -117,7 +119,7 @@
 	// ReclaimAt is when the first engine gets notice, 0 for never; the engine ends
 	// reclaimNotice later.
 	ReclaimAt time.Duration
-	// MaxWait is the longest a request may queue before its first token.
+	// MaxWait is the longest time that a request may queue before its first token.
 	MaxWait time.Duration
 	// Leaving makes engines leave and join, Links carries copies of their generations.
 	Leaving Leaving
@@ -166,7 +168,7 @@
 }
 
 // tenOrgs returns organisations whose responses differ in length, from short classifications to
-// long drafts.
+// long texts.
 func tenOrgs() []Org {
 	medians := []float64{30, 50, 80, 120, 160, 200, 260, 350, 500, 700}
 	out := make([]Org, len(medians))
