--- a/internal/trial/worth.go
+++ b/internal/trial/worth.go
@@ -9,17 +9,17 @@
 const (
 	// InTime: the response is complete, and its first token and all gaps were on time.
 	InTime Fate = "in_time"
-	// LateFirst and LatePause: the response is complete, but the first token was late, or a
-	// gap was longer than SteadyGap.
+	// LateFirst and LatePause: the response is complete, but the first token was late
+	// (LateFirst), or a gap was longer than SteadyGap (LatePause).
 	LateFirst Fate = "late_first"
 	LatePause Fate = "late_pause"
-	// LostLeaving, LostCrash and LostFailing: the response broke off because its engine left,
-	// crashed, or failed the request.
+	// LostLeaving, LostCrash and LostFailing: the response was broken off because its engine
+	// left, crashed, or failed the request.
 	LostLeaving Fate = "lost_leaving"
 	LostCrash   Fate = "lost_crash"
 	LostFailing Fate = "lost_failing"
-	// LostEntry and LostShutdown: the response broke off because its entry or all instances
-	// died.
+	// LostEntry and LostShutdown: the response was broken off because its entry or all
+	// instances died.
 	LostEntry    Fate = "lost_entry"
 	LostShutdown Fate = "lost_shutdown"
 	// TurnedAway: the request was refused, and its caller did not come back.
@@ -34,7 +34,7 @@
 // Worth is the total value of a run's requests for their callers, and the part of it that was
 // lost.
 type Worth struct {
-	// Owed is the total value of the requests.
+	// Owed is the total value of all requests.
 	Owed float64
 	// Lost is the value lost by each fate; a late response keeps a part of its value.
 	Lost map[Fate]float64
