--- a/internal/apply/apply.go
+++ b/internal/apply/apply.go
@@ -39,7 +39,7 @@
 
 // Error implements error.
 func (c *Conflict) Error() string {
-	return fmt.Sprintf("nothing was changed: version %d by %q (apply %s) is in force; for an apply, compare with diff and set -base %d",
+	return fmt.Sprintf("nothing was applied: version %d by %q (apply %s) is in force; compare with diff and apply on -base %d",
 		c.Number, c.Operator, c.ApplyID, c.Number)
 }
 
--- a/internal/standin/engine/http.go
+++ b/internal/standin/engine/http.go
@@ -111,7 +111,7 @@
 		return
 	}
 	if !e.TakeOrder(o) {
-		http.Error(w, "order refused: its fencing number is not above that of all earlier orders", http.StatusConflict)
+		http.Error(w, "old fencing number", http.StatusConflict)
 	}
 }
 
