--- a/internal/standin/hosting/engine.go
+++ b/internal/standin/hosting/engine.go
@@ -32,11 +32,8 @@
 func (w *Worker) serveStream(rw http.ResponseWriter, r *http.Request, a *Arrival, fault Fault) {
 	received := 0 // number of events that the caller has already
 	if from := r.Header.Get("Kv-From"); from != "" {
-		_, handle, _ := strings.Cut(from, "/")
-		w.mu.Lock()
-		c := w.copies[handle]
-		delete(w.copies, handle)
-		w.mu.Unlock()
+		source, handle, _ := strings.Cut(from, "/")
+		c := w.takeCopy(source, handle)
 		if c == nil || c.id != a.ID {
 			w.withLock(a, func() { a.Ran = false })
 			rw.Header().Set("Not-Executed", "1")
@@ -165,6 +162,19 @@
 	}
 }
 
+// takeCopy returns a stored copy, or nil, and frees it: a copy can be used once. The upstream at
+// the address source, which sent the copy, no longer keeps the stopped generation either.
+func (w *Worker) takeCopy(source, handle string) *generation {
+	w.mu.Lock()
+	c := w.copies[handle]
+	delete(w.copies, handle)
+	w.mu.Unlock()
+	if sender := w.workerAt(source); c != nil && sender != nil {
+		sender.dropCopy(handle)
+	}
+	return c
+}
+
 // Copies returns the number of stored copies of generations that were not resumed.
 func (w *Worker) Copies() int {
 	w.mu.Lock()
