--- a/internal/standin/engine/http.go
+++ b/internal/standin/engine/http.go
@@ -15,7 +15,8 @@
 const (
 	HeaderRequestID = "X-Request-Id"
 	HeaderPriority  = "X-Priority"
-	// HeaderBoot carries the id of the engine's boot in the response to a generation.
+	// HeaderBoot carries the id of the engine's boot in the response to a request for a
+	// generation.
 	HeaderBoot = "X-Engine-Boot"
 )
 
--- a/internal/standin/hosting/engine.go
+++ b/internal/standin/hosting/engine.go
@@ -27,16 +27,13 @@
 func Event(id string, n int) string { return fmt.Sprintf("id: %d\ndata: %s.%d\n\n", n, id, n) }
 
 // serveStream streams events until all are sent, the caller disconnects or the generation
-// is stopped by a move or a crash. A request with Kv-From resumes from a copy, one with
-// Last-Event-Id after that event.
+// is stopped by a move or a crash. A request with the header Kv-From resumes from a copy, a
+// request with Last-Event-Id resumes after that event.
 func (w *Worker) serveStream(rw http.ResponseWriter, r *http.Request, a *Arrival, fault Fault) {
 	received := 0 // number of events that the caller has already
 	if from := r.Header.Get("Kv-From"); from != "" {
-		_, handle, _ := strings.Cut(from, "/")
-		w.mu.Lock()
-		c := w.copies[handle]
-		delete(w.copies, handle)
-		w.mu.Unlock()
+		source, handle, _ := strings.Cut(from, "/")
+		c := w.takeCopy(source, handle)
 		if c == nil || c.id != a.ID {
 			w.withLock(a, func() { a.Ran = false })
 			rw.Header().Set("Not-Executed", "1")
@@ -89,8 +86,8 @@
 // promptTokens is the memory that the prompt of each generation takes, in tokens.
 const promptTokens = 1000
 
-// moveRequest asks an engine to copy a generation to the upstream at the address To.
-// If Last is set, the generation is stopped first.
+// moveRequest is a request to an engine to copy a generation to the upstream at the address
+// To. If Last is set, the generation is stopped first.
 type moveRequest struct {
 	ID   string `json:"id"`
 	To   string `json:"to"`
@@ -148,8 +145,8 @@
 	}
 }
 
-// copyPath is the path prefix of the copies that this upstream sent; a DELETE request
-// frees one.
+// copyPath is the path prefix of the copies that this upstream sent; a DELETE request to
+// the path of a copy frees that copy.
 const copyPath = "/v1/kv-handle/"
 
 // dropCopy removes a copy here and at the upstream to which it was sent.
@@ -165,6 +162,19 @@
 	}
 }
 
+// takeCopy returns a stored copy, or nil, and frees it: a copy can be used once. The upstream at
+// the address source, which sent the copy, no longer keeps the stopped generation either.
+func (w *Worker) takeCopy(source, handle string) *generation {
+	w.mu.Lock()
+	c := w.copies[handle]
+	delete(w.copies, handle)
+	w.mu.Unlock()
+	if sender := w.workerAt(source); c != nil && sender != nil {
+		sender.dropCopy(handle)
+	}
+	return c
+}
+
 // Copies returns the number of stored copies of generations that were not resumed.
 func (w *Worker) Copies() int {
 	w.mu.Lock()
